--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -11,17 +11,10 @@
 
 from hdrh import histogram
 
-from spindlenotch import (
-    bundle_check,
-    bundle_seal,
-    client,
-    entry,
-    ids,
-    ports,
-    publishing,
-    selection,
-    settings,
-)
+from spindlenotch import client, ids, ports, selection
+from spindlenotch.bundles import bundle_check, bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.entry import entry, settings
 from standins import hostlist, store, upstream
 
 BUNDLES = pathlib.Path(__file__).parents[1] / "bundles"
--- a/demo/main.py
+++ b/demo/main.py
@@ -14,7 +14,7 @@
 import rich.table
 
 from demo import deployment, plans
-from spindlenotch import plugins
+from spindlenotch.entry import plugins
 
 MAX_SECONDS = 50.0
 REFRESH_S = 1.0
--- a/experiment/run.py
+++ b/experiment/run.py
@@ -11,16 +11,11 @@
 from collections import abc
 
 from experiment import worker, workloads
-from spindlenotch import (
-    balancer,
-    bundle,
-    ids,
-    outcomes,
-    ownership,
-    plugins,
-    upstreams,
-    waiting,
-)
+from spindlenotch import ids
+from spindlenotch.bundles import bundle
+from spindlenotch.decisions import balancer
+from spindlenotch.entry import plugins
+from spindlenotch.kernel import outcomes, ownership, upstreams, waiting
 
 POKE_S = 0.01
 PROBE_S = 0.006
--- a/experiment/worker.py
+++ b/experiment/worker.py
@@ -12,7 +12,7 @@
 import typing
 from collections import abc
 
-from spindlenotch import upstreams
+from spindlenotch.kernel import upstreams
 
 
 class Simulation:
--- a/features/environment.py
+++ b/features/environment.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from features.support import fleet
-from spindlenotch import plugins
+from spindlenotch.entry import plugins
 
 # The adapter is started from its own folder; tests import it from there too.
 sys.path.append(str(pathlib.Path(__file__).parents[1] / "platform"))
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -9,7 +9,7 @@
 import behave
 
 from features.support import fleet as fleets
-from spindlenotch import peer_link
+from spindlenotch.peers import peer_link
 
 Fields = dict[str, str]
 GOOD = {"Spindlenotch-Timeout-Ms": "3000"}
--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -4,7 +4,8 @@
 
 from features.steps import kernel
 from features.support import hostile as hostile_bytes
-from spindlenotch import documents, gossip, ids, peer_codec, peer_seal
+from spindlenotch import ids
+from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -8,7 +8,8 @@
 from aiohttp import web
 
 from features.support import fleet as fleets
-from spindlenotch import client, upstream_http
+from spindlenotch import client
+from spindlenotch.drivers import upstream_http
 from standins import server
 
 MARKS = ("Spindlenotch-Request-Id",)
--- a/features/steps/faults.py
+++ b/features/steps/faults.py
@@ -9,7 +9,9 @@
 
 from features.steps import whole_path
 from features.support import fleet as fleets
-from spindlenotch import client, headers, outcomes, publishing
+from spindlenotch import client, headers
+from spindlenotch.cli import publishing
+from spindlenotch.kernel import outcomes
 
 HOTEL = {
     headers.TIMEOUT_MS: "6000",
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -10,18 +10,10 @@
 
 from features.steps import kernel
 from features.support import hostile as hostile_bytes, platform_fleet
-from spindlenotch import (
-    budgets,
-    events,
-    gossip,
-    ids,
-    ownership,
-    peer_codec_msgpack,
-    peer_seal,
-    upstreams,
-    workload,
-)
+from spindlenotch import events, ids
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
+from spindlenotch.kernel import budgets, ownership, upstreams
+from spindlenotch.peers import gossip, peer_codec_msgpack, peer_seal, workload
 from spindlenotch_platform import documents, speech
 
 NOW = kernel.NOW
--- a/features/steps/gateway_entries.py
+++ b/features/steps/gateway_entries.py
@@ -7,8 +7,9 @@
 from hypothesis import strategies
 
 from features.steps import kernel
-from spindlenotch import ids, workload
+from spindlenotch import ids
 from spindlenotch.gateway import demand as demands, entry_choice
+from spindlenotch.peers import workload
 
 ZONES = kernel.ZONES
 STRONG = entry_choice.capacity_of(2.0, 200.0)
--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -6,14 +6,9 @@
 from hypothesis import strategies
 
 from features.steps import kernel
-from spindlenotch import (
-    balancer,
-    budgets,
-    crowding,
-    ids,
-    selection_paced,
-    upstreams,
-)
+from spindlenotch import ids
+from spindlenotch.decisions import balancer, selection_paced
+from spindlenotch.kernel import budgets, crowding, upstreams
 
 NOW = kernel.NOW
 ZONE = kernel.ZONES[0]
--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -4,8 +4,9 @@
 import dataclasses
 
 from features.steps import kernel
-from spindlenotch import clock, documents, gossip, ids
+from spindlenotch import clock, ids
 from spindlenotch.gateway import fleet as fleets, relay, settings, state as states
+from spindlenotch.peers import documents, gossip
 
 ME = "127.0.0.1:9001"
 SEED = "127.0.0.1:9002"
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -8,21 +8,18 @@
 import hypothesis
 from hypothesis import strategies
 
-from spindlenotch import (
-    balancer,
+from spindlenotch import ids, registry, selection
+from spindlenotch.bundles import bundle, bundle_check
+from spindlenotch.decisions import balancer
+from spindlenotch.kernel import (
     budgets,
-    bundle,
-    bundle_check,
-    documents,
-    ids,
     outcomes,
     ownership,
-    registry,
     schedule,
-    selection,
     upstreams,
     waiting,
 )
+from spindlenotch.peers import documents
 
 PROPERTIES: registry.Registry[abc.Callable[[], None]] = registry.Registry("property")
 SETTINGS = hypothesis.settings(
--- a/features/steps/platform_connections.py
+++ b/features/steps/platform_connections.py
@@ -7,7 +7,8 @@
 import behave
 
 from features.support import platform_context, platform_fleet
-from spindlenotch import ids, ports, upstream_http
+from spindlenotch import ids, ports
+from spindlenotch.drivers import upstream_http
 from spindlenotch_platform import speech
 
 fleet_of = platform_context.fleet_of
--- a/features/steps/platform_explain.py
+++ b/features/steps/platform_explain.py
@@ -11,7 +11,8 @@
 
 from features.steps import kernel
 from features.support import platform_context, platform_fleet
-from spindlenotch import events, explain_logs
+from spindlenotch import events
+from spindlenotch.cli import explain_logs
 
 fleet_of = platform_context.fleet_of
 BAD_LINE = b"this is no event\n"
--- a/features/steps/whole_path.py
+++ b/features/steps/whole_path.py
@@ -8,7 +8,8 @@
 import aiohttp
 import behave
 
-from spindlenotch import client, outcomes
+from spindlenotch import client
+from spindlenotch.kernel import outcomes
 
 TIMEOUT_S = 8.0
 
--- a/features/support/fake_upstreams.py
+++ b/features/support/fake_upstreams.py
@@ -10,7 +10,8 @@
 from collections import abc
 
 from features.support import fakes, world as worlds
-from spindlenotch import headers, ids, ports, upstreams
+from spindlenotch import headers, ids, ports
+from spindlenotch.kernel import upstreams
 
 
 @dataclasses.dataclass(slots=True)
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -13,15 +13,8 @@
 import msgspec
 
 from features.support import world as worlds
-from spindlenotch import (
-    documents,
-    gossip,
-    ids,
-    metrics,
-    peer_codec,
-    peer_seal,
-    ports,
-)
+from spindlenotch import ids, metrics, ports
+from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 
 STORE_TIMEOUT_S = 1.5
 WAY_S = 0.001
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -19,7 +19,10 @@
 import aiohttp
 
 from features.support import free_ports
-from spindlenotch import bundle_seal, client, plugins, ports, publishing
+from spindlenotch import client, ports
+from spindlenotch.bundles import bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.entry import plugins
 
 ROOT = pathlib.Path(__file__).parents[2]
 LOOPBACK = "127.0.0.1"
--- a/features/support/hostile.py
+++ b/features/support/hostile.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from spindlenotch import gossip, peer_seal
+from spindlenotch.peers import gossip, peer_seal
 
 SETTINGS = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=100
--- a/features/support/machine.py
+++ b/features/support/machine.py
@@ -10,7 +10,9 @@
 from hypothesis import stateful, strategies
 
 from features.support import virtual_fleet, world as worlds
-from spindlenotch import headers, measuring, outcomes, plugins
+from spindlenotch import headers
+from spindlenotch.entry import measuring, plugins
+from spindlenotch.kernel import outcomes
 
 HOSTS = ("e0", "e1", "e2", "e3")
 UPSTREAMS = 3
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -14,27 +14,23 @@
 import msgspec
 
 from features.support import fake_upstreams, fakes, fleet, world as worlds
-from spindlenotch import (
-    bundle_seal,
+from spindlenotch import headers, ids, ports, selection
+from spindlenotch.bundles import bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.entry import (
     claims,
     control,
-    data_path,
-    documents,
     entry_state,
     front,
-    headers,
-    ids,
     measuring,
     once,
     once_path,
-    outcomes,
-    peer_seal,
-    ports,
-    publishing,
-    selection,
     settings,
     texts,
 )
+from spindlenotch.forwarding import data_path
+from spindlenotch.kernel import outcomes
+from spindlenotch.peers import documents, peer_seal
 
 PEER_KEY = b"a key for the peers"
 ZONES = ("z1", "z2", "z3")
--- a/spindlenotch/__init__.py
+++ b/spindlenotch/__init__.py
@@ -1,10 +1,11 @@
 """
 Spindlenotch: a load balancer for servers whose load shifts in milliseconds.
 
-The package is flat. The modules form layers, lowest first: vocabulary
-(``ids``, ``outcomes``), the kernel (decisions and state; no input, output or
-wall clock), ports and drivers, the daemons, and the command line. The order
-is checked in CI; see ``docs/DESIGN.md``.
+Packages, lowest layer first: ``kernel`` and ``decisions`` (state and rules; no
+input, output or clock), ``bundles``, ``peers``, ``drivers``, ``forwarding``, the
+two daemons ``entry`` and ``gateway``, and ``cli``. The loose modules are shared
+vocabulary and what other programs import. The order is checked in CI; see
+``docs/DESIGN.md``.
 """
 
 __version__ = "0.1.0"
--- a/spindlenotch/__main__.py
+++ b/spindlenotch/__main__.py
@@ -1,6 +1,6 @@
 """Run the command line as ``python -m spindlenotch``."""
 
-from spindlenotch import cli
+from spindlenotch.cli import cli
 
 if __name__ == "__main__":
     cli.main()
--- /dev/null
+++ b/spindlenotch/bundles/__init__.py
@@ -0,0 +1,3 @@
+"""
+Signed bundles of configuration: their types, checks, seal and publication.
+"""
--- a/spindlenotch/bundle_check.py
+++ b/spindlenotch/bundles/bundle_check.py
@@ -14,7 +14,8 @@
 import zoneinfo
 from collections import abc
 
-from spindlenotch import bundle, ids
+from spindlenotch import ids
+from spindlenotch.bundles import bundle
 
 #: The store holds values of up to a megabyte; the envelope needs some of it.
 MAX_TEXT_BYTES = 900_000
--- a/spindlenotch/bundle_seal.py
+++ b/spindlenotch/bundles/bundle_seal.py
@@ -15,7 +15,8 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric import ed25519
 
-from spindlenotch import bundle, bundle_check, ids
+from spindlenotch import ids
+from spindlenotch.bundles import bundle, bundle_check
 
 MAX_LOG = 50
 
--- /dev/null
+++ b/spindlenotch/cli/__init__.py
@@ -0,0 +1,3 @@
+"""
+The command line.
+"""
--- a/spindlenotch/cli.py
+++ b/spindlenotch/cli/cli.py
@@ -14,14 +14,8 @@
 import uvloop
 
 import spindlenotch
-from spindlenotch import (
-    cli_bundle,
-    cli_load,
-    daemon,
-    explain_client,
-    explain_logs,
-    settings,
-)
+from spindlenotch.cli import cli_bundle, cli_load, explain_client, explain_logs
+from spindlenotch.entry import daemon, settings
 from spindlenotch.gateway import daemon as gateway_daemon, settings as gateway_settings
 
 EXIT_USAGE = 2
--- a/spindlenotch/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -14,22 +14,11 @@
 import msgspec
 import uvloop
 
-from spindlenotch import (
-    bundle,
-    bundle_check,
-    bundle_seal,
-    documents,
-    entry_state,
-    ids,
-    metrics,
-    peer_codec,
-    peer_link,
-    peer_seal,
-    plugins,
-    ports,
-    publishing,
-    selection,
-)
+from spindlenotch import ids, metrics, ports, selection
+from spindlenotch.bundles import bundle, bundle_check, bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.entry import entry_state, plugins
+from spindlenotch.peers import documents, peer_codec, peer_link, peer_seal
 
 app = cyclopts.App(help="Check, sign, publish and look at bundles.")
 
--- a/spindlenotch/publishing.py
+++ b/spindlenotch/cli/publishing.py
@@ -10,7 +10,8 @@
 import dataclasses
 import enum
 
-from spindlenotch import bundle_seal, ids, ports
+from spindlenotch import ids, ports
+from spindlenotch.bundles import bundle_seal
 
 KEY = "bundle"
 TRIES = 5
--- a/spindlenotch/client.py
+++ b/spindlenotch/client.py
@@ -15,7 +15,8 @@
 import aiohttp
 import msgspec
 
-from spindlenotch import api, clock, headers, ids, outcomes
+from spindlenotch import api, clock, headers, ids
+from spindlenotch.kernel import outcomes
 
 TICKETS_KEPT = 8
 ASK_TIMEOUT_S = 2.0
--- a/spindlenotch/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -12,14 +12,13 @@
 import enum
 import random
 
-from spindlenotch import (
+from spindlenotch import ids, selection
+from spindlenotch.bundles import bundle
+from spindlenotch.kernel import (
     budgets,
-    bundle,
-    ids,
     outcomes,
     ownership,
     pool as pools,
-    selection,
     upstreams,
     waiting,
 )
--- a/spindlenotch/selection_owned.py
+++ b/spindlenotch/decisions/selection_owned.py
@@ -13,7 +13,8 @@
 import itertools
 from collections import abc
 
-from spindlenotch import ids, pool as pools, selection, upstreams, waiting
+from spindlenotch import ids, selection
+from spindlenotch.kernel import pool as pools, upstreams, waiting
 
 #: Upstreams looked at besides the own ones. Few, and random, so that many
 #: entries with the same stale belief do not all pick the same one.
--- a/spindlenotch/selection_paced.py
+++ b/spindlenotch/decisions/selection_paced.py
@@ -9,7 +9,8 @@
 has begun at a slowed one is late, and holds its slot for many times as long.
 """
 
-from spindlenotch import crowding, ids, pool as pools, selection, upstreams, waiting
+from spindlenotch import ids, selection
+from spindlenotch.kernel import crowding, pool as pools, upstreams, waiting
 
 NAME = "paced"
 #: How far the estimate of an upstream's requests may lie above its slots for it
--- /dev/null
+++ b/spindlenotch/drivers/__init__.py
@@ -0,0 +1,3 @@
+"""
+Drivers of the ports in ``spindlenotch.ports``; all of them speak HTTP.
+"""
--- a/spindlenotch/hostlist_http.py
+++ b/spindlenotch/drivers/hostlist_http.py
@@ -7,7 +7,8 @@
 
 import aiohttp
 
-from spindlenotch import hostlist, ports
+from spindlenotch import ports
+from spindlenotch.kernel import hostlist
 
 CALL_TIMEOUT_S = 1.5
 
--- a/spindlenotch/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -16,7 +16,8 @@
 import aiohttp
 import yarl
 
-from spindlenotch import headers, ids, ports, upstreams
+from spindlenotch import headers, ids, ports
+from spindlenotch.kernel import upstreams
 
 CONNECT_TIMEOUT_S = 1.0
 CHUNK_BYTES = 64 * 1024
--- /dev/null
+++ b/spindlenotch/entry/__init__.py
@@ -0,0 +1,3 @@
+"""
+The entry daemon, for callers that use the library ``spindlenotch.client``.
+"""
--- a/spindlenotch/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -11,7 +11,9 @@
 import re
 from collections import abc
 
-from spindlenotch import bundle, headers, ids, outcomes
+from spindlenotch import headers, ids
+from spindlenotch.bundles import bundle
+from spindlenotch.kernel import outcomes
 
 SERVICE_PREFIX = "/s/"
 MAX_TIMEOUT_MS = 24 * 3600 * 1000
--- a/spindlenotch/caller_port.py
+++ b/spindlenotch/entry/caller_port.py
@@ -14,22 +14,11 @@
 import msgspec
 from aiohttp import web
 
-from spindlenotch import (
-    admit,
-    api,
-    data_path,
-    entry_state,
-    front,
-    gossip,
-    headers,
-    ids,
-    once,
-    once_path,
-    outcomes,
-    ports,
-    texts,
-    upstreams,
-)
+from spindlenotch import api, headers, ids, ports
+from spindlenotch.entry import admit, entry_state, front, once, once_path, texts
+from spindlenotch.forwarding import data_path
+from spindlenotch.kernel import outcomes, upstreams
+from spindlenotch.peers import gossip
 
 #: Bodies up to this size are read whole, so that they can be sent again.
 WHOLE_BODY = 64 * 1024
--- a/spindlenotch/claims.py
+++ b/spindlenotch/entry/claims.py
@@ -14,7 +14,9 @@
 
 import msgspec
 
-from spindlenotch import budgets, entry_state, ids, once, ports
+from spindlenotch import ids, ports
+from spindlenotch.entry import entry_state, once
+from spindlenotch.kernel import budgets
 
 #: Longest that a claim waits for its turn within the claim budget, seconds.
 LONGEST_TURN_S = 0.25
--- a/spindlenotch/control.py
+++ b/spindlenotch/entry/control.py
@@ -10,21 +10,10 @@
 import functools
 from collections import abc
 
-from spindlenotch import (
-    backoff as backoffs,
-    documents,
-    entry_state,
-    events,
-    gossip,
-    hostlist,
-    ids,
-    peer_codec,
-    peer_link,
-    peer_seal,
-    ports,
-    readiness,
-    rendezvous,
-)
+from spindlenotch import events, ids, ports
+from spindlenotch.entry import entry_state, readiness
+from spindlenotch.kernel import backoff as backoffs, hostlist, rendezvous
+from spindlenotch.peers import documents, gossip, peer_codec, peer_link, peer_seal
 
 BUNDLE_KEY = "bundle"
 READERS_PER_ZONE = 2
--- a/spindlenotch/daemon.py
+++ b/spindlenotch/entry/daemon.py
@@ -9,7 +9,7 @@
 import aiomisc
 import loguru
 
-from spindlenotch import entry, settings
+from spindlenotch.entry import entry, settings
 
 #: aiomisc gives up a stop after this long. A planned stop has no limit unless
 #: the operator set one, so this is only "very long".
--- a/spindlenotch/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -8,24 +8,21 @@
 
 import asyncio
 
-from spindlenotch import (
+from spindlenotch import clock, events, ids, ports
+from spindlenotch.entry import (
     caller_port,
     claims,
-    clock,
     control,
-    data_path,
     entry_state,
-    events,
     front,
-    ids,
     measuring,
     once_path,
     operator_port,
-    peer_link,
     plugins,
-    ports,
     settings,
 )
+from spindlenotch.forwarding import data_path
+from spindlenotch.peers import peer_link
 
 #: Added to the time answers are kept, for the way of a last answer and for
 #: the news of the stop to reach every peer.
--- a/spindlenotch/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -10,25 +10,12 @@
 import random
 import secrets
 
-from spindlenotch import (
-    balancer,
-    bundle,
-    bundle_seal,
-    clock,
-    documents,
-    events,
-    gossip,
-    hostlist,
-    ids,
-    metrics,
-    once,
-    ownership,
-    readiness,
-    schedule,
-    selection,
-    settings,
-    upstreams,
-)
+from spindlenotch import clock, events, ids, metrics, selection
+from spindlenotch.bundles import bundle, bundle_seal
+from spindlenotch.decisions import balancer
+from spindlenotch.entry import once, readiness, settings
+from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
+from spindlenotch.peers import documents, gossip
 
 _EVENT_BY_STATE = {
     upstreams.State.ACTIVE: events.Event.UPSTREAM_BACK,
--- a/spindlenotch/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -9,7 +9,11 @@
 
 import msgspec
 
-from spindlenotch import balancer, entry_state, gossip, ids, pool, upstreams
+from spindlenotch import ids
+from spindlenotch.decisions import balancer
+from spindlenotch.entry import entry_state
+from spindlenotch.kernel import pool, upstreams
+from spindlenotch.peers import gossip
 
 Dump = dict[str, typing.Any]
 
--- a/spindlenotch/front.py
+++ b/spindlenotch/entry/front.py
@@ -10,18 +10,10 @@
 import dataclasses
 from collections import abc
 
-from spindlenotch import (
-    admit,
-    data_path,
-    entry_state,
-    headers,
-    ids,
-    once,
-    once_path,
-    outcomes,
-    readiness,
-    waiting,
-)
+from spindlenotch import headers, ids
+from spindlenotch.entry import admit, entry_state, once, once_path, readiness
+from spindlenotch.forwarding import data_path
+from spindlenotch.kernel import outcomes, waiting
 
 #: When a caller that meets an entry which is not ready should come back.
 NOT_READY_S = 0.5
--- a/spindlenotch/measuring.py
+++ b/spindlenotch/entry/measuring.py
@@ -12,16 +12,10 @@
 import dataclasses
 from collections import abc
 
-from spindlenotch import (
-    budgets,
-    bundle,
-    entry_state,
-    events,
-    ids,
-    ports,
-    rendezvous,
-    upstreams,
-)
+from spindlenotch import events, ids, ports
+from spindlenotch.bundles import bundle
+from spindlenotch.entry import entry_state
+from spindlenotch.kernel import budgets, rendezvous, upstreams
 
 LEASE_S = 10.0
 #: The holder stops this long before the lease ends.
--- a/spindlenotch/once.py
+++ b/spindlenotch/entry/once.py
@@ -14,7 +14,8 @@
 import hmac
 import typing
 
-from spindlenotch import ids, outcomes
+from spindlenotch import ids
+from spindlenotch.kernel import outcomes
 
 #: A ticket is good for this long after it was minted.
 TICKET_LIFETIME_S = 120.0
--- a/spindlenotch/once_path.py
+++ b/spindlenotch/entry/once_path.py
@@ -10,18 +10,10 @@
 import dataclasses
 import hashlib
 
-from spindlenotch import (
-    claims,
-    data_path,
-    entry_state,
-    events,
-    headers,
-    ids,
-    once,
-    outcomes,
-    ports,
-    upstreams,
-)
+from spindlenotch import events, headers, ids, ports
+from spindlenotch.entry import claims, entry_state, once
+from spindlenotch.forwarding import data_path
+from spindlenotch.kernel import outcomes, upstreams
 
 #: A larger answer from a peer is not held; its outcome is then unknown here.
 MAX_FORWARDED_BODY = 8 * 1024 * 1024
--- a/spindlenotch/operator_port.py
+++ b/spindlenotch/entry/operator_port.py
@@ -8,7 +8,8 @@
 import msgspec
 from aiohttp import web
 
-from spindlenotch import entry_state, explain, ids
+from spindlenotch import ids
+from spindlenotch.entry import entry_state, explain
 
 
 class OperatorPort:
--- a/spindlenotch/plugins.py
+++ b/spindlenotch/entry/plugins.py
@@ -10,10 +10,10 @@
 MODULES = (
     "spindlenotch.clock",
     "spindlenotch.selection",
-    "spindlenotch.selection_owned",
-    "spindlenotch.store_http",
-    "spindlenotch.hostlist_http",
-    "spindlenotch.upstream_http",
+    "spindlenotch.decisions.selection_owned",
+    "spindlenotch.drivers.store_http",
+    "spindlenotch.drivers.hostlist_http",
+    "spindlenotch.drivers.upstream_http",
 )
 
 
--- a/spindlenotch/texts.py
+++ b/spindlenotch/entry/texts.py
@@ -4,7 +4,7 @@
 The caller-side handlers read this table; nothing else words an error.
 """
 
-from spindlenotch import outcomes
+from spindlenotch.kernel import outcomes
 
 _R = outcomes.Reason
 
--- /dev/null
+++ b/spindlenotch/forwarding/__init__.py
@@ -0,0 +1,3 @@
+"""
+Carrying out one request: tries at upstreams over a port, under the kernel.
+"""
--- a/spindlenotch/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -11,18 +11,9 @@
 import typing
 from collections import abc
 
-from spindlenotch import (
-    balancer,
-    clock as clocks,
-    events,
-    headers,
-    ids,
-    metrics,
-    outcomes,
-    ports,
-    upstreams,
-    waiting,
-)
+from spindlenotch import clock as clocks, events, headers, ids, metrics, ports
+from spindlenotch.decisions import balancer
+from spindlenotch.kernel import outcomes, upstreams, waiting
 
 #: How often the queue is looked at while calls wait and no answer ends.
 POKE_S = 0.02
--- a/spindlenotch/gateway/demand.py
+++ b/spindlenotch/gateway/demand.py
@@ -7,7 +7,8 @@
 
 import collections
 
-from spindlenotch import ids, workload
+from spindlenotch import ids
+from spindlenotch.peers import workload
 
 SPAN_S = 1.0
 SPANS_KEPT = 8
--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from spindlenotch import headers, ids, registry, upstream_http
+from spindlenotch import headers, ids, registry
+from spindlenotch.drivers import upstream_http
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/spindlenotch/gateway/entry_choice.py
+++ b/spindlenotch/gateway/entry_choice.py
@@ -10,7 +10,9 @@
 import math
 from collections import abc
 
-from spindlenotch import ids, rendezvous, workload
+from spindlenotch import ids
+from spindlenotch.kernel import rendezvous
+from spindlenotch.peers import workload
 
 DUTY = "entries"
 #: How much of a host's processor and of its link callers' requests may take on
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -1,7 +1,7 @@
 """
 The gateways of the fleet as this one sees them, and which callers are sent to.
 
-Members find each other by gossip (``spindlenotch.gossip``) over UDP. Callers
+Members find each other by gossip (``spindlenotch.peers.gossip``) over UDP. Callers
 are sent to a few gateways in each zone, the same for equal views: few
 gateways see most of what an upstream does, and the others stand by.
 """
@@ -9,18 +9,17 @@
 import asyncio
 from collections import abc
 
-from spindlenotch import (
+from spindlenotch import events, ids
+from spindlenotch.gateway import entry_choice, state as states
+from spindlenotch.kernel import ownership
+from spindlenotch.peers import (
     documents,
-    events,
     gossip,
-    ids,
-    ownership,
     peer_codec_msgpack,
     peer_link,
     peer_seal,
     workload,
 )
-from spindlenotch.gateway import entry_choice, state as states
 
 #: A gateway that starts asks the peers of its settings so often, so far apart.
 GREETINGS = 8
--- a/spindlenotch/gateway/follower.py
+++ b/spindlenotch/gateway/follower.py
@@ -9,8 +9,9 @@
 import asyncio
 from collections import abc
 
-from spindlenotch import backoff, events
+from spindlenotch import events
 from spindlenotch.gateway import sources, state as states
+from spindlenotch.kernel import backoff
 
 #: Longest wait of one call; also bounds how long a lost answer goes unseen.
 WAIT_S = 2.4
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -5,7 +5,9 @@
 import asyncio
 from collections import abc
 
-from spindlenotch import clock, data_path, events, ports, upstream_http
+from spindlenotch import clock, events, ports
+from spindlenotch.drivers import upstream_http
+from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect as dialects,
     fleet as fleets,
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -14,23 +14,17 @@
 import multidict
 from aiohttp import web_request, web_response, web_server
 
-from spindlenotch import (
-    balancer,
-    data_path,
-    headers,
-    ids,
-    outcomes,
-    peer_link,
-    ports,
-    upstreams,
-    waiting,
-)
+from spindlenotch import headers, ids, ports
+from spindlenotch.decisions import balancer
+from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect as dialects,
     request_log,
     routing,
     state as states,
 )
+from spindlenotch.kernel import outcomes, upstreams, waiting
+from spindlenotch.peers import peer_link
 
 #: Bodies up to this size are read whole, so that they can be sent again.
 WHOLE_BODY = 1024 * 1024
--- a/spindlenotch/gateway/listing.py
+++ b/spindlenotch/gateway/listing.py
@@ -9,8 +9,9 @@
 import dataclasses
 from collections import abc
 
-from spindlenotch import ids, upstreams
+from spindlenotch import ids
 from spindlenotch.gateway import sources
+from spindlenotch.kernel import upstreams
 
 #: A source that failed this recently may have dropped entries that still live.
 DOUBT_AFTER_FAULT_S = 4.0
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -11,17 +11,11 @@
 import collections
 import math
 
-from spindlenotch import (
-    balancer,
-    gossip,
-    ids,
-    ownership,
-    ports,
-    rendezvous,
-    upstreams,
-    workload,
-)
+from spindlenotch import ids, ports
+from spindlenotch.decisions import balancer
 from spindlenotch.gateway import fleet as fleets, state as states
+from spindlenotch.kernel import ownership, rendezvous, upstreams
+from spindlenotch.peers import gossip, workload
 
 PROBE_TIMEOUT_S = 0.3
 IDLE_S = 0.25
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -12,21 +12,15 @@
 
 import msgspec
 
-from spindlenotch import (
-    documents,
-    events,
-    gossip,
-    ids,
-    ownership,
-    peer_seal,
-    rendezvous,
-)
+from spindlenotch import events, ids
 from spindlenotch.gateway import (
     fleet as fleets,
     routing,
     sources,
     state as states,
 )
+from spindlenotch.kernel import ownership, rendezvous
+from spindlenotch.peers import documents, gossip, peer_seal
 
 DUTY = "source"
 #: A follower asks its reader this often, and reads for itself when it has
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -7,8 +7,10 @@
 
 import zlib
 
-from spindlenotch import data_path, events, outcomes
+from spindlenotch import events
+from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import state as states
+from spindlenotch.kernel import outcomes
 
 #: One in so many answered requests is logged, chosen by its id.
 SERVED_SAMPLE = 64
--- a/spindlenotch/gateway/settings.py
+++ b/spindlenotch/gateway/settings.py
@@ -11,7 +11,8 @@
 import typing
 from collections import abc
 
-from spindlenotch import ids, settings
+from spindlenotch import ids
+from spindlenotch.entry import settings
 
 Fault = settings.Fault
 Setting = settings.Setting
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -8,12 +8,12 @@
 import msgspec
 from aiohttp import web_request, web_response, web_server
 
-from spindlenotch import peer_link
 from spindlenotch.gateway import (
     dialect as dialects,
     fleet as fleets,
     state as states,
 )
+from spindlenotch.peers import peer_link
 
 Answer = typing.Callable[[web_request.BaseRequest], web_response.Response]
 
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -11,19 +11,9 @@
 import typing
 from collections import abc
 
-from spindlenotch import (
-    balancer,
-    budgets,
-    bundle,
-    clock as clocks,
-    events,
-    gossip,
-    ids,
-    metrics,
-    ownership,
-    selection_paced,
-    upstreams,
-)
+from spindlenotch import clock as clocks, events, ids, metrics
+from spindlenotch.bundles import bundle
+from spindlenotch.decisions import balancer, selection_paced
 from spindlenotch.gateway import (
     demand as demands,
     entry_choice,
@@ -32,6 +22,8 @@
     settings,
     sources,
 )
+from spindlenotch.kernel import budgets, ownership, upstreams
+from spindlenotch.peers import gossip
 
 POLICY = selection_paced.NAME
 #: What a request is taken to need before any was measured, as a share of the
--- a/spindlenotch/crowding.py
+++ b/spindlenotch/kernel/crowding.py
@@ -7,7 +7,7 @@
 all of them so much that less gets done, they are better left empty.
 """
 
-from spindlenotch import latency
+from spindlenotch.kernel import latency
 
 #: Above this share of its slots in use an upstream counts as nearly full.
 NEARLY_FULL = 0.75
--- a/spindlenotch/hostlist.py
+++ b/spindlenotch/kernel/hostlist.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from spindlenotch import ids, upstreams
+from spindlenotch import ids
+from spindlenotch.kernel import upstreams
 
 
 class Role(enum.Enum):
--- a/spindlenotch/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -11,7 +11,9 @@
 import random
 from collections import abc
 
-from spindlenotch import bundle, crowding, ids, latency, ownership, schedule, upstreams
+from spindlenotch import ids
+from spindlenotch.bundles import bundle
+from spindlenotch.kernel import crowding, latency, ownership, schedule, upstreams
 
 #: Beliefs about others' requests fade over this many usual request times.
 BELIEF_FADES_AFTER = 2.0
--- a/spindlenotch/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -9,7 +9,8 @@
 import random
 from collections import abc
 
-from spindlenotch import ids, ownership
+from spindlenotch import ids
+from spindlenotch.kernel import ownership
 
 SCORES_KEPT = 65_536
 
--- a/spindlenotch/schedule.py
+++ b/spindlenotch/kernel/schedule.py
@@ -10,7 +10,8 @@
 import datetime
 import zoneinfo
 
-from spindlenotch import bundle, ids
+from spindlenotch import ids
+from spindlenotch.bundles import bundle
 
 MINUTES_PER_DAY = 1440.0
 
--- a/spindlenotch/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -10,7 +10,8 @@
 import enum
 from collections import abc
 
-from spindlenotch import ids, latency
+from spindlenotch import ids
+from spindlenotch.kernel import latency
 
 EJECT_AFTER_FAILURES = 3
 EJECT_BASE_S = 1.0
--- /dev/null
+++ b/spindlenotch/peers/__init__.py
@@ -0,0 +1,3 @@
+"""
+What processes of one fleet exchange: membership, documents, codecs, transport.
+"""
--- a/spindlenotch/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -17,7 +17,9 @@
 import random
 from collections import abc
 
-from spindlenotch import documents, ids, ownership, workload
+from spindlenotch import ids
+from spindlenotch.kernel import ownership
+from spindlenotch.peers import documents, workload
 
 FANOUT = 3
 PERIOD_S = 1.0
--- a/spindlenotch/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -11,7 +11,8 @@
 
 import capnp
 
-from spindlenotch import documents, gossip, ids, peer_seal, workload
+from spindlenotch import ids
+from spindlenotch.peers import documents, gossip, peer_seal, workload
 
 TRAVERSAL_WORDS = peer_seal.MAX_FRAME
 NESTING = 8
--- a/spindlenotch/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from spindlenotch import gossip, peer_seal
+from spindlenotch.peers import gossip, peer_seal
 
 _gossip_decoder: msgspec.msgpack.Decoder[gossip.Message] = msgspec.msgpack.Decoder(
     gossip.Message
--- a/spindlenotch/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -12,7 +12,8 @@
 import typing
 from collections import abc
 
-from spindlenotch import documents, events, gossip, ids, metrics, peer_seal
+from spindlenotch import events, ids, metrics
+from spindlenotch.peers import documents, gossip, peer_seal
 
 LENGTH = struct.Struct("!I")
 CALL_TIMEOUT_S = 2.0
--- a/spindlenotch/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -12,7 +12,7 @@
 import hmac
 import typing
 
-from spindlenotch import documents, gossip
+from spindlenotch.peers import documents, gossip
 
 MAC_BYTES = 16
 MAX_DATAGRAM = 8 * 1024
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -11,7 +11,8 @@
 import typing
 from collections import abc
 
-from spindlenotch import ids, registry, upstreams
+from spindlenotch import ids, registry
+from spindlenotch.kernel import upstreams
 
 
 class StoreFault(enum.Enum):
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -12,7 +12,8 @@
 import typing
 from collections import abc
 
-from spindlenotch import ids, pool as pools, registry, upstreams, waiting
+from spindlenotch import ids, registry
+from spindlenotch.kernel import pool as pools, upstreams, waiting
 
 
 class Rule(enum.Enum):
--- a/standins/store.py
+++ b/standins/store.py
@@ -2,7 +2,7 @@
 Stand-in for the platform's key-value service.
 
 Compare-and-swap, leases, watches, values of up to a megabyte; counts each
-call, a waiting watch as one. See ``spindlenotch.store_http`` for the protocol.
+call, a waiting watch as one. See ``spindlenotch.drivers.store_http`` for the protocol.
 """
 
 import asyncio
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -7,7 +7,9 @@
 import pathlib
 from collections import abc
 
-from spindlenotch import bundle_check, events, settings
+from spindlenotch import events
+from spindlenotch.bundles import bundle_check
+from spindlenotch.entry import settings
 from spindlenotch.gateway import settings as gateway_settings
 
 DOCS = pathlib.Path(__file__).parents[1] / "docs"
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -18,27 +18,19 @@
 import loguru
 import msgspec
 
-from spindlenotch import (
-    balancer,
-    bundle,
-    bundle_check,
-    bundle_seal,
-    documents,
-    gossip,
+from spindlenotch import ids, metrics, selection
+from spindlenotch.bundles import bundle, bundle_check, bundle_seal
+from spindlenotch.decisions import balancer
+from spindlenotch.entry import once, plugins
+from spindlenotch.kernel import (
     hostlist,
-    ids,
-    metrics,
-    once,
     outcomes,
     ownership,
-    peer_codec,
-    peer_seal,
-    plugins,
     rendezvous,
-    selection,
     upstreams,
     waiting,
 )
+from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 from tools import measure_gossip, slopes
 
 
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -6,7 +6,8 @@
 
 import random
 
-from spindlenotch import documents, gossip, ids, peer_codec, peer_seal
+from spindlenotch import ids
+from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 from tools import slopes
 
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -39,62 +39,62 @@
 MUTANTS = (
     Mutant(
         "a resend of a running request runs too",
-        "once",
+        "entry/once",
         "            return Verdict.JOIN",
         "            return Verdict.RUN",
     ),
     Mutant(
         "a refused attempt may run after all",
-        "once",
+        "entry/once",
         "if attempt <= record.attempt:",
         "if attempt < 0:",
     ),
     Mutant(
         "a refusal before the home always says not run",
-        "once",
+        "entry/once",
         "if first_attempt or not has_id:",
         "if True:",
     ),
     Mutant(
         "a forged home: whoever is asked runs a claimed id",
-        "claims",
+        "entry/claims",
         "                return holder\n",
         "                return mine\n",
     ),
     Mutant(
         "a broken connection is taken for not run",
-        "data_path",
+        "forwarding/data_path",
         "self.may_have_run |= fault not in _NOT_RUN_FAULTS",
         "self.may_have_run |= False",
     ),
     Mutant(
         "a deadline that passed in flight is taken for not run",
-        "data_path",
+        "forwarding/data_path",
         "return self._refusal(outcomes.Reason.DEADLINE_PASSED, True)",
         "return self._refusal(outcomes.Reason.DEADLINE_PASSED, False)",
     ),
     Mutant(
         "a cancelled try keeps its slot",
-        "data_path",
+        "forwarding/data_path",
         "grant, upstreams.Result.CANCELLED, None)\n        self.grant_by_task.clear()",
         "grant, upstreams.Result.CANCELLED, None) if 0 else None\n"
         "        self.grant_by_task.clear()",
     ),
     Mutant(
         "requests that lay unread in a frozen process count as fresh",
-        "readiness",
+        "entry/readiness",
         "return self.stalled_from if now < self.backlog_until else now",
         "return now",
     ),
     Mutant(
         "an older bundle replaces a newer one",
-        "documents",
+        "peers/documents",
         "current.version:\n            return Offer.OLDER",
         "current.version:\n            return Offer.APPLIED",
     ),
     Mutant(
         "a new bundle is not passed on and the store not watched",
-        "control",
+        "entry/control",
         "            if stored.revision > self._store_revision:\n"
         "                self._offer_stored(stored)",
         "            if stored.revision > self._store_revision + 10**6:\n"
@@ -102,25 +102,25 @@
     ),
     Mutant(
         "the right to probe outlives its lease",
-        "measuring",
+        "entry/measuring",
         "return self.revision > 0 and now < self.until",
         "return True",
     ),
     Mutant(
         "probes are not spaced",
-        "budgets",
+        "kernel/budgets",
         "self.free_at = ids.later(now, self.spacing_s)",
         "self.free_at = now",
     ),
     Mutant(
         "an upstream that says it is draining is not heeded",
-        "data_path",
+        "forwarding/data_path",
         "if answer.draining:",
         "if False:",
     ),
     Mutant(
         "another caller's answer is passed on",
-        "once_path",
+        "entry/once_path",
         'return once.OnceKey(f"ticket/{identity.ticket}")',
         'return once.OnceKey("ticket/same")',
     ),
