--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PYTHON ?= python3
 PY := .venv/bin/python
 
-.PHONY: demo test format docs soak mutants days measure-path measure-capacity measure-policies clean
+.PHONY: demo test format docs soak mutants days measure-path measure-capacity clean
 
 .venv/ready: requirements.txt
 	$(PYTHON) -m venv .venv
@@ -38,9 +38,6 @@
 measure-capacity: .venv/ready
 	$(PY) -m tools.measure_capacity
 
-measure-policies: .venv/ready
-	$(PY) -m experiment report
-
 # Play the own days with the users' bench: make days BENCH=PROGRAM SITES="A.toml B.toml"
 days: .venv/ready
 	$(PY) -m tools.play_days $(BENCH) $(SITES)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -1,8 +1,8 @@
 """
 The kernel's front: admission, selection, retries and hedges of one service.
 
-State in, decision and reason out. The daemon and the experiment tool drive
-the very same object: both pass in calls, ends of calls and the instant, and
+State in, decision and reason out. Both daemons drive
+the very same object: they pass in calls, ends of calls and the instant, and
 carry out the grants it returns. Sits between the data path (above) and pool,
 queue and policies (below).
 """
--- a/spindlenotch/entry/plugins.py
+++ b/spindlenotch/entry/plugins.py
@@ -2,7 +2,7 @@
 Import every plug-in module, so that each registers itself.
 
 A bench of somebody else's plugs in the same way: import a module that
-registers its drivers, then start the daemon or the experiment.
+registers its drivers, then start the daemon.
 """
 
 import importlib
--- a/tools/import_rule.py
+++ b/tools/import_rule.py
@@ -13,7 +13,6 @@
 ROOTS = (
     "spindlenotch",
     "standins",
-    "experiment",
     "demo",
     "features",
     "tools",
--- a/tools/platform_names.py
+++ b/tools/platform_names.py
@@ -9,7 +9,7 @@
 import re
 import sys
 
-ROOTS = ("spindlenotch", "standins", "experiment", "demo")
+ROOTS = ("spindlenotch", "standins", "demo")
 NAMES = (
     r"X-Spindlenotch-",
     r"kv-(key|range|watch|txn|lease|keep)",
