--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -269,7 +269,7 @@
     @hypothesis.given(strategies.text("0123456789,-.einfa ", max_size=30))
     def check(text: str) -> None:
         read = speech.read_load(text)
-        assert read is None or (read.running >= 0 and read.pace > 0)
+        assert read is None or (read.running >= 0 and read.slowdown > 0)
 
     check()
 
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -84,21 +84,21 @@
     @SETTINGS
     @hypothesis.given(strategies.lists(small, min_size=1, max_size=20), small)
     def check(slots: list[int], entries: int) -> None:
-        stakes = [
-            ownership.Stake(ids.UpstreamId(f"u{n}"), ZONES[n % 3], float(s))
+        offers = [
+            ownership.SlotOffer(ids.UpstreamId(f"u{n}"), ZONES[n % 3], float(s))
             for n, s in enumerate(slots)
         ]
         members = [
             ownership.Member(ZONES[n % 3], ids.HostId(f"e{n}")) for n in range(entries)
         ]
-        sums = dict.fromkeys((s.upstream for s in stakes), 0.0)
+        sums = dict.fromkeys((s.upstream for s in offers), 0.0)
         for me in members:
-            own = ownership.owned(stakes, members, me)
+            own = ownership.owned(offers, members, me)
             assert abs(sum(own.values()) - sum(slots) / entries) < 1e-6
             for upstream, share in own.items():
                 sums[upstream] += share
-        for stake in stakes:
-            assert abs(sums[stake.upstream] - stake.slots) < 1e-6
+        for offer in offers:
+            assert abs(sums[offer.upstream] - offer.slots) < 1e-6
 
     check()
 
@@ -378,8 +378,8 @@
         grants.append(offered)
     assert isinstance(offered, balancer.Waiting)
     # The upstream turns slow: what waits can no longer be answered in time.
-    made.pool.usual_s.value = 0.6
-    made.pool.usual_by_operation["read"].value = 0.6
+    made.pool.typical_s.value = 0.6
+    made.pool.typical_by_operation["read"].value = 0.6
     later = ids.later(NOW, 0.1)
     (settled,) = made.give_up(later)
     assert isinstance(settled.verdict, outcomes.Refusal)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -50,7 +50,7 @@
     """
     Leave to send a call to one upstream now.
 
-    ``pace`` is how many times as long as usual work was believed to take
+    ``slowdown`` is how many times as long as usual work was believed to take
     there when it was granted, ``filled`` how many requests it was believed to
     have then, this one included.
     """
@@ -59,7 +59,7 @@
     upstream: upstreams.Upstream
     kind: Kind
     sent_at: ids.Instant
-    pace: float = 1.0
+    slowdown: float = 1.0
     filled: float = 1.0
 
 
@@ -162,17 +162,17 @@
     ) -> list[Settlement]:
         """Note the end of a grant and hand the freed slot on."""
         upstream = grant.upstream
-        usual = self.pool.usual_of(grant.call.operation)
+        usual = self.pool.typical_latency_s(grant.call.operation)
         if report is not None:
             if result is upstreams.Result.ANSWERED:
                 self._note_crowding(grant, report, (now - grant.sent_at) / usual)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
-        pace = (grant.pace + upstream.pace(now)) / 2
-        upstream.ended(grant.call.id, result, usual * pace, now)
+        slowdown = (grant.slowdown + upstream.slowdown(now)) / 2
+        upstream.ended(grant.call.id, result, usual * slowdown, now)
         if result is upstreams.Result.ANSWERED:
-            times = (now - grant.sent_at) / (usual * pace)
-            self.pool.slowness.add(min(upstreams.MOST_SLOWNESS, times))
+            times = (now - grant.sent_at) / (usual * slowdown)
+            self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, times))
         self.pool.under_way -= 1
         took = now - grant.sent_at
         self.pool.note(upstream, grant.call.operation, result, took, now)
@@ -185,7 +185,7 @@
             grant.upstream.slots,
             grant.filled,
             report.running + report.queued + 1,
-            max(grant.pace, report.pace),
+            max(grant.slowdown, report.slowdown),
             times,
         )
 
@@ -221,13 +221,13 @@
             for ahead, call in enumerate(self.queue)
             if now >= call.wait_until
             or call.deadline - now
-            < self.expected_wait(ahead) + self.pool.usual_of(call.operation)
+            < self.expected_wait(ahead) + self.pool.typical_latency_s(call.operation)
         ]
-        come_back = self._come_back(now)
+        retry_at = self._retry_at(now)
         for call in hopeless:
             self.queue.remove(call.id)
             self.pool.refusing.add(1.0)
-        refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, come_back)
+        refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
         return [Settlement(call, refusal) for call in hopeless]
 
     def withdraw(self, call_id: ids.CallId) -> None:
@@ -260,8 +260,8 @@
 
     def next_check(self, grant: Grant, now: ids.Instant) -> ids.Instant:
         """Return when to look again whether the answer is overdue."""
-        usual = self.pool.usual_of(grant.call.operation)
-        if grant.upstream.pace_told:
+        usual = self.pool.typical_latency_s(grant.call.operation)
+        if grant.upstream.reports_slowdown:
             usual *= CHECK_SHARE
         return ids.later(now, max(0.001, usual))
 
@@ -288,7 +288,7 @@
 
     def expected_wait(self, ahead: int) -> float:
         """Estimate the wait behind ``ahead`` calls, in seconds."""
-        return ahead * self.pool.usual_s.value / max(1.0, self.pool.owned_total)
+        return ahead * self.pool.typical_s.value / max(1.0, self.pool.owned_total)
 
     def _place(
         self, call: waiting.Call, now: ids.Instant
@@ -299,22 +299,23 @@
             if grant is not None:
                 return grant
         wait_s = self.expected_wait(ahead)
-        if call.deadline - now < wait_s + self.pool.usual_of(call.operation):
+        if call.deadline - now < wait_s + self.pool.typical_latency_s(call.operation):
             return outcomes.not_run(
-                outcomes.Reason.DEADLINE_HOPELESS, self._come_back(now)
+                outcomes.Reason.DEADLINE_HOPELESS, self._retry_at(now)
             )
         return self._enqueue(call, now)
 
     def _overdue(self, grant: Grant, now: ids.Instant) -> bool:
         upstream = grant.upstream
         age = now - grant.sent_at
-        if age > self.pool.slow_of(grant.call.operation):
+        if age > self.pool.p95_latency_s(grant.call.operation):
             return True
-        usual = self.pool.usual_of(grant.call.operation)
-        if upstream.pace(now) > upstreams.SLOWED_PACE and age > SLOWED_SHARE * usual:
+        usual = self.pool.typical_latency_s(grant.call.operation)
+        slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
+        if slowed and age > SLOWED_SHARE * usual:
             return True
-        pace = upstream.outstanding / self.pool.usual_s.value
-        return upstream.silent_s(now) * pace > SILENCE_EXPONENT
+        answers_per_s = upstream.outstanding / self.pool.typical_s.value
+        return upstream.silent_s(now) * answers_per_s > SILENCE_EXPONENT
 
     def _eject_if_frozen(self, grant: Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
@@ -337,10 +338,10 @@
         if choice is None:
             return None
         upstream = choice.upstream
-        filled = self.pool.believed(upstream, now) + 1
+        filled = self.pool.estimated_load(upstream, now) + 1
         self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
-        paces = upstream.pace(now)
+        slowdown = upstream.slowdown(now)
         self.pool.under_way += 1
         self.decisions.append(
             Decision(
@@ -352,7 +353,7 @@
                 choice.candidates,
             )
         )
-        return Grant(call, upstream, kind, now, paces, filled)
+        return Grant(call, upstream, kind, now, slowdown, filled)
 
     def _enqueue(
         self, call: waiting.Call, now: ids.Instant
@@ -361,7 +362,7 @@
             self.queue.push(call)
             return Waiting(call)
         victim = self.queue.lowest()
-        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, self._come_back(now))
+        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, self._retry_at(now))
         if victim is None or victim.rank <= call.rank:
             return refusal
         self.queue.remove(victim.id)
@@ -375,6 +376,6 @@
             self.queue.remove(call.id)
         return [Settlement(call, refusal) for call in waiting_calls]
 
-    def _come_back(self, now: ids.Instant) -> ids.Instant:
+    def _retry_at(self, now: ids.Instant) -> ids.Instant:
         wait = self.expected_wait(len(self.queue) + 1)
         return ids.later(now, max(LEAST_RETRY_S, wait))
--- a/spindlenotch/decisions/selection_paced.py
+++ b/spindlenotch/decisions/selection_paced.py
@@ -18,8 +18,8 @@
 ROOM_MARGIN = 0.25
 #: Above this share of its slots in use an upstream works slower; at all of
 #: them, by this much.
-KNEE = 0.7
-KNEE_EXTRA = 0.7
+NEARLY_FULL = 0.7
+FULL_EXTRA = 0.7
 #: How many times as long work takes in an upstream that has just started.
 COLD_FACTOR = 2.0
 #: An answer that is overdue says more than those that came: beyond this many
@@ -27,7 +27,7 @@
 SILENT_USUAL = 3.0
 SILENT_COST = 0.3
 #: Least and most that the ratio of observed to expected times counts.
-LEAST_SLOWNESS = 0.7
+MIN_LATENCY_RATIO = 0.7
 #: With so many answers its own slowness counts as much as that of all.
 ANSWERS_TRUSTED = 10.0
 #: Costs this close to the least, as a share, are taken for equal.
@@ -58,12 +58,12 @@
             options = selection.eligible(pool, now, exclude)
         if now < call.wait_until:
             options = worth_waiting_for(options, now)
-        usual_s = pool.usual_of(call.operation)
+        typical_s = pool.typical_latency_s(call.operation)
         cost_by_id: dict[ids.UpstreamId, float] = {}
         for upstream in options:
-            running = pool.believed(upstream, now)
+            running = pool.estimated_load(upstream, now)
             if has_room(upstream, running, pool.crowding):
-                cost = expected_s(pool, call, upstream, running, usual_s, now)
+                cost = expected_s(pool, call, upstream, running, typical_s, now)
                 cost_by_id[upstream.spec.id] = cost
         if not cost_by_id:
             return None
@@ -73,7 +73,7 @@
         candidate = selection.Candidate(
             chosen.spec.id,
             cost_by_id[chosen.spec.id],
-            pool.believed(chosen, now),
+            pool.estimated_load(chosen, now),
             now - chosen.report_at,
             0.0,
         )
@@ -89,7 +89,7 @@
     options: list[upstreams.Upstream], now: ids.Instant
 ) -> list[upstreams.Upstream]:
     """Return those that are not slowed, or all where all are."""
-    sound = [one for one in options if one.pace(now) <= upstreams.SLOWED_PACE]
+    sound = [one for one in options if one.slowdown(now) <= upstreams.SLOWED_FACTOR]
     return sound or options
 
 
@@ -100,7 +100,7 @@
     return running + 1 <= crowded.usable(upstream.slots) + ROOM_MARGIN
 
 
-def believed_slowness(pool: pools.Pool, upstream: upstreams.Upstream) -> float:
+def estimated_latency_ratio(pool: pools.Pool, upstream: upstreams.Upstream) -> float:
     """
     Return how slow it is, judged by few answers as all are together.
 
@@ -108,8 +108,8 @@
     for the mere reason that nothing is known of it.
     """
     trust = upstream.answers / (upstream.answers + ANSWERS_TRUSTED)
-    usual = pool.slowness.value
-    return usual + trust * (upstream.slowness.value - usual)
+    usual = pool.latency_ratio.value
+    return usual + trust * (upstream.latency_ratio.value - usual)
 
 
 def expected_s(
@@ -117,26 +117,26 @@
     call: waiting.Call,
     upstream: upstreams.Upstream,
     running: float,
-    usual_s: float,
+    typical_s: float,
     now: ids.Instant,
 ) -> float:
     """
     Estimate how long the call would take there, in seconds.
 
-    ``usual_s`` is the usual time of its kind.
+    ``typical_s`` is the usual time of its kind.
     """
     slots = upstream.slots
-    work = usual_s * upstream.pace(now)
-    work *= max(LEAST_SLOWNESS, believed_slowness(pool, upstream))
+    work = typical_s * upstream.slowdown(now)
+    work *= max(MIN_LATENCY_RATIO, estimated_latency_ratio(pool, upstream))
     if now < upstream.spec.cold_until:
         work *= COLD_FACTOR
     full = min(1.0, (running + 1) / slots)
-    if full > KNEE:
-        work *= 1.0 + KNEE_EXTRA * (full - KNEE) / (1.0 - KNEE)
+    if full > NEARLY_FULL:
+        work *= 1.0 + FULL_EXTRA * (full - NEARLY_FULL) / (1.0 - NEARLY_FULL)
     ahead = max(0.0, running + 1 - slots)
     if upstream.sent_at_by_call:
-        silent = upstream.silent_s(now) * upstream.outstanding / pool.usual_s.value
+        silent = upstream.silent_s(now) * upstream.outstanding / pool.typical_s.value
         if silent > SILENT_USUAL:
             work *= 1.0 + SILENT_COST * (silent - SILENT_USUAL)
-    far = 0.0 if upstream.spec.zone == pool.me.zone else call.far_s
+    far = 0.0 if upstream.spec.zone == pool.me.zone else call.cross_zone_s
     return work * (1.0 + ahead / slots) + far
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -99,7 +99,7 @@
     found = service.pool
     return {
         "waiting": len(service.queue),
-        "usual_ms": round(found.usual_s.value * 1000, 3),
+        "usual_ms": round(found.typical_s.value * 1000, 3),
         "failing_share": round(found.failing.value, 4),
         "zone_plan": found.plan,
         "zone_factor": found.zone_factor,
@@ -122,10 +122,10 @@
         "why": upstream.state_reason,
         "owned_slots": round(upstream.owned_slots, 3),
         "outstanding": upstream.outstanding,
-        "believed_running": round(found.believed(upstream, now), 2),
+        "believed_running": round(found.estimated_load(upstream, now), 2),
         "belief_age_s": round(now - upstream.report_at, 4),
         "silent_s": round(upstream.silent_s(now), 4),
-        "slowness": round(upstream.slowness.value, 3),
+        "slowness": round(upstream.latency_ratio.value, 3),
         "cost": round(found.cost(upstream, now), 3),
     }
 
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -16,7 +16,7 @@
 from spindlenotch.kernel import outcomes, upstreams, waiting
 
 #: How often the queue is looked at while calls wait and no answer ends.
-POKE_S = 0.02
+QUEUE_CHECK_S = 0.02
 #: Taken off the deadline that is passed on, for the way back.
 WAY_BACK_S = 0.002
 FAILED_STATUS = 500
@@ -130,7 +130,7 @@
         ] = {}
         #: Called when an upstream is found to be leaving, to tell the peers.
         self.on_mark: abc.Callable[[], None] = _nothing
-        self._poker: asyncio.TimerHandle | None = None
+        self._queue_check: asyncio.TimerHandle | None = None
 
     async def dispatch(self, job: Job) -> Exchange | outcomes.Refusal:
         """Get a request its answer's head, or a final refusal."""
@@ -189,7 +189,7 @@
         future: asyncio.Future[balancer.Grant | outcomes.Refusal]
         future = loop.create_future()
         self.future_by_call[job.call.id] = future
-        self._poke_later()
+        self._schedule_queue_check()
         try:
             return await future
         except asyncio.CancelledError:
@@ -207,20 +207,20 @@
             if isinstance(verdict, balancer.Grant):
                 self.finish(job, verdict, upstreams.Result.CANCELLED, None)
 
-    def _poke_later(self) -> None:
-        if self._poker is None:
+    def _schedule_queue_check(self) -> None:
+        if self._queue_check is None:
             loop = asyncio.get_running_loop()
-            self._poker = loop.call_later(POKE_S, self._poke)
+            self._queue_check = loop.call_later(QUEUE_CHECK_S, self._check_queues)
 
-    def _poke(self) -> None:
-        self._poker = None
+    def _check_queues(self) -> None:
+        self._queue_check = None
         now = self.state.clock.now()
         for service in self.state.balancer_by_service.values():
             if len(service.queue):
                 self.settle(service.settle(now))
                 self.settle(service.give_up(now))
         if self.future_by_call:
-            self._poke_later()
+            self._schedule_queue_check()
 
 
 def own_labels(job: Job, grant: balancer.Grant, left_s: float) -> Labels:
@@ -300,7 +300,7 @@
             upstream=grant.upstream.spec.id,
             kind=kind,
             reason=reason,
-            pace=round(grant.pace, 2),
+            pace=round(grant.slowdown, 2),
             told_s_ago=round(grant.sent_at - grant.upstream.report_at, 3),
             extra_left=round(service.retries.balance, 1),
         )
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -40,8 +40,8 @@
 LEAST_RETRY_AFTER_S = 0.05
 #: Seconds that another zone counts: the way there and back, by size, and that
 #: what others send there is known less well.
-FAR_S = 0.008
-FAR_S_PER_BYTE = 2.5e-6
+CROSS_ZONE_S = 0.008
+CROSS_ZONE_S_PER_BYTE = 2.5e-6
 #: A resting connection is closed this long after the time that callers keep to.
 IDLE_MARGIN_S = 1.0
 BACKLOG = 1024
@@ -334,7 +334,7 @@
             now,
             most_tries=route.most_tries,
             wait_until=ids.later(now, wait_s),
-            far_s=FAR_S + FAR_S_PER_BYTE * size,
+            cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * size,
         )
         pairs = [(k, v) for k, v in request.headers.items()]
         kept = headers.end_to_end(pairs, self.dialect.replaced | {"content-length"})
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -138,7 +138,7 @@
         report = upstream.report
         news.append(
             workload.LoadNews(
-                upstream_id, report.running, report.queued, report.pace, age_s
+                upstream_id, report.running, report.queued, report.slowdown, age_s
             )
         )
 
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -38,7 +38,7 @@
             upstream=grant.upstream.spec.id,
             kind=grant.kind.value,
             status=exchange.answer.status,
-            pace=round(grant.pace, 2),
+            pace=round(grant.slowdown, 2),
             waited_s=round(grant.sent_at - job.call.arrived_at, 4),
             took_s=round(self._took_s(job), 4),
             version=self.state.version,
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -119,8 +119,8 @@
                         "state": upstream.state.value,
                         "reason": upstream.state_reason,
                         "outstanding": upstream.outstanding,
-                        "pace": round(upstream.pace(now), 2),
-                        "slowness": round(upstream.slowness.value, 2),
+                        "pace": round(upstream.slowdown(now), 2),
+                        "slowness": round(upstream.latency_ratio.value, 2),
                         "told_s_ago": round(now - upstream.report_at, 3),
                     }
                     for upstream in service.pool.upstream_by_id.values()
--- a/spindlenotch/kernel/crowding.py
+++ b/spindlenotch/kernel/crowding.py
@@ -12,7 +12,7 @@
 #: Above this share of its slots in use an upstream counts as nearly full.
 NEARLY_FULL = 0.75
 #: An upstream that says less than this works as usual.
-USUAL_PACE = 1.3
+UNSLOWED_FACTOR = 1.3
 #: Samples of each kind before anything is concluded, and so many are averaged.
 LEAST_SAMPLES = 40
 SAMPLES_AVERAGED = 300
@@ -40,16 +40,16 @@
         self.partly_samples = 0
 
     def add(
-        self, slots: int, before: float, after: float, pace: float, times: float
+        self, slots: int, before: float, after: float, slowdown: float, times: float
     ) -> None:
         """
         Take in one answer.
 
         ``before`` and ``after`` are the requests in the upstream, this one
-        included, as it was sent and answered; ``pace`` the slower of what was
+        included, as it was sent and answered; ``slowdown`` the slower of what was
         believed then; ``times`` how long it took, in usual times.
         """
-        if pace > USUAL_PACE or max(before, after) > slots + 0.5:
+        if slowdown > UNSLOWED_FACTOR or max(before, after) > slots + 0.5:
             return
         limit = NEARLY_FULL * slots
         times = min(MOST_TIMES, times)
--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stake:
+class SlotOffer:
     """An upstream and the slots it offers, already weighted by zone."""
 
     upstream: ids.UpstreamId
@@ -32,7 +32,7 @@
 
 
 def owned(
-    stakes: abc.Iterable[Stake], members: abc.Iterable[Member], me: Member
+    offers: abc.Iterable[SlotOffer], members: abc.Iterable[Member], me: Member
 ) -> dict[ids.UpstreamId, float]:
     """
     Return the slots that ``me`` owns, by upstream.
@@ -40,7 +40,7 @@
     Both lists are put in order of zone, so that where zones have entries and
     slots in equal proportion every entry owns slots of its own zone.
     """
-    ordered = sorted(stakes, key=lambda s: (s.zone, s.upstream))
+    ordered = sorted(offers, key=lambda s: (s.zone, s.upstream))
     everyone = sorted({*members, me})
     total = sum(s.slots for s in ordered)
     part = total / len(everyone)
@@ -48,9 +48,9 @@
     end = begin + part
     result: dict[ids.UpstreamId, float] = {}
     position = 0.0
-    for stake in ordered:
-        overlap = min(end, position + stake.slots) - max(begin, position)
+    for offer in ordered:
+        overlap = min(end, position + offer.slots) - max(begin, position)
         if overlap > 0:
-            result[stake.upstream] = overlap
-        position += stake.slots
+            result[offer.upstream] = overlap
+        position += offer.slots
     return result
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -51,7 +51,7 @@
     ``owned_total``; ``under_way`` counts the calls sent and not ended,
     ``waiting`` those in the queue; at most
     ``eject_share`` of the pool (at least one) is ejected at a time.
-    ``strangers`` is what other entries usually have in an upstream where this
+    ``mean_foreign_load`` is what other entries usually have in an upstream where this
     one owns no slots; ``refusing`` the share of calls refused for overload.
     """
 
@@ -72,7 +72,7 @@
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
         self.plan: dict[ids.ZoneName, float] = schedule.planned(service, 0.0)
-        self.strangers = latency.Mean(0.0, 0.02)
+        self.mean_foreign_load = latency.Mean(0.0, 0.02)
         self.refusing = latency.Mean(0.0, 0.01)
         self.under_way = 0
         self.waiting = 0
@@ -80,16 +80,16 @@
         self.owned_total = 0.0
         self.failing = latency.Mean(0.0, 0.05)
         #: The mean of all upstreams' slowness, by answers.
-        self.slowness = latency.Mean(1.0, 0.02)
+        self.latency_ratio = latency.Mean(1.0, 0.02)
         self.crowding = crowding.Crowding()
         usual = service.typical_ms / 1000
-        self.usual_by_operation = {
+        self.typical_by_operation = {
             o.name: latency.Mean(usual, 0.05) for o in service.operations
         }
-        self.slow_by_operation = {
+        self.p95_by_operation = {
             o.name: latency.QuantileTracker(0.95, usual * 3) for o in service.operations
         }
-        self.usual_s = latency.Mean(usual, 0.02)
+        self.typical_s = latency.Mean(usual, 0.02)
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the entries that are alive, this one included."""
@@ -172,11 +172,11 @@
             if zone in ready:
                 slots[zone] = slots.get(zone, 0.0) + upstream.slots
         self.zone_factor = schedule.effective(self.plan, slots)
-        self._cut_slots()
+        self._assign_slots()
 
-    def _cut_slots(self) -> None:
-        stakes = [
-            ownership.Stake(
+    def _assign_slots(self) -> None:
+        offers = [
+            ownership.SlotOffer(
                 u.spec.id,
                 u.spec.zone,
                 u.slots * self.zone_factor.get(u.spec.zone, 0.0),
@@ -184,7 +184,7 @@
             for u in self.usable_order
             if u.state is not upstreams.State.EJECTED
         ]
-        own = ownership.owned(stakes, self.members, self.me)
+        own = ownership.owned(offers, self.members, self.me)
         for upstream in self.upstream_by_id.values():
             upstream.owned_slots = own.get(upstream.spec.id, 0.0)
         self.owned = [u for u in self.usable_order if u.owned_slots > 0]
@@ -199,36 +199,36 @@
         for upstream_id in gone:
             del self.upstream_by_id[upstream_id]
 
-    def learn_operation(self, operation: str, usual_s: float) -> None:
+    def learn_operation(self, operation: str, typical_s: float) -> None:
         """Begin to follow an operation that the service did not have before."""
-        if operation not in self.usual_by_operation:
-            self.usual_by_operation[operation] = latency.Mean(usual_s, 0.05)
-            self.slow_by_operation[operation] = latency.QuantileTracker(
-                0.95, usual_s * 3
+        if operation not in self.typical_by_operation:
+            self.typical_by_operation[operation] = latency.Mean(typical_s, 0.05)
+            self.p95_by_operation[operation] = latency.QuantileTracker(
+                0.95, typical_s * 3
             )
 
-    def usual_of(self, operation: str) -> float:
+    def typical_latency_s(self, operation: str) -> float:
         """Return the usual time of one request of ``operation``, in seconds."""
-        mean = self.usual_by_operation.get(operation, self.usual_s)
+        mean = self.typical_by_operation.get(operation, self.typical_s)
         return mean.value
 
-    def slow_of(self, operation: str) -> float:
+    def p95_latency_s(self, operation: str) -> float:
         """Return the time that 95 in 100 requests of it stay under."""
-        tracker = self.slow_by_operation.get(operation)
-        return tracker.value if tracker else 3 * self.usual_s.value
+        tracker = self.p95_by_operation.get(operation)
+        return tracker.value if tracker else 3 * self.typical_s.value
 
-    def believed(self, upstream: upstreams.Upstream, now: ids.Instant) -> float:
+    def estimated_load(self, upstream: upstreams.Upstream, now: ids.Instant) -> float:
         """
         Estimate the requests in ``upstream``, those of others included.
 
         Of an upstream where this entry owns slots it has heard enough to know
         what others usually have there; of the rest only what is usual for all.
         """
-        fades = BELIEF_FADES_AFTER * self.usual_s.value
-        usual = self.strangers.value
+        fades = BELIEF_FADES_AFTER * self.typical_s.value
+        usual = self.mean_foreign_load.value
         if upstream.owned_slots > 0:
-            usual = upstream.foreign_use.value
-        return upstream.outstanding + upstream.others(now, fades, usual)
+            usual = upstream.foreign_load.value
+        return upstream.outstanding + upstream.foreign_load_now(now, fades, usual)
 
     def reported(
         self,
@@ -240,7 +240,7 @@
         upstream.reported(report, now)
         if upstream.owned_slots <= 0:
             total = report.running + report.queued
-            self.strangers.add(max(0, total - upstream.outstanding))
+            self.mean_foreign_load.add(max(0, total - upstream.outstanding))
 
     def cost(self, upstream: upstreams.Upstream, now: ids.Instant) -> float:
         """
@@ -249,23 +249,23 @@
         The unit is the usual request time: one is an idle, healthy upstream
         in this zone.
         """
-        return self.cost_of(upstream, self.believed(upstream, now), now)
+        return self.cost_of(upstream, self.estimated_load(upstream, now), now)
 
     def cost_of(
         self, upstream: upstreams.Upstream, running: float, now: ids.Instant
     ) -> float:
         """Estimate the same, with so many requests believed to be in it."""
         slots = upstream.slots
-        usual = self.usual_s.value
+        usual = self.typical_s.value
         full = min(1.0, running / slots) ** slots
         waiting = full + max(0.0, running + 1 - slots)
-        slowness = max(0.5, upstream.slowness.value)
+        latency_ratio = max(0.5, upstream.latency_ratio.value)
         if upstream.sent_at_by_call:
             # An answer that is overdue says more than those that came.
             silent = upstream.silent_s(now) * upstream.outstanding / usual
-            slowness += 0.3 * max(0.0, silent - 3)
+            latency_ratio += 0.3 * max(0.0, silent - 3)
         way = 0.0 if upstream.spec.zone == self.me.zone else 2 * ZONE_CROSSING_S
-        return float(slowness * (1 + waiting / slots) + way / usual)
+        return float(latency_ratio * (1 + waiting / slots) + way / usual)
 
     def note(
         self,
@@ -281,10 +281,10 @@
         bad = result not in (upstreams.Result.ANSWERED, upstreams.Result.SHED)
         self.failing.add(1.0 if bad else 0.0)
         if result is upstreams.Result.ANSWERED:
-            self.usual_s.add(took_s)
-            if operation in self.usual_by_operation:
-                self.usual_by_operation[operation].add(took_s)
-                self.slow_by_operation[operation].add(took_s)
+            self.typical_s.add(took_s)
+            if operation in self.typical_by_operation:
+                self.typical_by_operation[operation].add(took_s)
+                self.p95_by_operation[operation].add(took_s)
         if upstream.failures_in_row >= upstreams.EJECT_AFTER_FAILURES:
             self.eject(upstream, "failures in a row", now)
         elif bad and upstream.state is upstreams.State.PROBATION:
@@ -306,7 +306,7 @@
         self, upstream: upstreams.Upstream, operation: str, now: ids.Instant
     ) -> bool:
         """Tell whether its silence can only mean that it has stopped."""
-        limit = max(FROZEN_LEAST_S, FROZEN_FACTOR * self.slow_of(operation))
+        limit = max(FROZEN_LEAST_S, FROZEN_FACTOR * self.p95_latency_s(operation))
         return upstream.silent_s(now) > limit
 
     def tick(self, now: ids.Instant) -> None:
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -17,13 +17,13 @@
 EJECT_BASE_S = 1.0
 EJECT_MAX_S = 30.0
 #: Weight of the newest sample in the estimate of an upstream's slowness.
-SLOWNESS_WEIGHT = 0.08
+LATENCY_RATIO_WEIGHT = 0.08
 #: An upstream that works this many times slower than usual just now is slowed.
-SLOWED_PACE = 2.5
+SLOWED_FACTOR = 2.5
 #: One answer counts at most so many usual times.
-MOST_SLOWNESS = 20.0
+MAX_LATENCY_RATIO = 20.0
 #: What an upstream said of its pace fades over this time, in seconds.
-PACE_FADES_S = 0.5
+SLOWDOWN_DECAY_S = 0.5
 #: An upstream that has this many answers behind it is no longer cold.
 WARM_AFTER_ANSWERS = 20
 
@@ -52,12 +52,12 @@
     """
     What an upstream said of itself: requests running and queued.
 
-    ``pace`` says how many times as long as usual work takes there just now.
+    ``slowdown`` says how many times as long as usual work takes there just now.
     """
 
     running: int
     queued: int
-    pace: float = 1.0
+    slowdown: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
     Invariants: ``sent_at_by_call`` holds exactly the calls this entry has
     sent and not seen the end of, oldest first; ``LEAVING`` is left only by a
-    higher generation; ``slowness`` is the ratio of observed to usual time.
+    higher generation; ``latency_ratio`` is the ratio of observed to usual time.
     """
 
     def __init__(self, spec: UpstreamSpec, slots: int, now: ids.Instant) -> None:
@@ -95,17 +95,17 @@
         self.sent_at_by_call: dict[ids.CallId, ids.Instant] = {}
         self.report = LoadReport(0, 0)
         self.report_at = now
-        self.own_at_report = 0
-        self.slowness = latency.Mean(1.0, SLOWNESS_WEIGHT)
+        self.outstanding_at_report = 0
+        self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.failures_in_row = 0
         self.ejections_in_row = 0
         self.answers = 0
         self.answered_at = now
         self.busy_since = now
         self.owned_slots = 0.0
-        self.foreign_use = latency.Mean(0.0, 0.05)
-        self.pace_usual = latency.Mean(1.0, 0.03)
-        self.pace_told = False
+        self.foreign_load = latency.Mean(0.0, 0.05)
+        self.mean_slowdown = latency.Mean(1.0, 0.03)
+        self.reports_slowdown = False
         #: Told of each change of state; set by the pool.
         self.on_change: abc.Callable[[Upstream], None] = _nobody
 
@@ -121,9 +121,9 @@
         self.sent_at_by_call[call] = now
 
     def ended(
-        self, call: ids.CallId, result: Result, usual_s: float, now: ids.Instant
+        self, call: ids.CallId, result: Result, typical_s: float, now: ids.Instant
     ) -> None:
-        """Note the end of a call; ``usual_s`` is the usual time of its kind."""
+        """Note the end of a call; ``typical_s`` is the usual time of its kind."""
         sent_at = self.sent_at_by_call.pop(call, None)
         if sent_at is None or result is Result.CANCELLED:
             return
@@ -132,7 +132,7 @@
             self.answers += 1
             self.failures_in_row = 0
             self.ejections_in_row = 0
-            self.slowness.add(min(MOST_SLOWNESS, (now - sent_at) / usual_s))
+            self.latency_ratio.add(min(MAX_LATENCY_RATIO, (now - sent_at) / typical_s))
             if self.state is State.PROBATION:
                 self._become(State.ACTIVE, "answered on probation", ids.NEVER)
         elif result is not Result.SHED:
@@ -142,31 +142,33 @@
         """Take in a load report that came with an answer or a probe."""
         self.report = report
         self.report_at = now
-        self.own_at_report = self.outstanding
-        others = max(0, report.running + report.queued - self.own_at_report)
-        self.foreign_use.add(others)
-        self.pace_usual.add(report.pace)
-        self.pace_told |= report.pace != 1.0
+        self.outstanding_at_report = self.outstanding
+        foreign = max(0, report.running + report.queued - self.outstanding_at_report)
+        self.foreign_load.add(foreign)
+        self.mean_slowdown.add(report.slowdown)
+        self.reports_slowdown |= report.slowdown != 1.0
 
-    def pace(self, now: ids.Instant) -> float:
+    def slowdown(self, now: ids.Instant) -> float:
         """
         Estimate how many times as long as usual work takes there now.
 
         What it last said fades towards its mean as it ages.
         """
-        if not self.pace_told:
+        if not self.reports_slowdown:
             return 1.0
-        weight = latency.decay(now - self.report_at, PACE_FADES_S)
-        usual = self.pace_usual.value
-        return usual + (self.report.pace - usual) * weight
+        weight = latency.decay(now - self.report_at, SLOWDOWN_DECAY_S)
+        usual = self.mean_slowdown.value
+        return usual + (self.report.slowdown - usual) * weight
 
-    def others(self, now: ids.Instant, time_constant: float, usual: float) -> float:
+    def foreign_load_now(
+        self, now: ids.Instant, time_constant: float, usual: float
+    ) -> float:
         """
         Estimate how many requests of other entries are in it now.
 
         What it last said fades towards ``usual`` as it ages.
         """
-        said = self.report.running + self.report.queued - self.own_at_report
+        said = self.report.running + self.report.queued - self.outstanding_at_report
         weight = latency.decay(now - self.report_at, time_constant)
         return usual + (max(0, said) - usual) * weight
 
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -24,7 +24,7 @@
 
     ``most_tries`` bounds the upstreams it may be sent to. It is refused when
     it would wait beyond ``wait_until`` for a place in one. An upstream in
-    another zone counts ``far_s`` seconds more than one in this.
+    another zone counts ``cross_zone_s`` seconds more than one in this.
     """
 
     id: ids.CallId
@@ -35,7 +35,7 @@
     arrived_at: ids.Instant
     most_tries: int = 1_000
     wait_until: ids.Instant = ids.NEVER
-    far_s: float = 0.002
+    cross_zone_s: float = 0.002
 
 
 class WaitQueue:
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -103,7 +103,7 @@
     pool: pools.Pool, upstream: upstreams.Upstream, now: ids.Instant
 ) -> Candidate:
     """Return what is believed of ``upstream`` and what it would cost."""
-    running = pool.believed(upstream, now)
+    running = pool.estimated_load(upstream, now)
     return Candidate(
         upstream.spec.id,
         pool.cost_of(upstream, running, now),
