--- /dev/null
+++ b/features/steps/recorded_bytes.py
@@ -0,0 +1,92 @@
+"""Steps that hold the product to what was recorded."""
+
+import enum
+import typing
+
+import behave
+import msgspec
+
+from features.support import recorded, recorded_samples
+from spindlenotch import bundle_check
+
+SAMPLES = {
+    "peer messages": recorded_samples.peer_samples,
+    "signed bundles": recorded_samples.bundle_samples,
+    "records in the store": recorded_samples.store_samples,
+}
+
+
+@behave.then("everything recorded of {kind} is read and written to the byte")
+def same(context: typing.Any, kind: str) -> None:
+    found = [
+        f"{sample.file}: {line}"
+        for sample in SAMPLES[kind]()
+        for line in recorded.complaints(sample)
+    ]
+    assert not found, "\n".join(found)
+
+
+@behave.then("every recorded file belongs to a sample")
+def whole(context: typing.Any) -> None:
+    files = {path.name for path in recorded.FOLDER.iterdir()}
+    sampled = {sample.file for sample in recorded_samples.all_samples()}
+    assert files == sampled, files ^ sampled
+
+
+@behave.then("every field of every sample differs from its default")
+def told(context: typing.Any) -> None:
+    found = [
+        f"{sample.file}: {field} tells nothing"
+        for sample in recorded_samples.all_samples()
+        if not sample.bare
+        for field in recorded.untold_fields(sample.value)
+    ]
+    assert not found, "\n".join(found)
+
+
+@behave.then("every member of every enumeration is in some sample")
+def members(context: typing.Any) -> None:
+    found = {
+        item
+        for sample in recorded_samples.all_samples()
+        for item in recorded.walk(sample.value)
+        if isinstance(item, enum.Enum)
+    }
+    assert found
+    missing = {one for item in found for one in type(item)} - found
+    assert not missing, missing
+
+
+@behave.then("unknown fields in what was recorded are passed over")
+def strangers(context: typing.Any) -> None:
+    checked = 0
+    for sample in recorded_samples.all_samples():
+        if sample.strangers != "passed over":
+            continue
+        form = msgspec.json if sample.form == "json" else msgspec.msgpack
+        content = form.decode(recorded.load(sample))
+        grown = form.encode(recorded.with_strangers(content))
+        assert sample.read is not None
+        found = recorded.unlike(sample.value, sample.read(grown))
+        assert not found, (sample.file, found)
+        checked += 1
+    assert checked
+
+
+@behave.then("unknown fields in a bundle are refused")
+def refused(context: typing.Any) -> None:
+    text = recorded_samples.text_of("bundle.toml")
+    lines = text.splitlines()
+    places = ("", "measuring", "claims", "services.core", "services.core.operations[0]")
+    headers = ("format = 1", "[measuring]", "[claims]", "[services.core]")
+    for place, header in zip(
+        places, (*headers, "[[services.core.operations]]"), strict=True
+    ):
+        at = lines.index(header) + 1
+        grown = [*lines[:at], f"{recorded.STRANGER} = 1", *lines[at:]]
+        found = bundle_check.check("\n".join(grown), recorded_samples.POLICIES)
+        assert isinstance(found, list), (place, found)
+        path = f"{place}.{recorded.STRANGER}".lstrip(".")
+        assert [(one.path, one.found) for one in found] == [
+            (path, "'an unknown field'")
+        ], found
