--- a/features/recorded_bytes.feature
+++ b/features/recorded_bytes.feature
@@ -7,10 +7,13 @@
     Then everything recorded of <kind> is read and written to the byte
 
     Examples:
-      | kind                 |
-      | peer messages        |
-      | signed bundles       |
-      | records in the store |
+      | kind                      |
+      | peer messages             |
+      | signed bundles            |
+      | records in the store      |
+      | settings                  |
+      | answers and the host list |
+      | names                     |
 
   Scenario: The samples tell all there is to tell
     Then every recorded file belongs to a sample
@@ -20,3 +23,4 @@
   Scenario: Unknown fields are handled as they were
     Then unknown fields in what was recorded are passed over
     And unknown fields in a bundle are refused
+    And unknown names in a gateway's settings file are refused
--- a/features/steps/recorded_bytes.py
+++ b/features/steps/recorded_bytes.py
@@ -1,21 +1,32 @@
 """Steps that hold the product to what was recorded."""
 
 import enum
+import pathlib
+import tempfile
 import typing
 
 import behave
 import msgspec
 
-from features.support import recorded, recorded_samples
+from features.support import recorded, recorded_names, recorded_samples
 from spindlenotch import bundle_check
+from spindlenotch.gateway import settings
 
 SAMPLES = {
     "peer messages": recorded_samples.peer_samples,
     "signed bundles": recorded_samples.bundle_samples,
     "records in the store": recorded_samples.store_samples,
+    "settings": recorded_names.settings_samples,
+    "answers and the host list": recorded_names.answer_samples,
+    "names": recorded_names.name_samples,
 }
 
 
+def everything() -> list[recorded.Sample]:
+    """Return every sample."""
+    return [sample for make in SAMPLES.values() for sample in make()]
+
+
 @behave.then("everything recorded of {kind} is read and written to the byte")
 def same(context: typing.Any, kind: str) -> None:
     found = [
@@ -29,7 +40,7 @@
 @behave.then("every recorded file belongs to a sample")
 def whole(context: typing.Any) -> None:
     files = {path.name for path in recorded.FOLDER.iterdir()}
-    sampled = {sample.file for sample in recorded_samples.all_samples()}
+    sampled = {sample.file for sample in everything()}
     assert files == sampled, files ^ sampled
 
 
@@ -37,7 +48,7 @@
 def told(context: typing.Any) -> None:
     found = [
         f"{sample.file}: {field} tells nothing"
-        for sample in recorded_samples.all_samples()
+        for sample in everything()
         if not sample.bare
         for field in recorded.untold_fields(sample.value)
     ]
@@ -48,7 +59,7 @@
 def members(context: typing.Any) -> None:
     found = {
         item
-        for sample in recorded_samples.all_samples()
+        for sample in everything()
         for item in recorded.walk(sample.value)
         if isinstance(item, enum.Enum)
     }
@@ -60,7 +71,7 @@
 @behave.then("unknown fields in what was recorded are passed over")
 def strangers(context: typing.Any) -> None:
     checked = 0
-    for sample in recorded_samples.all_samples():
+    for sample in everything():
         if sample.strangers != "passed over":
             continue
         form = msgspec.json if sample.form == "json" else msgspec.msgpack
@@ -90,3 +101,15 @@
         assert [(one.path, one.found) for one in found] == [
             (path, "'an unknown field'")
         ], found
+
+
+@behave.then("unknown names in a gateway's settings file are refused")
+def refused_setting(context: typing.Any) -> None:
+    text = (recorded.FOLDER / "gateway-settings.toml").read_text()
+    with tempfile.TemporaryDirectory() as folder:
+        path = pathlib.Path(folder) / "settings.toml"
+        path.write_text(f"{text}{recorded.STRANGER} = 1\n")
+        found = settings.read_file(str(path))
+    assert isinstance(found, list), found
+    assert [one.found for one in found] == ["an unknown name"], found
+    assert recorded.STRANGER in found[0].flag, found
