--- a/features/steps/recorded_bytes.py
+++ b/features/steps/recorded_bytes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from features.support import recorded, recorded_names, recorded_samples
-from spindlenotch import bundle_check
+from spindlenotch.bundles import bundle_check
 from spindlenotch.gateway import settings
 
 SAMPLES = {
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -19,33 +19,13 @@
 import prometheus_client
 
 from features.support import recorded, recorded_samples, virtual_fleet
-from spindlenotch import (
-    api,
-    balancer,
-    bundle_seal,
-    claims,
-    clock,
-    data_path,
-    documents,
-    events,
-    explain,
-    gossip,
-    headers,
-    hostlist,
-    ids,
-    metrics,
-    outcomes,
-    peer_seal,
-    plugins,
-    ports,
-    publishing,
-    readiness,
-    selection,
-    settings,
-    upstream_http,
-    upstreams,
-    waiting,
-)
+from spindlenotch import api, clock, events, headers, ids, metrics, ports, selection
+from spindlenotch.bundles import bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.decisions import balancer
+from spindlenotch.drivers import upstream_http
+from spindlenotch.entry import claims, explain, plugins, readiness, settings
+from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect,
     log_sink,
@@ -56,6 +36,8 @@
     sources,
     state as states,
 )
+from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
+from spindlenotch.peers import documents, gossip, peer_seal
 from spindlenotch_platform import boot, speech
 
 #: Numbers on the wire whose names are in log lines and in the state.
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -14,28 +14,11 @@
 import msgspec
 
 from features.support import recorded
-from spindlenotch import (
-    bundle,
-    bundle_check,
-    bundle_seal,
-    claims,
-    clock,
-    documents,
-    entry_state,
-    gossip,
-    ids,
-    metrics,
-    once,
-    peer_codec,
-    peer_codec_msgpack,
-    peer_link,
-    peer_seal,
-    plugins,
-    publishing,
-    settings,
-    store_http,
-    workload,
-)
+from spindlenotch import clock, ids, metrics
+from spindlenotch.bundles import bundle, bundle_check, bundle_seal
+from spindlenotch.cli import publishing
+from spindlenotch.drivers import store_http
+from spindlenotch.entry import claims, entry_state, once, plugins, settings
 from spindlenotch.gateway import (
     fleet as fleets,
     introducer,
@@ -45,6 +28,15 @@
     sources,
     state as states,
 )
+from spindlenotch.peers import (
+    documents,
+    gossip,
+    peer_codec,
+    peer_codec_msgpack,
+    peer_link,
+    peer_seal,
+    workload,
+)
 from spindlenotch_platform import documents as platform_documents, store
 
 Sample = recorded.Sample
