--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -117,7 +117,7 @@
             operator_listen=ids.Address("127.0.0.1:0"),
             store=store_url,
             host_list=hosts_url,
-            peers=tuple(e.state.gossip.me.peer_address for e in self.entries),
+            peers=tuple(e.state.gossip.local.peer_address for e in self.entries),
             peer_keys=(PEER_KEY,),
             trusted_keys=frozenset({self.public}),
             once_capacity=10_000,
@@ -151,11 +151,11 @@
 
     def versions(self) -> list[int]:
         """Return the version in force on each entry."""
-        return [e.state.gossip.me.bundle_version for e in self.entries]
+        return [e.state.gossip.local.configuration_version for e in self.entries]
 
     async def send(self, kind: Traffic, until: float) -> None:
         """Send one kind of traffic until the time is up."""
-        seeds = [e.state.gossip.me.address for e in self.entries]
+        seeds = [e.state.gossip.local.address for e in self.entries]
         lib = client.Client(seeds, kind.caller, kind.key, rng=self.rng)
         self.clients.append(lib)
         tasks: set[asyncio.Task[None]] = set()
--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -10,9 +10,9 @@
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
 
-def news(number: int) -> gossip.MemberNews:
+def news(number: int) -> gossip.MemberRecord:
     """Return a member's news."""
-    return gossip.MemberNews(
+    return gossip.MemberRecord(
         ids.HostId(f"e{number}"),
         ids.ZoneName("z1"),
         ids.Incarnation("a" * 16),
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -37,9 +37,9 @@
     )
 
 
-def news(number: int) -> gossip.MemberNews:
+def news(number: int) -> gossip.MemberRecord:
     """Return a member's news."""
-    return gossip.MemberNews(
+    return gossip.MemberRecord(
         ids.HostId(f"g{number}"),
         ZONE,
         ids.Incarnation("a" * 16),
@@ -173,8 +173,8 @@
         one = upstreams.Upstream(spec, 1, NOW)
         asking = 0
         for host in hosts[ZONE]:
-            me = ownership.Member(ZONE, host)
-            state = types.SimpleNamespace(me=me)
+            local_member = ownership.Member(ZONE, host)
+            state = types.SimpleNamespace(local_member=local_member)
             made = prober.Prober(
                 typing.cast(typing.Any, state),
                 typing.cast(typing.Any, None),
@@ -186,7 +186,7 @@
 
 def message() -> gossip.Message:
     """Return a message with something in every field."""
-    load = workload.LoadNews(ids.UpstreamId("u"), 1, 2, 1.5, 0.25)
+    load = workload.LoadRecord(ids.UpstreamId("u"), 1, 2, 1.5, 0.25)
     return gossip.Message(
         news(0),
         1,
--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -1,7 +1,8 @@
 """Properties of who reads the source, and of what gateways pass on."""
 
 import asyncio
-import dataclasses
+
+import msgspec
 
 from features.steps import kernel
 from spindlenotch import clock, ids
@@ -33,13 +34,13 @@
 
 def peer(state: states.GatewayState, name: str, status: gossip.Status) -> None:
     """Let the gateway hear of a peer of its zone."""
-    news = dataclasses.replace(
-        state.gossip.me,
+    news = msgspec.structs.replace(
+        state.gossip.local,
         host=ids.HostId(name),
         peer_address=ids.Address(SEED),
         status=status,
     )
-    state.gossip.take(gossip.Message(news, 1), state.clock.now())
+    state.gossip.handle(gossip.Message(news, 1), state.clock.now())
 
 
 @kernel.PROPERTIES.register("one that starts gives a peer time to spare it the reading")
@@ -65,7 +66,7 @@
     chosen = passing._reading_host()
     assert chosen in readers
     if chosen != state.config.host:
-        passing.heard_reader_at = state.clock.now()
+        passing.reader_heard_at = state.clock.now()
         assert not passing.must_read()
     peer(state, "ready", gossip.Status.READY)
     state.clock.advance(relay.CHOSEN_S + 0.01)
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -59,8 +59,8 @@
 
 def loaded(seed: int, count: int, policy: str = "owned") -> balancer.Balancer:
     """Return a balancer with ``count`` upstreams that are warm."""
-    me = ownership.Member(ZONES[0], ids.HostId("e0"))
-    made = balancer.Balancer(service(policy), me, random.Random(seed), NOW)
+    local_member = ownership.Member(ZONES[0], ids.HostId("e0"))
+    made = balancer.Balancer(service(policy), local_member, random.Random(seed), NOW)
     specs = [
         upstreams.UpstreamSpec(
             ids.UpstreamId(f"u{n}"), ZONES[n % 3], ids.Address(""), 1
@@ -92,8 +92,8 @@
             ownership.Member(ZONES[n % 3], ids.HostId(f"e{n}")) for n in range(entries)
         ]
         sums = dict.fromkeys((s.upstream for s in offers), 0.0)
-        for me in members:
-            own = ownership.owned(offers, members, me)
+        for local_member in members:
+            own = ownership.owned(offers, members, local_member)
             assert abs(sum(own.values()) - sum(slots) / entries) < 1e-6
             for upstream, share in own.items():
                 sums[upstream] += share
--- a/features/support/machine.py
+++ b/features/support/machine.py
@@ -386,7 +386,7 @@
         return any(
             mark.upstream == name and mark.generation == record["generation"]
             for entry in self.fleet.living()
-            for mark in entry.state.gossip.repeats_by_mark
+            for mark in entry.state.gossip.repeats_by_drain_notice
         )
 
     def _check_outcome(
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -313,7 +313,7 @@
     state.on_change = lambda revision, *, swept=False: None
     state.apply_snapshot(snapshot)
     news = recorded_samples.member(2, gossip.Status.READY)
-    state.gossip.take(gossip.Message(news, 1), state.clock.now())
+    state.gossip.handle(gossip.Message(news, 1), state.clock.now())
     return state, passing
 
 
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -52,9 +52,9 @@
 OTHER = ids.Address("127.0.0.2:9001")
 
 
-def member(number: int, status: gossip.Status) -> gossip.MemberNews:
+def member(number: int, status: gossip.Status) -> gossip.MemberRecord:
     """Return the news of one member."""
-    return gossip.MemberNews(
+    return gossip.MemberRecord(
         host=ids.HostId(f"host-{number}"),
         zone=ids.ZoneName(f"zone-{number}"),
         incarnation=ids.Incarnation(f"{number:016x}"),
@@ -63,7 +63,7 @@
         epoch=1_700_000_000_000 + number,
         heartbeat=40 + number,
         status=status,
-        bundle_version=70 + number,
+        configuration_version=70 + number,
         capacity=workload.Work(requests_per_s=1500.5 + number, bytes_per_s=2.5e8),
         demand=workload.Work(requests_per_s=300.25, bytes_per_s=4.5e6 + number),
     )
@@ -75,23 +75,25 @@
         sender=member(1, gossip.Status.READY),
         sequence=4711,
         documents=(
-            gossip.DocumentNews(documents.DocumentKind.BUNDLE, 12, ids.Digest("ab12")),
-            gossip.DocumentNews(
+            gossip.DocumentVersion(
+                documents.DocumentKind.BUNDLE, 12, ids.Digest("ab12")
+            ),
+            gossip.DocumentVersion(
                 kind=documents.DocumentKind.HOSTS,
                 version=25_600,
                 digest=ids.Digest("cd34"),
             ),
         ),
         members=(member(2, gossip.Status.STARTING), member(3, gossip.Status.LEAVING)),
-        marks=(
-            gossip.Mark(
+        drain_notices=(
+            gossip.DrainNotice(
                 service=ids.ServiceName("core"),
                 upstream=ids.UpstreamId("up-7"),
                 generation=3,
             ),
         ),
         wants_reply=True,
-        hungry=True,
+        wants_members=True,
         suspicions=(
             gossip.Suspicion(
                 host=ids.HostId("host-9"), epoch=1_700_000_000_009, heartbeat=49
@@ -99,11 +101,11 @@
         ),
         reads_source=True,
         loads=(
-            workload.LoadNews(
+            workload.LoadRecord(
                 upstream=ids.UpstreamId("up-1"),
                 running=4,
                 queued=2,
-                pace=2.5,
+                slowdown=2.5,
                 age_s=0.25,
             ),
         ),
@@ -112,7 +114,7 @@
 
 def bare_message() -> gossip.Message:
     """Return what a message with the required fields alone is read as."""
-    sender = gossip.MemberNews(
+    sender = gossip.MemberRecord(
         host=ids.HostId("h"),
         zone=ids.ZoneName("z"),
         incarnation=ids.Incarnation("i"),
@@ -121,7 +123,7 @@
         epoch=1,
         heartbeat=2,
         status=gossip.Status.READY,
-        bundle_version=3,
+        configuration_version=3,
         capacity=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
         demand=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
     )
@@ -130,9 +132,9 @@
         sequence=5,
         documents=(),
         members=(),
-        marks=(),
+        drain_notices=(),
         wants_reply=False,
-        hungry=False,
+        wants_members=False,
         suspicions=(),
         reads_source=False,
         loads=(),
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -82,14 +82,14 @@
             typing.cast(typing.Any, make_link),
         )
         self.path = data_path.DataPath(self.state, port)
-        self.path.on_mark = self.control.spread_mark
+        self.path.on_drain_notice = self.control.spread_drain_notice
         self.claims = claims.Claims(self.state, self.store)
         self.once_path = once_path.OncePath(self.state, self.path, self.claims)
         self.front = front.Front(
             self.state, self.path, self.once_path, self.control.paused
         )
         self.measuring = measuring.Measuring(
-            self.state, self.store, port, self.control.spread_mark
+            self.state, self.store, port, self.control.spread_drain_notice
         )
         everything.upstreams.forward_by_address[self.address] = self._forwarded
         everything.upstreams.loop_by_address[self.address] = self.loop
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -108,12 +108,12 @@
     def __init__(
         self,
         service: bundle.Service,
-        me: ownership.Member,
+        local_member: ownership.Member,
         rng: random.Random,
         now: ids.Instant,
     ) -> None:
         self.service = service
-        self.pool = pools.Pool(service, me, rng, now)
+        self.pool = pools.Pool(service, local_member, rng, now)
         self.policy = selection.POLICIES.get(service.policy)()
         self.queue = waiting.WaitQueue(service.queue_limit)
         self.hedges: budgets.ExtraBudget = budgets.ShareBudget(service.hedge_share)
--- a/spindlenotch/decisions/selection_paced.py
+++ b/spindlenotch/decisions/selection_paced.py
@@ -138,5 +138,5 @@
         silent = upstream.silent_s(now) * upstream.outstanding / pool.typical_s.value
         if silent > SILENT_USUAL:
             work *= 1.0 + SILENT_COST * (silent - SILENT_USUAL)
-    far = 0.0 if upstream.spec.zone == pool.me.zone else call.cross_zone_s
+    far = 0.0 if upstream.spec.zone == pool.local_member.zone else call.cross_zone_s
     return work * (1.0 + ahead / slots) + far
--- a/spindlenotch/entry/caller_port.py
+++ b/spindlenotch/entry/caller_port.py
@@ -102,12 +102,12 @@
         """Name ready entries, those of this zone first, at random otherwise."""
         state = self.state
         ready = [
-            api.NamedEntry(k.news.address, k.news.zone)
+            api.NamedEntry(k.record.address, k.record.zone)
             for k in state.gossip.known_by_host.values()
-            if k.news.status is gossip.Status.READY and not k.suspected
+            if k.record.status is gossip.Status.READY and not k.suspected
         ]
         if state.readiness.handed_out or not ready:
-            ready.append(api.NamedEntry(state.gossip.me.address, state.config.zone))
+            ready.append(api.NamedEntry(state.gossip.local.address, state.config.zone))
         state.rng.shuffle(ready)
         ready.sort(key=lambda e: e.zone != state.config.zone)
         return tuple(ready[:MAX_ENTRIES_NAMED])
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -97,7 +97,7 @@
         self.state.readiness.leave()
         self.state.publish_status()
         everyone = [
-            known.news.peer_address
+            known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
         ]
         self.link.tell(self.state.gossip.compose(), everyone)
@@ -140,7 +140,7 @@
         seeds = list(self.state.config.peers)
         if self.state.hosts is not None:
             listed = hostlist.entries(self.state.hosts)
-            self.state.gossip.listed = len(listed)
+            self.state.gossip.expected_members = len(listed)
             seeds += [ids.Address(h.peer_address) for h in listed if h.peer_address]
         targets = self.state.gossip.targets(seeds, self.state.clock.now())
         self.link.tell(self.state.gossip.compose(wants_reply=True), targets)
@@ -152,21 +152,21 @@
 
     def _on_gossip(self, message: gossip.Message) -> None:
         state = self.state
-        taken = state.gossip.take(message, state.clock.now())
-        if taken.reply is not None:
-            self.link.tell(taken.reply, [message.sender.peer_address])
-        if taken.members_changed:
+        handled = state.gossip.handle(message, state.clock.now())
+        if handled.reply is not None:
+            self.link.tell(handled.reply, [message.sender.peer_address])
+        if handled.members_changed:
             events.emit(events.Event.PEER_SEEN, host=message.sender.host)
             state.members_changed()
-        for mark in taken.marks:
-            state.apply_mark(mark, "told by a peer")
-        if taken.marks:
+        for notice in handled.drain_notices:
+            state.apply_drain_notice(notice, "told by a peer")
+        if handled.drain_notices:
             self._tell()
-        for news in taken.newer:
+        for news in handled.newer:
             if news.kind not in self._pulling:
                 self._spawn(self._pull(message.sender.peer_address, news.kind))
 
-    def spread_mark(self) -> None:
+    def spread_drain_notice(self) -> None:
         """Pass on a fresh mark at once."""
         self._tell()
 
@@ -307,11 +307,11 @@
         return heard
 
     def _peer_addresses(self) -> list[ids.Address]:
-        own = self.state.gossip.me.peer_address
+        own = self.state.gossip.local.peer_address
         found = set(self.state.config.peers)
         for known in self.state.gossip.known_by_host.values():
-            if known.news.zone == self.state.config.zone or not found:
-                found.add(known.news.peer_address)
+            if known.record.zone == self.state.config.zone or not found:
+                found.add(known.record.peer_address)
         if self.state.hosts is not None:
             for host in hostlist.entries(self.state.hosts):
                 if host.zone == self.state.config.zone and host.peer_address:
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -50,7 +50,7 @@
         self.upstream_port = upstream_port
         self.control = control.Control(state, store, host_list)
         self.path = data_path.DataPath(state, upstream_port)
-        self.path.on_mark = self.control.spread_mark
+        self.path.on_drain_notice = self.control.spread_drain_notice
         self.once_path = once_path.OncePath(
             state, self.path, claims.Claims(state, store)
         )
@@ -58,7 +58,7 @@
         self.callers = caller_port.CallerPort(state, self.front)
         self.operators = operator_port.OperatorPort(state)
         self.measuring = measuring.Measuring(
-            state, store, upstream_port, self.control.spread_mark
+            state, store, upstream_port, self.control.spread_drain_notice
         )
         self.operator_address = ids.Address("")
 
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -10,6 +10,8 @@
 import random
 import secrets
 
+import msgspec
+
 from spindlenotch import clock, events, ids, metrics, selection
 from spindlenotch.bundles import bundle, bundle_seal
 from spindlenotch.decisions import balancer
@@ -53,8 +55,8 @@
         self.opened: bundle_seal.Opened | None = None
         self.hosts: hostlist.HostTable | None = None
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
-        self.me = ownership.Member(config.zone, config.host)
-        self.gossip = gossip.Gossip(self._news(), self.rng)
+        self.local_member = ownership.Member(config.zone, config.host)
+        self.gossip = gossip.Gossip(self._own_record(), self.rng)
         self.once = once.OnceTable(config.once_capacity)
         self.mint = once.Mint(config.host, self.incarnation, secrets.token_bytes(32))
         self.metrics = metrics.Metrics()
@@ -80,17 +82,17 @@
             return self._offer_bundle(document, authoritative)
         return self._offer_hosts(document)
 
-    def mark_leaving(self, mark: gossip.Mark, reason: str) -> bool:
+    def add_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> bool:
         """Give an upstream no new work; tell whether that was news."""
-        fresh = self.gossip.mark(mark)
-        self.apply_mark(mark, reason)
+        fresh = self.gossip.add_drain_notice(notice)
+        self.apply_drain_notice(notice, reason)
         return fresh
 
-    def apply_mark(self, mark: gossip.Mark, reason: str) -> None:
+    def apply_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> None:
         """Let the service's pool heed a mark that gossip already holds."""
-        service = self.balancer_by_service.get(mark.service)
+        service = self.balancer_by_service.get(notice.service)
         if service is not None:
-            service.pool.leave(mark.upstream, mark.generation, reason)
+            service.pool.leave(notice.upstream, notice.generation, reason)
 
     def tick(self, now: ids.Instant) -> None:
         """Let ejections end and log what changed; a few times a second."""
@@ -114,7 +116,7 @@
         """Return where an entry serves callers, by its peers' word or the list."""
         known = self.gossip.known_by_host.get(host)
         if known is not None:
-            return known.news.address
+            return known.record.address
         listed = hostlist.entries(self.hosts) if self.hosts else []
         for record in listed:
             if record.id == host:
@@ -138,7 +140,7 @@
         elif self.readiness.phase is readiness.Phase.LEAVING:
             status = gossip.Status.LEAVING
         version = self.fence.version(documents.DocumentKind.BUNDLE)
-        self.gossip.become(status, version)
+        self.gossip.set_status(status, version)
 
     def _offer_bundle(
         self, document: documents.Document, authoritative: bool
@@ -173,12 +175,12 @@
             existing = self.balancer_by_service.get(name)
             if existing is None:
                 rng = random.Random(self.rng.getrandbits(64))
-                existing = balancer.Balancer(service, self.me, rng, now)
+                existing = balancer.Balancer(service, self.local_member, rng, now)
                 self.balancer_by_service[name] = existing
             existing.update_service(service)
         version = opened.bundle.version
         self.metrics.bundle_version.set(version)
-        self.gossip.have(_news_of(document_of(opened)))
+        self.gossip.advertise(_records_of(document_of(opened)))
         self.publish_status()
         self._fill_pools()
         events.emit(events.Event.BUNDLE_APPLIED, version=version)
@@ -190,7 +192,7 @@
             return verdict
         self.fence.offer(document)
         self.hosts = table
-        self.gossip.have(_news_of(document))
+        self.gossip.advertise(_records_of(document))
         self._fill_pools()
         events.emit(events.Event.HOSTS_APPLIED, revision=document.version)
         return verdict
@@ -203,24 +205,24 @@
             service.pool.set_listed(hostlist.upstream_specs(self.hosts, name), now)
         self.members_changed()
         self.follow_day()
-        self._reapply_marks()
+        self._reapply_drain_notices()
 
-    def _reapply_marks(self) -> None:
+    def _reapply_drain_notices(self) -> None:
         """Apply all marks to the new list; drop those it has superseded."""
         assert self.hosts is not None
         generation_by_id = {host.id: host.generation for host in self.hosts.hosts}
         stale = []
-        for mark in self.gossip.repeats_by_mark:
-            if generation_by_id.get(mark.upstream, mark.generation + 1) > (
-                mark.generation
+        for notice in self.gossip.repeats_by_drain_notice:
+            if generation_by_id.get(notice.upstream, notice.generation + 1) > (
+                notice.generation
             ):
-                stale.append(mark)
+                stale.append(notice)
                 continue
-            self.apply_mark(mark, "marked earlier")
-        self.gossip.forget_marks(stale)
+            self.apply_drain_notice(notice, "marked earlier")
+        self.gossip.forget_drain_notices(stale)
 
-    def _news(self) -> gossip.MemberNews:
-        return gossip.MemberNews(
+    def _own_record(self) -> gossip.MemberRecord:
+        return gossip.MemberRecord(
             host=self.config.host,
             zone=self.config.zone,
             incarnation=self.incarnation,
@@ -229,20 +231,22 @@
             epoch=int(self.clock.unix_s() * 1000),
             heartbeat=1,
             status=gossip.Status.STARTING,
-            bundle_version=0,
+            configuration_version=0,
         )
 
     def set_addresses(self, listen: ids.Address, peer_listen: ids.Address) -> None:
         """Note the real addresses where a setting asked for any free port."""
-        self.gossip.me = dataclasses.replace(
-            self.gossip.me, address=listen, peer_address=peer_listen
+        self.gossip.local = msgspec.structs.replace(
+            self.gossip.local, address=listen, peer_address=peer_listen
         )
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
         """Mark an upstream that says itself that it is leaving."""
-        return self.mark_leaving(gossip.Mark(service, spec.id, spec.generation), reason)
+        return self.add_drain_notice(
+            gossip.DrainNotice(service, spec.id, spec.generation), reason
+        )
 
 
 def document_of(opened: bundle_seal.Opened) -> documents.Document:
@@ -255,5 +259,5 @@
     )
 
 
-def _news_of(document: documents.Document) -> gossip.DocumentNews:
-    return gossip.DocumentNews(document.kind, document.version, document.digest)
+def _records_of(document: documents.Document) -> gossip.DocumentVersion:
+    return gossip.DocumentVersion(document.kind, document.version, document.digest)
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -31,7 +31,7 @@
         "bundle": _bundle(state),
         "hosts_revision": state.hosts.revision if state.hosts else 0,
         "peers": [_peer(k, now) for k in state.gossip.known_by_host.values()],
-        "marks": [_plain(m) for m in state.gossip.repeats_by_mark],
+        "marks": [_plain(m) for m in state.gossip.repeats_by_drain_notice],
         "once": {
             "remembered": len(state.once.record_by_key),
             "capacity": state.once.capacity,
@@ -84,14 +84,14 @@
     }
 
 
-def _peer(known: gossip.Known, now: ids.Instant) -> Dump:
+def _peer(known: gossip.Peer, now: ids.Instant) -> Dump:
     return {
-        "host": known.news.host,
-        "zone": known.news.zone,
-        "address": known.news.address,
-        "status": known.news.status.name.lower(),
-        "bundle_version": known.news.bundle_version,
-        "heard_s_ago": round(now - known.heard_at, 3),
+        "host": known.record.host,
+        "zone": known.record.zone,
+        "address": known.record.address,
+        "status": known.record.status.name.lower(),
+        "bundle_version": known.record.configuration_version,
+        "heard_s_ago": round(now - known.last_heard_at, 3),
     }
 
 
--- a/spindlenotch/entry/measuring.py
+++ b/spindlenotch/entry/measuring.py
@@ -68,12 +68,12 @@
         state: entry_state.EntryState,
         store: ports.Store,
         port: ports.UpstreamPort,
-        spread_mark: abc.Callable[[], None],
+        spread_drain_notice: abc.Callable[[], None],
     ) -> None:
         self.state = state
         self.store = store
         self.port = port
-        self.spread_mark = spread_mark
+        self.spread_drain_notice = spread_drain_notice
         self.right_by_service: dict[ids.ServiceName, Right] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -199,7 +199,7 @@
             return
         if report is ports.UpstreamFault.DRAINING:
             self.state.leave_upstream(service, upstream.spec, "probe: draining")
-            self.spread_mark()
+            self.spread_drain_notice()
             return
         upstream.failures_in_row += 1
         found = self.state.balancer_by_service.get(service)
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -129,7 +129,7 @@
             ids.CallId, asyncio.Future[balancer.Grant | outcomes.Refusal]
         ] = {}
         #: Called when an upstream is found to be leaving, to tell the peers.
-        self.on_mark: abc.Callable[[], None] = _nothing
+        self.on_drain_notice: abc.Callable[[], None] = _nothing
         self._queue_check: asyncio.TimerHandle | None = None
 
     async def dispatch(self, job: Job) -> Exchange | outcomes.Refusal:
@@ -405,7 +405,7 @@
             if self.path.state.leave_upstream(
                 service, grant.upstream.spec, "said it is draining"
             ):
-                self.path.on_mark()
+                self.path.on_drain_notice()
 
     def _foreign(self, grant: balancer.Grant) -> None:
         service = self.job.service.service.name
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -36,7 +36,7 @@
         self.state = state
         self._entries_key: tuple[int, states.Phase, int] | None = None
         self._entry_zones: dict[ids.HostId, ids.ZoneName] = {}
-        self.on_message: abc.Callable[[gossip.Message, gossip.Taken], None] = _ignore
+        self.on_message: abc.Callable[[gossip.Message, gossip.Handled], None] = _ignore
         self.on_loads: abc.Callable[[gossip.Message], None] = _no_loads
         self.on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document] = (
             _nothing_held
@@ -67,7 +67,7 @@
             self.link.tell(state.gossip.compose(wants_reply=True), targets)
             for news in state.gossip.sweep(state.clock.now()):
                 events.emit(events.Event.PEER_GONE, host=news.host)
-            period = state.gossip.tempo.period_s
+            period = state.gossip.timing.period_s
             await asyncio.sleep(period * state.rng.uniform(0.9, 1.1))
 
     async def _greet(self) -> None:
@@ -87,18 +87,18 @@
     def announce(self) -> None:
         """Tell every known peer at once what changed here."""
         everyone = [
-            known.news.peer_address
+            known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
         ]
         self.link.tell(self.state.gossip.compose(), everyone)
 
     def members(self) -> list[ownership.Member]:
         """Return the gateways that are believed to serve, this one included."""
-        return [ownership.Member(one.zone, one.host) for one in self._usable_news()]
+        return [ownership.Member(one.zone, one.host) for one in self._ready_records()]
 
     def entries(self) -> dict[ids.HostId, ids.Address]:
         """Return the gateways that callers are sent to."""
-        address_by_host = {one.host: one.address for one in self._usable_news()}
+        address_by_host = {one.host: one.address for one in self._ready_records()}
         return {
             host: address_by_host[host]
             for host in self.entry_zones()
@@ -116,7 +116,7 @@
         return self._entry_zones
 
     def _choose_entries(self) -> dict[ids.HostId, ids.ZoneName]:
-        news = self._usable_news()
+        news = self._ready_records()
         candidates = [
             entry_choice.Candidate(one.host, one.zone, one.capacity) for one in news
         ]
@@ -136,7 +136,7 @@
         since a fleet that starts is not ready before somebody has read.
         """
         starting: dict[ids.ZoneName, list[ids.HostId]] = {}
-        for one in self._news_of(gossip.Status.STARTING):
+        for one in self._records_of(gossip.Status.STARTING):
             starting.setdefault(one.zone, []).append(one.host)
         return {**starting, **self.standing_by()}
 
@@ -157,35 +157,41 @@
     def _introduced_strangers(self, asked: list[ids.Address]) -> list[ids.Address]:
         """Return the peers that the source names and nobody else has yet."""
         gossip_state = self.state.gossip
-        met = {k.news.peer_address for k in gossip_state.known_by_host.values()}
-        met.update(asked, [gossip_state.me.peer_address])
+        met = {k.record.peer_address for k in gossip_state.known_by_host.values()}
+        met.update(asked, [gossip_state.local.peer_address])
         introductions = self.state.introduction_by_zone.values()
         return [
             one.peer_address for one in introductions if one.peer_address not in met
         ]
 
-    def _usable_news(self) -> list[gossip.MemberNews]:
+    def _ready_records(self) -> list[gossip.MemberRecord]:
         """Return the news of the gateways that are believed to serve."""
-        return self._news_of(gossip.Status.READY)
+        return self._records_of(gossip.Status.READY)
 
-    def _news_of(self, status: gossip.Status) -> list[gossip.MemberNews]:
+    def _records_of(self, status: gossip.Status) -> list[gossip.MemberRecord]:
         """Return the news of the gateways that are believed to be in ``status``."""
         state = self.state
         found = [
-            known.news
+            known.record
             for known in state.gossip.known_by_host.values()
-            if known.news.status is status and not known.missed and not known.suspected
+            if known.record.status is status
+            and not known.missed
+            and not known.suspected
         ]
-        return [*found, state.gossip.me] if state.gossip.me.status is status else found
+        return (
+            [*found, state.gossip.local]
+            if state.gossip.local.status is status
+            else found
+        )
 
     def _on_gossip(self, message: gossip.Message) -> None:
-        taken = self.state.gossip.take(message, self.state.clock.now())
-        if taken.reply is not None:
-            self.link.tell(taken.reply, [message.sender.peer_address])
-        self.on_message(message, taken)
+        handled = self.state.gossip.handle(message, self.state.clock.now())
+        if handled.reply is not None:
+            self.link.tell(handled.reply, [message.sender.peer_address])
+        self.on_message(message, handled)
         if message.loads:
             self.on_loads(message)
-        if taken.members_changed:
+        if handled.members_changed:
             events.emit(
                 events.Event.PEER_SEEN,
                 host=message.sender.host,
@@ -193,7 +199,7 @@
             )
 
 
-def _ignore(message: gossip.Message, taken: gossip.Taken) -> None:
+def _ignore(message: gossip.Message, handled: gossip.Handled) -> None:
     """Stand in for a listener that is not set."""
 
 
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -60,7 +60,7 @@
         """Pass on what was heard to the other entries until cancelled."""
         while True:
             zone_by_host = self.fleet.entry_zones()
-            if self._task_by_id or self.state.me.host in zone_by_host:
+            if self._task_by_id or self.state.local_member.host in zone_by_host:
                 self._tell(zone_by_host)
                 await asyncio.sleep(TELL_S)
             else:
@@ -77,14 +77,14 @@
                     said_at = ids.Instant(now - load.age_s)
                     if said_at > upstream.report_at:
                         report = upstreams.LoadReport(
-                            load.running, load.queued, load.pace
+                            load.running, load.queued, load.slowdown
                         )
                         service.pool.reported(upstream, report, said_at)
 
     def _tell(self, zone_by_host: dict[ids.HostId, ids.ZoneName]) -> None:
         now = self.state.clock.now()
         targets = self._audience(zone_by_host)
-        news: list[workload.LoadNews] = []
+        news: list[workload.LoadRecord] = []
         for service in self.state.balancer_by_service.values():
             for upstream in service.pool.usable_order:
                 if self._speaks_for(upstream, zone_by_host):
@@ -92,7 +92,7 @@
         for start in range(0, len(news), gossip.LOADS_PER_MESSAGE):
             loads = tuple(news[start : start + gossip.LOADS_PER_MESSAGE])
             message = gossip.Message(
-                self.state.gossip.me,
+                self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
                 loads=loads,
@@ -103,12 +103,13 @@
         self, zone_by_host: dict[ids.HostId, ids.ZoneName]
     ) -> list[ids.Address]:
         """Return whom to tell: entries tell entries, others those of their zone."""
-        me = self.state.me
+        local_member = self.state.local_member
         known = self.state.gossip.known_by_host
         return [
-            known[host].news.peer_address
+            known[host].record.peer_address
             for host, zone in zone_by_host.items()
-            if host in known and (me.host in zone_by_host or zone == me.zone)
+            if host in known
+            and (local_member.host in zone_by_host or zone == local_member.zone)
         ]
 
     def _speaks_for(
@@ -119,12 +120,15 @@
         """Tell whether news of an upstream is passed on from here."""
         if upstream.spec.id in self._task_by_id:
             return True
-        me = self.state.me
-        return me.host in zone_by_host and upstream.spec.zone == me.zone
+        local_member = self.state.local_member
+        return (
+            local_member.host in zone_by_host
+            and upstream.spec.zone == local_member.zone
+        )
 
     def _add_news(
         self,
-        news: list[workload.LoadNews],
+        news: list[workload.LoadRecord],
         upstream: upstreams.Upstream,
         now: ids.Instant,
     ) -> None:
@@ -137,7 +141,7 @@
         self._told_by_id[upstream_id] = upstream.report_at
         report = upstream.report
         news.append(
-            workload.LoadNews(
+            workload.LoadRecord(
                 upstream_id, report.running, report.queued, report.slowdown, age_s
             )
         )
@@ -184,11 +188,15 @@
         hosts = probers.get(upstream.spec.zone)
         if hosts is None:
             hosts = sorted(h for some in probers.values() for h in some)
-        if self.state.me.host not in hosts:
+        if self.state.local_member.host not in hosts:
             return False
-        members = [ownership.Member(self.state.me.zone, host) for host in hosts]
-        chosen = rendezvous.chosen(members, self.state.me.zone, upstream.spec.id, 1)
-        return chosen == [self.state.me.host]
+        members = [
+            ownership.Member(self.state.local_member.zone, host) for host in hosts
+        ]
+        chosen = rendezvous.chosen(
+            members, self.state.local_member.zone, upstream.spec.id, 1
+        )
+        return chosen == [self.state.local_member.host]
 
     async def _probe(
         self,
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -50,7 +50,7 @@
         self.state = state
         self.fleet = fleet
         self.fence = documents.Fence()
-        self.heard_reader_at = ids.Instant(float("-inf"))
+        self.reader_heard_at = ids.Instant(float("-inf"))
         self.started_at = state.clock.now()
         self._chosen: ids.HostId | None = None
         self._chosen_until = ids.Instant(float("-inf"))
@@ -67,7 +67,7 @@
         reader = self._reader()
         if reader is None:
             return True
-        return self.state.clock.now() - self.heard_reader_at > READER_LOST_S
+        return self.state.clock.now() - self.reader_heard_at > READER_LOST_S
 
     def _awaits_first_peer(self) -> bool:
         """Tell whether a peer may yet spare this one's first reading."""
@@ -109,13 +109,13 @@
             version = self.fence.version(kind) + 1
         self._offer_own(kind, version, state.listing.listed(state.clock.now()))
 
-    def _reader(self) -> gossip.MemberNews | None:
+    def _reader(self) -> gossip.MemberRecord | None:
         """Return the reader of this zone, or None where it is this gateway."""
         host = self._reading_host()
         if host is None or host == self.state.config.host:
             return None
         known = self.state.gossip.known_by_host.get(host)
-        return None if known is None else known.news
+        return None if known is None else known.record
 
     def _reading_host(self) -> ids.HostId | None:
         """Return who should read for this zone; one that stands by, if any."""
@@ -141,8 +141,8 @@
     def _offer(self, document: documents.Document) -> None:
         if self.fence.offer(document) is not documents.Offer.APPLIED:
             return
-        self.state.gossip.have(
-            gossip.DocumentNews(document.kind, document.version, document.digest)
+        self.state.gossip.advertise(
+            gossip.DocumentVersion(document.kind, document.version, document.digest)
         )
         self._spawn(self._spread())
 
@@ -164,18 +164,18 @@
 
     def _zone_addresses(self) -> list[ids.Address]:
         return [
-            known.news.peer_address
+            known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
-            if known.news.zone == self.state.config.zone
+            if known.record.zone == self.state.config.zone
         ]
 
-    def _on_message(self, message: gossip.Message, taken: gossip.Taken) -> None:
+    def _on_message(self, message: gossip.Message, handled: gossip.Handled) -> None:
         sender = message.sender
         if message.reads_source and sender.zone == self.state.config.zone:
             reader = self._reader()
             if reader is not None and sender.host == reader.host:
-                self.heard_reader_at = self.state.clock.now()
-        for news in taken.newer:
+                self.reader_heard_at = self.state.clock.now()
+        for news in handled.newer:
             if news.kind not in self._pulling:
                 self._spawn(self._pull(sender.peer_address, news.kind))
 
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -103,8 +103,8 @@
         "entries": sorted(fleet.entries()),
         "peers": {
             host: {
-                "status": known.news.status.name,
-                "heard_s_ago": round(now - known.heard_at, 3),
+                "status": known.record.status.name,
+                "heard_s_ago": round(now - known.last_heard_at, 3),
                 "missed": known.missed,
             }
             for host, known in state.gossip.known_by_host.items()
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -39,7 +39,7 @@
 
 
 #: Callers fail over by themselves within a second; the fleet is a bit slower.
-TEMPO = gossip.Tempo(period_s=0.4, reply_s=0.25, suspect_s=1.0)
+GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
 
 class Phase(enum.Enum):
@@ -75,8 +75,8 @@
         self.turns = routing.WeightedTurns()
         self.listing = listing.Listing()
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
-        self.me = ownership.Member(config.zone, config.host)
-        self.gossip = gossip.Gossip(self._news(), self.rng, TEMPO)
+        self.local_member = ownership.Member(config.zone, config.host)
+        self.gossip = gossip.Gossip(self._own_record(), self.rng, GOSSIP_TIMING)
         self.demand = demands.DemandMeter()
         self.listed_once = False
         #: Told the revision of the source after a change was taken from it.
@@ -132,7 +132,7 @@
     def apply_snapshot(self, snapshot: sources.Snapshot) -> None:
         """Take in everything the source holds."""
         self._report_bad(snapshot.bad)
-        self._meet(snapshot.introductions)
+        self._add_member(snapshot.introductions)
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
         self.listing.replace(snapshot.upstream_by_id.values(), self.clock.now())
@@ -148,7 +148,7 @@
     def apply_changes(self, changes: sources.Changes) -> bool:
         """Take in what has changed in the source; tell whether anything had."""
         self._report_bad(changes.bad)
-        self._meet(changes.introductions)
+        self._add_member(changes.introductions)
         now = self.clock.now()
         if changes.configuration is not None:
             self.apply_configuration(changes.configuration)
@@ -181,7 +181,7 @@
         for service in self.balancer_by_service.values():
             service.pool.tick(now)
         if self.demand.news(now):
-            self.gossip.ask_of_me(self.demand.told)
+            self.gossip.set_demand(self.demand.told)
         self._report_changes()
 
     def take_settings(self, config: settings.GatewaySettings) -> None:
@@ -211,9 +211,9 @@
             Phase.SERVING: gossip.Status.READY,
             Phase.LEAVING: gossip.Status.LEAVING,
         }[self.phase]
-        self.gossip.become(status, self.version)
+        self.gossip.set_status(status, self.version)
 
-    def _meet(self, introductions: abc.Iterable[sources.Introduction]) -> None:
+    def _add_member(self, introductions: abc.Iterable[sources.Introduction]) -> None:
         for introduction in introductions:
             self.introduction_by_zone[introduction.zone] = introduction
 
@@ -259,7 +259,7 @@
     def _new_balancer(self, name: ids.ServiceName) -> balancer.Balancer:
         now = self.clock.now()
         service = _service(name, (self.config.zone,))
-        made = balancer.Balancer(service, self.me, self.rng, now)
+        made = balancer.Balancer(service, self.local_member, self.rng, now)
         config = self.config
         made.retries = made.hedges = budgets.SlidingShareBudget(
             EXTRA_MARGIN * config.extra_share,
@@ -268,8 +268,8 @@
         )
         return made
 
-    def _news(self) -> gossip.MemberNews:
-        return gossip.MemberNews(
+    def _own_record(self) -> gossip.MemberRecord:
+        return gossip.MemberRecord(
             self.config.host,
             self.config.zone,
             ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -32,19 +32,19 @@
 
 
 def owned(
-    offers: abc.Iterable[SlotOffer], members: abc.Iterable[Member], me: Member
+    offers: abc.Iterable[SlotOffer], members: abc.Iterable[Member], local_member: Member
 ) -> dict[ids.UpstreamId, float]:
     """
-    Return the slots that ``me`` owns, by upstream.
+    Return the slots that ``local_member`` owns, by upstream.
 
     Both lists are put in order of zone, so that where zones have entries and
     slots in equal proportion every entry owns slots of its own zone.
     """
     ordered = sorted(offers, key=lambda s: (s.zone, s.upstream))
-    everyone = sorted({*members, me})
+    everyone = sorted({*members, local_member})
     total = sum(s.slots for s in ordered)
     part = total / len(everyone)
-    begin = part * everyone.index(me)
+    begin = part * everyone.index(local_member)
     end = begin + part
     result: dict[ids.UpstreamId, float] = {}
     position = 0.0
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -58,14 +58,14 @@
     def __init__(
         self,
         service: bundle.Service,
-        me: ownership.Member,
+        local_member: ownership.Member,
         rng: random.Random,
         now: ids.Instant,
     ) -> None:
         self.service = service
-        self.me = me
+        self.local_member = local_member
         self.rng = rng
-        self.members: tuple[ownership.Member, ...] = (me,)
+        self.members: tuple[ownership.Member, ...] = (local_member,)
         self.upstream_by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
         self.usable_order: list[upstreams.Upstream] = []
         self.owned: list[upstreams.Upstream] = []
@@ -93,7 +93,7 @@
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the entries that are alive, this one included."""
-        ordered = tuple(sorted({*members, self.me}))
+        ordered = tuple(sorted({*members, self.local_member}))
         if ordered != self.members:
             self.members = ordered
             self.refresh()
@@ -184,7 +184,7 @@
             for u in self.usable_order
             if u.state is not upstreams.State.EJECTED
         ]
-        own = ownership.owned(offers, self.members, self.me)
+        own = ownership.owned(offers, self.members, self.local_member)
         for upstream in self.upstream_by_id.values():
             upstream.owned_slots = own.get(upstream.spec.id, 0.0)
         self.owned = [u for u in self.usable_order if u.owned_slots > 0]
@@ -264,7 +264,9 @@
             # An answer that is overdue says more than those that came.
             silent = upstream.silent_s(now) * upstream.outstanding / usual
             latency_ratio += 0.3 * max(0.0, silent - 3)
-        way = 0.0 if upstream.spec.zone == self.me.zone else 2 * ZONE_CROSSING_S
+        way = (
+            0.0 if upstream.spec.zone == self.local_member.zone else 2 * ZONE_CROSSING_S
+        )
         return float(latency_ratio * (1 + waiting / slots) + way / usual)
 
     def note(
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -2,7 +2,7 @@
 What entries tell each other: who is alive, which documents are in force,
 which upstreams are leaving.
 
-A pure state machine: ``compose`` builds the next message, ``take`` takes one
+A pure state machine: ``compose`` builds the next message, ``handle`` takes one
 in and returns what it changes. Each entry asks a few others a period, in
 turn, and expects an answer; one that does not answer is suspected, the
 suspicion travels, and unless its bearer refutes it with a newer heartbeat it
@@ -17,6 +17,8 @@
 import random
 from collections import abc
 
+import msgspec
+
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
 from spindlenotch.peers import documents, workload
@@ -29,8 +31,8 @@
 STOOD_STILL_PERIODS = 3
 MEMBERS_PER_MESSAGE = 4
 #: An entry that knows less than the host list names is told more at a time.
-MEMBERS_FOR_HUNGRY = 10
-MARKS_PER_MESSAGE = 12
+MEMBERS_WHEN_WANTED = 10
+DRAIN_NOTICES_PER_MESSAGE = 12
 SUSPICIONS_PER_MESSAGE = 4
 #: So many replies missed in a row raise a suspicion.
 MISSED_BEFORE_SUSPECT = 2
@@ -41,16 +43,16 @@
 #: News goes first in so many messages for each doubling of the fleet.
 REPEATS_PER_DOUBLING = 1
 #: A mark goes first in this many messages, then takes its turn with others.
-MARK_REPEATS = 12
-MAX_MARKS = 4096
+DRAIN_NOTICE_REPEATS = 12
+MAX_DRAIN_NOTICES = 4096
 MAX_MEMBERS = 4096
-MAX_BURIED = 4096
+MAX_TOMBSTONES = 4096
 DIGEST_DIGITS = 16
 LOADS_PER_MESSAGE = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tempo:
+class Timing:
     """
     How fast a fleet finds out who is gone, in seconds.
 
@@ -71,12 +73,15 @@
     LEAVING = 2
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class MemberNews:
+class MemberRecord(
+    msgspec.Struct, frozen=True, rename={"configuration_version": "bundle_version"}
+):
     """
-    What is said of one entry. Higher (epoch, heartbeat) is newer.
+    What a member says of itself. Higher (epoch, heartbeat) is newer.
 
-    ``capacity`` is what its host can carry, ``demand`` what callers ask of it.
+    ``configuration_version`` is the one in force there: of the bundle in an entry,
+    of the routes in a gateway; both call it ``bundle_version`` on the wire.
+    ``capacity`` is what the host can carry, ``demand`` what callers ask of it.
     """
 
     host: ids.HostId
@@ -87,13 +92,13 @@
     epoch: int
     heartbeat: int
     status: Status
-    bundle_version: int
+    configuration_version: int
     capacity: workload.Work = workload.NO_WORK
     demand: workload.Work = workload.NO_WORK
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mark:
+class DrainNotice:
     """An upstream of this generation is leaving and gets no new work."""
 
     service: ids.ServiceName
@@ -102,7 +107,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DocumentNews:
+class DocumentVersion:
     """Which version of a document the sender has in force."""
 
     kind: documents.DocumentKind
@@ -119,40 +124,44 @@
     heartbeat: int
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class Message:
+class Message(
+    msgspec.Struct,
+    frozen=True,
+    rename={"drain_notices": "marks", "wants_members": "hungry"},
+):
     """
-    One datagram between entries.
+    One datagram between members.
 
-    ``wants_reply`` asks for one back; ``hungry`` says that the sender knows
-    too few members; ``reads_source`` that it hears what is accepted from the
-    store itself.
+    ``wants_reply`` asks for one back; ``wants_members`` says that the sender
+    knows fewer members than the host list names; ``reads_source`` that it reads
+    the source itself. On the wire ``drain_notices`` is called ``drain_notices`` and
+    ``wants_members`` ``hungry``.
     """
 
-    sender: MemberNews
+    sender: MemberRecord
     sequence: int
-    documents: tuple[DocumentNews, ...] = ()
-    members: tuple[MemberNews, ...] = ()
-    marks: tuple[Mark, ...] = ()
+    documents: tuple[DocumentVersion, ...] = ()
+    members: tuple[MemberRecord, ...] = ()
+    drain_notices: tuple[DrainNotice, ...] = ()
     wants_reply: bool = False
-    hungry: bool = False
+    wants_members: bool = False
     suspicions: tuple[Suspicion, ...] = ()
     reads_source: bool = False
-    loads: tuple[workload.LoadNews, ...] = ()
+    loads: tuple[workload.LoadRecord, ...] = ()
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
+class Peer:
     """
     A member as known here.
 
-    ``heard_at`` is when it was last heard of, ``suspect_until`` when an
+    ``last_heard_at`` is when it was last heard of, ``suspect_until`` when an
     unrefuted suspicion drops it, or ``ids.NEVER``; ``missed`` counts the
     replies it owes in a row.
     """
 
-    news: MemberNews
-    heard_at: ids.Instant
+    record: MemberRecord
+    last_heard_at: ids.Instant
     suspect_until: ids.Instant = ids.NEVER
     missed: int = 0
 
@@ -163,12 +172,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class Handled:
     """What a message changed."""
 
     members_changed: bool
-    newer: tuple[DocumentNews, ...]
-    marks: tuple[Mark, ...]
+    newer: tuple[DocumentVersion, ...]
+    drain_notices: tuple[DrainNotice, ...]
     reply: Message | None
 
 
@@ -179,64 +188,64 @@
     Invariants: news of a member never replaces newer news; the own entry is
     never in ``known_by_host``; a dropped member comes back only by newer news
     or by its own word; a mark, once known, stays until its generation is
-    superseded (``forget_marks``).
+    superseded (``forget_drain_notices``).
     """
 
     def __init__(
-        self, me: MemberNews, rng: random.Random, tempo: Tempo | None = None
+        self, local: MemberRecord, rng: random.Random, timing: Timing | None = None
     ) -> None:
-        self.me = me
+        self.local = local
         self.rng = rng
-        self.tempo = tempo or Tempo()
+        self.timing = timing or Timing()
         self.sequence = 0
-        self.listed = 0
+        self.expected_members = 0
         self.reads_source = False
         self.swept_at = ids.NEVER
-        self.known_by_host: dict[ids.HostId, Known] = {}
-        self.due_by_host: dict[ids.HostId, ids.Instant] = {}
-        self.turn: list[ids.HostId] = []
+        self.known_by_host: dict[ids.HostId, Peer] = {}
+        self.reply_due_by_host: dict[ids.HostId, ids.Instant] = {}
+        self.probe_order: list[ids.HostId] = []
         self.repeats_by_host: dict[ids.HostId, int] = {}
-        self.buried_by_host: collections.OrderedDict[ids.HostId, tuple[int, int]] = (
+        self.tombstone_by_host: collections.OrderedDict[ids.HostId, tuple[int, int]] = (
             collections.OrderedDict()
         )
-        self.repeats_by_mark: collections.OrderedDict[Mark, int] = (
+        self.repeats_by_drain_notice: collections.OrderedDict[DrainNotice, int] = (
             collections.OrderedDict()
         )
-        self.news_by_kind: dict[documents.DocumentKind, DocumentNews] = {}
+        self.version_by_kind: dict[documents.DocumentKind, DocumentVersion] = {}
 
-    def become(self, status: Status, bundle_version: int) -> None:
+    def set_status(self, status: Status, version: int) -> None:
         """Change what is said of this entry."""
-        self.me = dataclasses.replace(
-            self.me,
+        self.local = msgspec.structs.replace(
+            self.local,
             status=status,
-            bundle_version=bundle_version,
-            heartbeat=self.me.heartbeat + 1,
+            configuration_version=version,
+            heartbeat=self.local.heartbeat + 1,
         )
 
-    def ask_of_me(self, demand: workload.Work) -> None:
+    def set_demand(self, demand: workload.Work) -> None:
         """Change what callers are said to ask of this entry."""
-        self.me = dataclasses.replace(
-            self.me, demand=demand, heartbeat=self.me.heartbeat + 1
+        self.local = msgspec.structs.replace(
+            self.local, demand=demand, heartbeat=self.local.heartbeat + 1
         )
 
-    def have(self, news: DocumentNews) -> None:
-        """Note which document is in force here."""
-        short = ids.Digest(news.digest[:DIGEST_DIGITS])
-        self.news_by_kind[news.kind] = dataclasses.replace(news, digest=short)
+    def advertise(self, version: DocumentVersion) -> None:
+        """Tell peers from now on which version of a document is in force here."""
+        short = ids.Digest(version.digest[:DIGEST_DIGITS])
+        self.version_by_kind[version.kind] = dataclasses.replace(version, digest=short)
 
-    def mark(self, mark: Mark) -> bool:
+    def add_drain_notice(self, notice: DrainNotice) -> bool:
         """Take in a mark; tell whether it was new."""
-        if mark in self.repeats_by_mark:
+        if notice in self.repeats_by_drain_notice:
             return False
-        if len(self.repeats_by_mark) >= MAX_MARKS:
-            self.repeats_by_mark.popitem(last=False)
-        self.repeats_by_mark[mark] = MARK_REPEATS
+        if len(self.repeats_by_drain_notice) >= MAX_DRAIN_NOTICES:
+            self.repeats_by_drain_notice.popitem(last=False)
+        self.repeats_by_drain_notice[notice] = DRAIN_NOTICE_REPEATS
         return True
 
-    def forget_marks(self, stale: abc.Iterable[Mark]) -> None:
+    def forget_drain_notices(self, stale: abc.Iterable[DrainNotice]) -> None:
         """Drop marks of generations that are gone."""
-        for mark in stale:
-            self.repeats_by_mark.pop(mark, None)
+        for notice in stale:
+            self.repeats_by_drain_notice.pop(notice, None)
 
     def targets(
         self, seeds: abc.Sequence[ids.Address], now: ids.Instant
@@ -248,14 +257,14 @@
         """
         hosts = [h for h, k in self.known_by_host.items() if k.missed][:1]
         while len(hosts) < min(FANOUT, len(self.known_by_host)):
-            host = self._next_in_turn()
+            host = self._next_to_probe()
             if host not in hosts:
                 hosts.append(host)
         for host in hosts:
-            self.due_by_host.setdefault(host, ids.later(now, self.tempo.reply_s))
-        found = [self.known_by_host[h].news.peer_address for h in hosts]
-        if len(self.known_by_host) < max(FANOUT, self.listed):
-            fresh = [a for a in seeds if a not in (*found, self.me.peer_address)]
+            self.reply_due_by_host.setdefault(host, ids.later(now, self.timing.reply_s))
+        found = [self.known_by_host[h].record.peer_address for h in hosts]
+        if len(self.known_by_host) < max(FANOUT, self.expected_members):
+            fresh = [a for a in seeds if a not in (*found, self.local.peer_address)]
             found += self.rng.sample(fresh, min(1, len(fresh)))
         return found
 
@@ -263,84 +272,86 @@
         """Pick members to pass urgent news to; no replies are awaited."""
         everyone = list(self.known_by_host.values())
         picked = self.rng.sample(everyone, min(count, len(everyone)))
-        return [known.news.peer_address for known in picked]
+        return [known.record.peer_address for known in picked]
 
     def compose(
-        self, *, wants_reply: bool = False, for_hungry: bool = False
+        self, *, wants_reply: bool = False, wants_members: bool = False
     ) -> Message:
         """Build the next message."""
         self.sequence += 1
         return Message(
-            self.me,
+            self.local,
             self.sequence,
-            tuple(self.news_by_kind.values()),
-            self._members_to_send(for_hungry),
-            self._marks_to_send(),
+            tuple(self.version_by_kind.values()),
+            self._members_to_send(wants_members),
+            self._drain_notices_to_send(),
             wants_reply,
-            len(self.known_by_host) + 1 < self.listed,
+            len(self.known_by_host) + 1 < self.expected_members,
             self._suspicions_to_send(),
             self.reads_source,
         )
 
-    def take(self, message: Message, now: ids.Instant) -> Taken:
+    def handle(self, message: Message, now: ids.Instant) -> Handled:
         """Take in a message from a peer."""
-        changed = self._hear(message.sender, now, direct=True)
-        for news in message.members:
-            changed |= self._hear(news, now, direct=False)
+        changed = self._update_member(message.sender, now, direct=True)
+        for record in message.members:
+            changed |= self._update_member(record, now, direct=False)
         for suspicion in message.suspicions:
-            self._suspected(suspicion, now)
+            self._handle_suspicion(suspicion, now)
         newer = tuple(n for n in message.documents if self._is_newer(n))
-        fresh = tuple(m for m in message.marks if self.mark(m))
+        fresh = tuple(m for m in message.drain_notices if self.add_drain_notice(m))
         reply = None
         if message.wants_reply:
-            reply = self.compose(for_hungry=message.hungry)
-        return Taken(changed, newer, fresh, reply)
+            reply = self.compose(wants_members=message.wants_members)
+        return Handled(changed, newer, fresh, reply)
 
-    def sweep(self, now: ids.Instant) -> list[MemberNews]:
+    def sweep(self, now: ids.Instant) -> list[MemberRecord]:
         """Suspect who owes a reply; drop and return who did not refute."""
-        stood_still = now - self.swept_at > STOOD_STILL_PERIODS * self.tempo.period_s
+        stood_still = now - self.swept_at > STOOD_STILL_PERIODS * self.timing.period_s
         self.swept_at = now
         if stood_still:
             # It was this process that did not listen.
-            self.due_by_host.clear()
+            self.reply_due_by_host.clear()
             for known in self.known_by_host.values():
                 known.suspect_until = ids.NEVER
                 known.missed = 0
-        for host, due in list(self.due_by_host.items()):
+        for host, due in list(self.reply_due_by_host.items()):
             if due <= now:
-                del self.due_by_host[host]
-                self._missed(host, now)
-        dead = [k.news for k in self.known_by_host.values() if k.suspect_until <= now]
-        for news in dead:
-            self._bury(news)
+                del self.reply_due_by_host[host]
+                self._note_missed_reply(host, now)
+        dead = [k.record for k in self.known_by_host.values() if k.suspect_until <= now]
+        for record in dead:
+            self._drop(record)
         return dead
 
     def suspect_s(self) -> float:
         """Return how long a suspicion may stand before its bearer is dropped."""
-        return self.tempo.suspect_s + SUSPECT_S_PER_DOUBLING * self._doublings()
+        return self.timing.suspect_s + SUSPECT_S_PER_DOUBLING * self._doublings()
 
     def ready_members(self) -> list[ownership.Member]:
         """Return the entries that serve, this one included."""
         ready = [
-            ownership.Member(k.news.zone, k.news.host)
+            ownership.Member(k.record.zone, k.record.host)
             for k in self.known_by_host.values()
-            if k.news.status is Status.READY
+            if k.record.status is Status.READY
         ]
-        return [*ready, ownership.Member(self.me.zone, self.me.host)]
+        return [*ready, ownership.Member(self.local.zone, self.local.host)]
 
-    def _hear(self, news: MemberNews, now: ids.Instant, *, direct: bool) -> bool:
-        if news.host == self.me.host:
+    def _update_member(
+        self, record: MemberRecord, now: ids.Instant, *, direct: bool
+    ) -> bool:
+        if record.host == self.local.host:
             return False
-        age = (news.epoch, news.heartbeat)
+        age = (record.epoch, record.heartbeat)
         if direct:
-            self.due_by_host.pop(news.host, None)
-            self.buried_by_host.pop(news.host, None)
-        elif self.buried_by_host.get(news.host, (0, 0)) >= age:
+            self.reply_due_by_host.pop(record.host, None)
+            self.tombstone_by_host.pop(record.host, None)
+        elif self.tombstone_by_host.get(record.host, (0, 0)) >= age:
             return False
-        known = self.known_by_host.get(news.host)
+        known = self.known_by_host.get(record.host)
         if known is None:
-            return self._meet(news, now)
-        old = known.news
+            return self._add_member(record, now)
+        old = known.record
         old_age = (old.epoch, old.heartbeat)
         if age < old_age or (age == old_age and not direct):
             return False
@@ -348,22 +359,24 @@
             known.missed = 0
         if known.suspected and (direct or age > old_age):
             known.suspect_until = ids.NEVER
-            self._spread(news.host)
-        known.news = news
-        known.heard_at = now
-        changed = news.incarnation != old.incarnation or news.status is not old.status
-        if changed or news.demand != old.demand:
-            self._spread(news.host)
+            self._spread(record.host)
+        known.record = record
+        known.last_heard_at = now
+        changed = (
+            record.incarnation != old.incarnation or record.status is not old.status
+        )
+        if changed or record.demand != old.demand:
+            self._spread(record.host)
         return changed
 
-    def _meet(self, news: MemberNews, now: ids.Instant) -> bool:
+    def _add_member(self, record: MemberRecord, now: ids.Instant) -> bool:
         if len(self.known_by_host) >= MAX_MEMBERS:
             return False
-        self.known_by_host[news.host] = Known(news, now)
-        self._spread(news.host)
+        self.known_by_host[record.host] = Peer(record, now)
+        self._spread(record.host)
         return True
 
-    def _missed(self, host: ids.HostId, now: ids.Instant) -> None:
+    def _note_missed_reply(self, host: ids.HostId, now: ids.Instant) -> None:
         """Ask once more before saying anything: one message may get lost."""
         known = self.known_by_host.get(host)
         if known is None:
@@ -378,22 +391,22 @@
             known.suspect_until = ids.later(now, self.suspect_s())
             self._spread(host)
 
-    def _suspected(self, suspicion: Suspicion, now: ids.Instant) -> None:
+    def _handle_suspicion(self, suspicion: Suspicion, now: ids.Instant) -> None:
         age = (suspicion.epoch, suspicion.heartbeat)
-        if suspicion.host == self.me.host:
-            if age >= (self.me.epoch, self.me.heartbeat):
-                self.become(self.me.status, self.me.bundle_version)
+        if suspicion.host == self.local.host:
+            if age >= (self.local.epoch, self.local.heartbeat):
+                self.set_status(self.local.status, self.local.configuration_version)
             return
         known = self.known_by_host.get(suspicion.host)
-        if known is not None and age == (known.news.epoch, known.news.heartbeat):
+        if known is not None and age == (known.record.epoch, known.record.heartbeat):
             self._suspect(suspicion.host, now)
 
-    def _bury(self, news: MemberNews) -> None:
-        del self.known_by_host[news.host]
-        self.repeats_by_host.pop(news.host, None)
-        self.buried_by_host[news.host] = (news.epoch, news.heartbeat)
-        if len(self.buried_by_host) > MAX_BURIED:
-            self.buried_by_host.popitem(last=False)
+    def _drop(self, record: MemberRecord) -> None:
+        del self.known_by_host[record.host]
+        self.repeats_by_host.pop(record.host, None)
+        self.tombstone_by_host[record.host] = (record.epoch, record.heartbeat)
+        if len(self.tombstone_by_host) > MAX_TOMBSTONES:
+            self.tombstone_by_host.popitem(last=False)
 
     def _spread(self, host: ids.HostId) -> None:
         self.repeats_by_host[host] = REPEATS_PER_DOUBLING * self._doublings()
@@ -404,20 +417,20 @@
     def _suspects(self) -> list[ids.HostId]:
         return [host for host, k in self.known_by_host.items() if k.suspected]
 
-    def _next_in_turn(self) -> ids.HostId:
-        while self.turn:
-            host = self.turn.pop()
+    def _next_to_probe(self) -> ids.HostId:
+        while self.probe_order:
+            host = self.probe_order.pop()
             if host in self.known_by_host:
                 return host
-        self.turn = list(self.known_by_host)
-        self.rng.shuffle(self.turn)
-        return self.turn.pop()
+        self.probe_order = list(self.known_by_host)
+        self.rng.shuffle(self.probe_order)
+        return self.probe_order.pop()
 
-    def _is_newer(self, news: DocumentNews) -> bool:
-        have = self.news_by_kind.get(news.kind)
-        return have is None or news.version > have.version
+    def _is_newer(self, offered: DocumentVersion) -> bool:
+        own = self.version_by_kind.get(offered.kind)
+        return own is None or offered.version > own.version
 
-    def _members_to_send(self, for_hungry: bool) -> tuple[MemberNews, ...]:
+    def _members_to_send(self, wants_members: bool) -> tuple[MemberRecord, ...]:
         picked = [
             host
             for host in list(self.repeats_by_host)[-MEMBERS_PER_MESSAGE:]
@@ -427,25 +440,25 @@
             self.repeats_by_host[host] -= 1
             if self.repeats_by_host[host] <= 0:
                 del self.repeats_by_host[host]
-        if for_hungry:
+        if wants_members:
             rest = list(self.known_by_host)
-            room = MEMBERS_FOR_HUNGRY - len(picked)
+            room = MEMBERS_WHEN_WANTED - len(picked)
             picked += self.rng.sample(rest, min(room, len(rest)))
-        return tuple(self.known_by_host[h].news for h in dict.fromkeys(picked))
+        return tuple(self.known_by_host[h].record for h in dict.fromkeys(picked))
 
     def _suspicions_to_send(self) -> tuple[Suspicion, ...]:
         picked = self._suspects()[-SUSPICIONS_PER_MESSAGE:]
-        found = [self.known_by_host[host].news for host in picked]
+        found = [self.known_by_host[host].record for host in picked]
         return tuple(Suspicion(n.host, n.epoch, n.heartbeat) for n in found)
 
-    def _marks_to_send(self) -> tuple[Mark, ...]:
+    def _drain_notices_to_send(self) -> tuple[DrainNotice, ...]:
         """Pick fresh marks first, then some of the rest for newcomers."""
-        fresh = [m for m, left in self.repeats_by_mark.items() if left > 0]
-        picked = fresh[-MARKS_PER_MESSAGE:]
-        for mark in picked:
-            self.repeats_by_mark[mark] -= 1
-        room = MARKS_PER_MESSAGE - len(picked)
-        if room and len(picked) < len(self.repeats_by_mark):
-            rest = [m for m, left in self.repeats_by_mark.items() if left <= 0]
+        fresh = [m for m, left in self.repeats_by_drain_notice.items() if left > 0]
+        picked = fresh[-DRAIN_NOTICES_PER_MESSAGE:]
+        for notice in picked:
+            self.repeats_by_drain_notice[notice] -= 1
+        room = DRAIN_NOTICES_PER_MESSAGE - len(picked)
+        if room and len(picked) < len(self.repeats_by_drain_notice):
+            rest = [m for m, left in self.repeats_by_drain_notice.items() if left <= 0]
             picked += self.rng.sample(rest, min(room, len(rest)))
         return tuple(dict.fromkeys(picked))
--- a/spindlenotch/peers/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -28,14 +28,14 @@
     _write_member(wire.sender, message.sender)
     wire.sequence = message.sequence
     wire.wantsReply = message.wants_reply
-    wire.hungry = message.hungry
+    wire.hungry = message.wants_members
     wire.readsSource = message.reads_source
     loads = wire.init("loads", len(message.loads))
     for slot, load in zip(loads, message.loads, strict=True):
         slot.upstream = load.upstream
         slot.running = load.running
         slot.queued = load.queued
-        slot.pacePercent = int(load.pace * PERCENT)
+        slot.pacePercent = int(load.slowdown * PERCENT)
         slot.ageMs = int(load.age_s * MS_PER_S)
     news = wire.init("documents", len(message.documents))
     for slot, document in zip(news, message.documents, strict=True):
@@ -45,8 +45,8 @@
     members = wire.init("members", len(message.members))
     for slot, member in zip(members, message.members, strict=True):
         _write_member(slot, member)
-    marks = wire.init("marks", len(message.marks))
-    for slot, mark in zip(marks, message.marks, strict=True):
+    marks = wire.init("marks", len(message.drain_notices))
+    for slot, mark in zip(marks, message.drain_notices, strict=True):
         slot.service = mark.service
         slot.upstream = mark.upstream
         slot.generation = mark.generation
@@ -112,7 +112,7 @@
     return body
 
 
-def _write_member(slot: typing.Any, member: gossip.MemberNews) -> None:
+def _write_member(slot: typing.Any, member: gossip.MemberRecord) -> None:
     slot.host = member.host
     slot.zone = member.zone
     slot.incarnation = member.incarnation
@@ -121,7 +121,7 @@
     slot.epoch = member.epoch
     slot.heartbeat = member.heartbeat
     slot.status = member.status.value
-    slot.bundleVersion = member.bundle_version
+    slot.bundleVersion = member.configuration_version
     _write_work(slot.capacity, member.capacity)
     _write_work(slot.demand, member.demand)
 
@@ -132,22 +132,22 @@
 
 
 def _read_gossip(wire: typing.Any) -> gossip.Message:
-    if len(wire.members) > gossip.MEMBERS_FOR_HUNGRY:
+    if len(wire.members) > gossip.MEMBERS_WHEN_WANTED:
         raise ValueError("members")
     if len(wire.suspicions) > gossip.SUSPICIONS_PER_MESSAGE:
         raise ValueError("suspicions")
     if len(wire.loads) > gossip.LOADS_PER_MESSAGE:
         raise ValueError("loads")
-    if len(wire.marks) > gossip.MARKS_PER_MESSAGE:
+    if len(wire.marks) > gossip.DRAIN_NOTICES_PER_MESSAGE:
         raise ValueError("marks")
     if len(wire.documents) > len(documents.DocumentKind):
         raise ValueError("documents")
     return gossip.Message(
         _read_member(wire.sender),
         wire.sequence,
-        tuple(_read_news(n) for n in wire.documents),
+        tuple(_read_document_version(n) for n in wire.documents),
         tuple(_read_member(m) for m in wire.members),
-        tuple(_read_mark(m) for m in wire.marks),
+        tuple(_read_drain_notice(m) for m in wire.marks),
         bool(wire.wantsReply),
         bool(wire.hungry),
         tuple(_read_suspicion(s) for s in wire.suspicions),
@@ -156,8 +156,8 @@
     )
 
 
-def _read_member(wire: typing.Any) -> gossip.MemberNews:
-    return gossip.MemberNews(
+def _read_member(wire: typing.Any) -> gossip.MemberRecord:
+    return gossip.MemberRecord(
         ids.HostId(_text(wire.host)),
         ids.ZoneName(_text(wire.zone)),
         ids.Incarnation(_text(wire.incarnation)),
@@ -176,22 +176,22 @@
     return workload.Work(wire.requestsPerS, wire.bytesPerS)
 
 
-def _read_news(wire: typing.Any) -> gossip.DocumentNews:
-    return gossip.DocumentNews(
+def _read_document_version(wire: typing.Any) -> gossip.DocumentVersion:
+    return gossip.DocumentVersion(
         documents.DocumentKind(wire.kind), wire.version, ids.Digest(_text(wire.digest))
     )
 
 
-def _read_mark(wire: typing.Any) -> gossip.Mark:
-    return gossip.Mark(
+def _read_drain_notice(wire: typing.Any) -> gossip.DrainNotice:
+    return gossip.DrainNotice(
         ids.ServiceName(_text(wire.service)),
         ids.UpstreamId(_text(wire.upstream)),
         wire.generation,
     )
 
 
-def _read_load(wire: typing.Any) -> workload.LoadNews:
-    return workload.LoadNews(
+def _read_load(wire: typing.Any) -> workload.LoadRecord:
+    return workload.LoadRecord(
         ids.UpstreamId(_text(wire.upstream)),
         wire.running,
         wire.queued,
--- a/spindlenotch/peers/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -42,9 +42,9 @@
         except (msgspec.MsgspecError, ValueError, RecursionError):
             return peer_seal.CodecFault.GARBLED
         crowded = (
-            len(message.members) > gossip.MEMBERS_FOR_HUNGRY
+            len(message.members) > gossip.MEMBERS_WHEN_WANTED
             or len(message.suspicions) > gossip.SUSPICIONS_PER_MESSAGE
-            or len(message.marks) > gossip.MARKS_PER_MESSAGE
+            or len(message.drain_notices) > gossip.DRAIN_NOTICES_PER_MESSAGE
             or len(message.loads) > gossip.LOADS_PER_MESSAGE
         )
         return peer_seal.CodecFault.GARBLED if crowded else message
--- a/spindlenotch/peers/workload.py
+++ b/spindlenotch/peers/workload.py
@@ -4,6 +4,8 @@
 
 import dataclasses
 
+import msgspec
+
 from spindlenotch import ids
 
 
@@ -18,12 +20,15 @@
 NO_WORK = Work(0.0, 0.0)
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class LoadNews:
-    """What an upstream said of its load, ``age_s`` before this was sent."""
+class LoadRecord(msgspec.Struct, frozen=True, rename={"slowdown": "pace"}):
+    """
+    What an upstream reported of its load, ``age_s`` before this was sent.
+
+    On the wire ``slowdown`` is called ``pace``.
+    """
 
     upstream: ids.UpstreamId
     running: int
     queued: int
-    pace: float
+    slowdown: float
     age_s: float
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -11,9 +11,9 @@
 from tools import slopes
 
 
-def member(number: int) -> gossip.MemberNews:
+def member(number: int) -> gossip.MemberRecord:
     """Return a member as its news would look."""
-    return gossip.MemberNews(
+    return gossip.MemberRecord(
         ids.HostId(f"entry-{number:04}"),
         ids.ZoneName(f"zone-{number % 5}"),
         ids.Incarnation(f"{number:016x}"),
@@ -34,10 +34,12 @@
             made.known_by_host[member(other).host] = gossip.Known(
                 member(other), slopes.NOW
             )
-    made.have(
-        gossip.DocumentNews(documents.DocumentKind.BUNDLE, 12, ids.Digest("a" * 64))
+    made.advertise(
+        gossip.DocumentVersion(documents.DocumentKind.BUNDLE, 12, ids.Digest("a" * 64))
+    )
+    made.advertise(
+        gossip.DocumentVersion(documents.DocumentKind.HOSTS, 99, ids.Digest(""))
     )
-    made.have(gossip.DocumentNews(documents.DocumentKind.HOSTS, 99, ids.Digest("")))
     return made
 
 
@@ -48,7 +50,7 @@
         self.rng = random.Random(size)
         self.lost = lost
         self.everyone = [gossiper(size, n) for n in range(size)]
-        self.by_address = {g.me.peer_address: g for g in self.everyone}
+        self.by_address = {g.local.peer_address: g for g in self.everyone}
         self.dead: set[gossip.Gossip] = set()
         self.now = slopes.NOW
         self.bytes = 0
@@ -73,7 +75,7 @@
         self.messages += 1
         if target in self.dead or self.rng.random() < self.lost:
             return
-        taken = target.take(message, self.now)
+        taken = target.handle(message, self.now)
         if taken.reply is not None:
             self._send(taken.reply, self.by_address[message.sender.peer_address])
 
@@ -108,7 +110,7 @@
                 assert isinstance(payload, bytes)
                 heard = peer_codec.decode_gossip(payload)
                 assert isinstance(heard, gossip.Message)
-                reply = g.take(heard, slopes.NOW).reply
+                reply = g.handle(heard, slopes.NOW).reply
                 assert reply is not None
                 sealer.seal(peer_codec.encode_gossip(reply))
             g.ready_members()
@@ -128,11 +130,11 @@
     rounds, gone, loud = [], [], []
     for fleet in slopes.FLEETS:
         everyone = Fleet(fleet)
-        mark = gossip.Mark(ids.ServiceName("s"), ids.UpstreamId("u"), 1)
-        everyone.everyone[0].mark(mark)
+        notice = gossip.DrainNotice(ids.ServiceName("s"), ids.UpstreamId("u"), 1)
+        everyone.everyone[0].add_drain_notice(notice)
         steps = 0
         # The worst case: only the periodic messages, none of the eager ones.
-        while not all(mark in g.repeats_by_mark for g in everyone.everyone):
+        while not all(notice in g.repeats_by_drain_notice for g in everyone.everyone):
             steps += 1
             everyone.period()
         rounds.append(float(steps))
@@ -140,7 +142,7 @@
         everyone.dead.add(victim)
         steps, before = 0, everyone.bytes
         living = [g for g in everyone.everyone if g is not victim]
-        while any(victim.me.host in g.known_by_host for g in living):
+        while any(victim.local.host in g.known_by_host for g in living):
             steps += 1
             everyone.period()
         gone.append(float(steps))
