--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -13,8 +13,8 @@
 from spindlenotch.gateway import settings as gateway_settings
 
 DOCS = pathlib.Path(__file__).parents[1] / "docs"
-BEGIN = "<!-- made from the code: begin -->"
-END = "<!-- made from the code: end -->"
+BEGIN = "<!-- made from the code: {} -->"
+END = "<!-- made from the code: end of {} -->"
 
 
 def fields(title: str, rows: abc.Iterable[bundle_check.Field]) -> str:
@@ -52,20 +52,25 @@
     return {
         "EVENTS.md": events.catalogue(),
         "OPERATIONS.md": _filled(
-            "OPERATIONS.md", settings.reference(settings.SETTINGS)
+            "OPERATIONS.md",
+            {
+                "gateway settings": settings.reference(gateway_settings.SETTINGS),
+                "entry settings": settings.reference(settings.SETTINGS),
+            },
         ),
-        "GATEWAY.md": _filled(
-            "GATEWAY.md", settings.reference(gateway_settings.SETTINGS)
-        ),
-        "BUNDLE.md": _filled("BUNDLE.md", bundle_reference()),
+        "BUNDLE.md": _filled("BUNDLE.md", {"fields": bundle_reference()}),
     }
 
 
-def _filled(name: str, made: str) -> str:
+def _filled(name: str, made_by_title: dict[str, str]) -> str:
     text = (DOCS / name).read_text()
-    head, _, rest = text.partition(BEGIN)
-    _, _, tail = rest.partition(END)
-    return f"{head}{BEGIN}\n{made}{END}{tail}"
+    for title, made in made_by_title.items():
+        head, begin, rest = text.partition(BEGIN.format(title))
+        _, end, tail = rest.partition(END.format(title))
+        if not end:
+            raise ValueError(f"docs/{name}: no place for {title}")
+        text = f"{head}{begin}\n{made}{end}{tail}"
+    return text
 
 
 def main() -> None:
