--- /dev/null
+++ b/tools/decision_table.py
@@ -0,0 +1,450 @@
+"""
+The rules that decide about requests: question, function, inputs, constants, proof.
+
+``tools/decisions.py`` makes docs/DECISIONS.md from it. Functions and constants are
+named as ``package/module.name`` below ``spindlenotch/``, events by their name in
+``spindlenotch.events``.
+"""
+
+import dataclasses
+
+
+@dataclasses.dataclass(frozen=True)
+class Scenario:
+    """A scenario, or a row of an outline, that holds a rule."""
+
+    feature: str
+    title: str
+
+
+@dataclasses.dataclass(frozen=True)
+class Rule:
+    """One rule; ``inputs`` names what it looks at, with units."""
+
+    question: str
+    functions: tuple[str, ...]
+    inputs: str
+    reason: str
+    constants: tuple[str, ...] = ()
+    events: tuple[str, ...] = ()
+    tests: tuple[Scenario, ...] = ()
+
+
+RULES = (
+    Rule(
+        question="Which upstream takes a request (gateway)",
+        functions=(
+            "decisions/soonest.expected_s",
+            "decisions/soonest.has_room",
+            "decisions/soonest.without_slowed",
+            "kernel/crowding.Crowding.usable",
+            "decisions/silence.overdue_cost",
+        ),
+        inputs="typical latency of the route (s), reported slowdown (factor) and its"
+        " age (s), latency ratio, estimated load and slots, silence (s), warm-up end,"
+        " zone, body size (bytes).",
+        reason="The soonest expected end among upstreams with room. While some are"
+        " not slowed, slowed ones are passed over: work that begins there is late"
+        " and holds its slot.",
+        constants=(
+            "decisions/soonest.ROOM_MARGIN",
+            "decisions/soonest.SLOWER_FROM_SHARE",
+            "decisions/soonest.FULL_SLOWDOWN",
+            "decisions/soonest.COLD_FACTOR",
+            "decisions/soonest.MIN_LATENCY_RATIO",
+            "decisions/soonest.ANSWERS_TRUSTED",
+            "decisions/soonest.NEAR_SHARE",
+            "decisions/soonest.MOST_COMPARED",
+            "kernel/upstreams.SLOWED_FACTOR",
+            "kernel/upstreams.SLOWDOWN_DECAY_S",
+            "kernel/crowding.NEARLY_FULL",
+            "kernel/crowding.UNSLOWED_FACTOR",
+            "kernel/crowding.LEAST_SAMPLES",
+            "kernel/crowding.CROWDED",
+            "decisions/silence.FREE_MISSED_ANSWERS",
+            "decisions/silence.COST_PER_MISSED_ANSWER",
+            "gateway/jobs.CROSS_ZONE_S",
+            "gateway/jobs.CROSS_ZONE_S_PER_BYTE",
+        ),
+        events=("REQUEST_SERVED", "REQUEST_SENT_AGAIN"),
+        tests=(
+            Scenario("gateway", "an upstream without room or leaving is never chosen"),
+            Scenario(
+                "gateway", "a slowed upstream is passed over while another has room"
+            ),
+            Scenario("gateway", "an upstream that nobody has tried yet gets its share"),
+            Scenario(
+                "gateway", "the last slots stay empty where filling them slows work"
+            ),
+        ),
+    ),
+    Rule(
+        question="Which upstream takes a request (entry daemon)",
+        functions=(
+            "decisions/owned_slots.OwnedPolicy.choose",
+            "decisions/queueing_cost.estimate",
+            "kernel/ownership.owned",
+        ),
+        inputs="own slots, estimated load, latency ratio, silence (s), zone, share of"
+        " calls refused.",
+        reason="Own slots first, where the entry's own count is nearly exact, then"
+        " the cheapest of a few others, within a limit that follows the queues that"
+        " upstreams report.",
+        constants=(
+            "decisions/owned_slots.SAMPLE",
+            "decisions/owned_slots.SLOW_COST",
+            "decisions/owned_slots.LEAST_FACTOR",
+            "decisions/owned_slots.MOST_FACTOR",
+            "decisions/owned_slots.QUEUE_TARGET",
+            "decisions/queueing_cost.ZONE_CROSSING_S",
+            "decisions/queueing_cost.LEAST_LATENCY_RATIO",
+        ),
+        events=(),
+        tests=(
+            Scenario("kernel", "own slots of all entries add up to all slots"),
+            Scenario("kernel", "nobody unfit is chosen"),
+            Scenario("kernel", "what is explained is what was done"),
+        ),
+    ),
+    Rule(
+        question="When a request waits, how long, and when it is given up",
+        functions=(
+            "decisions/balancer.Balancer.offer",
+            "decisions/queueing.is_hopeless",
+            "decisions/queueing.is_given_up",
+            "decisions/queueing.displaced_by",
+            "gateway/jobs.queue_wait_s",
+            "kernel/waiting.WaitQueue",
+        ),
+        inputs="rank, deadline (instant), calls ahead, typical latency (s), own slots,"
+        " the route's target (s).",
+        reason="A call waits here while no upstream has room, so that a more urgent"
+        " one can pass it. It is refused as soon as it can't make its deadline, or"
+        " has waited its share of the target.",
+        constants=(
+            "gateway/jobs.QUEUE_WAIT_SHARE",
+            "gateway/jobs.QUEUE_WAIT_WITHOUT_TARGET_S",
+            "decisions/queueing.LEAST_SLOTS",
+            "kernel/waiting.OLDEST_FIRST_EVERY",
+            "forwarding/granting.QUEUE_CHECK_S",
+        ),
+        events=("REQUEST_REFUSED",),
+        tests=(
+            Scenario("gateway", "a call waits while only slowed upstreams have room"),
+            Scenario("gateway", "a call that waits too long for room is refused"),
+            Scenario("kernel", "a higher class never waits behind a lower one"),
+            Scenario(
+                "kernel",
+                "Waiting calls that cannot make it are refused before their deadline",
+            ),
+        ),
+    ),
+    Rule(
+        question="What a refusal says, and when to come back",
+        functions=(
+            "decisions/queueing.retry_at",
+            "kernel/pool.Pool.usable_again_at",
+            "gateway/refusals.not_run",
+            "gateway/refusals.failure_status",
+            "forwarding/judgement.refusal",
+            "entry/texts.status_of",
+        ),
+        inputs="whether the request may have run, the reason, queue length, typical"
+        " latency (s), end of the first ejection (instant).",
+        reason="503 with Retry-After says that the request has not run. 502 and 504"
+        " promise nothing.",
+        constants=(
+            "decisions/queueing.LEAST_RETRY_AFTER_S",
+            "kernel/ejection.RETRY_AFTER_S",
+            "gateway/refusals.LEAST_RETRY_AFTER_S",
+        ),
+        events=("REQUEST_REFUSED", "REQUEST_FAILED"),
+        tests=(
+            Scenario(
+                "platform",
+                "What no route leads to is not found, and what no worker serves is"
+                " refused at once",
+            ),
+            Scenario(
+                "defaults",
+                "A shed booking is not run, at once, with a time to come back",
+            ),
+        ),
+    ),
+    Rule(
+        question="When it is sent again (retry)",
+        functions=(
+            "decisions/retrying.is_allowed",
+            "decisions/balancer.Balancer.retry",
+            "forwarding/race.Race._retry",
+        ),
+        inputs="whether the failed try is known not to have run, whether the request"
+        " may run twice, tries so far, deadline, share of failed calls, budget.",
+        reason="A request that may not be repeated is sent again only if it is known"
+        " not to have run. While much of the service fails, repeats only add load.",
+        constants=("decisions/overload.FAILED_SHARE",),
+        events=("REQUEST_SENT_AGAIN",),
+        tests=(
+            Scenario("gateway", "only what is known not to have run is sent again"),
+            Scenario("gateway", "no call is sent to more upstreams than it may be"),
+        ),
+    ),
+    Rule(
+        question="When a second copy goes out (hedge)",
+        functions=(
+            "decisions/hedging.is_allowed",
+            "decisions/hedging.is_overdue",
+            "decisions/hedging.check_interval_s",
+        ),
+        inputs="age of the try (s), 95th percentile of the latency (s), silence of"
+        " the upstream (s), its slowdown (factor), calls waiting, tries so far.",
+        reason="A copy goes out when the upstream has been silent for longer than"
+        " chance explains, or the call is slower than 95 in 100; never with calls"
+        " waiting.",
+        constants=(
+            "decisions/hedging.SILENCE_EXPONENT",
+            "decisions/hedging.SLOWED_SHARE",
+            "decisions/hedging.CHECK_SHARE",
+        ),
+        events=("REQUEST_SENT_AGAIN",),
+        tests=(
+            Scenario("kernel", "extra sends stay within their share"),
+            Scenario("platform", "A repeat is told in the logs with what decided it"),
+        ),
+    ),
+    Rule(
+        question="The budget of retries and hedges",
+        functions=(
+            "kernel/budgets.SlidingShareBudget.available",
+            "kernel/budgets.ShareBudget.available",
+            "kernel/extra_budgets.SharedWindow",
+            "kernel/extra_budgets.SeparateShares",
+        ),
+        inputs="own first sends and extra sends in the window, share, reserve; settings"
+        " `extra_share`, `extra_reserve`, `extra_window_s`.",
+        reason="The gateway has one budget for both in a sliding window, whose sum over"
+        " the fleet holds whatever each gateway assumes; the entry daemon has two"
+        " shares of its traffic, named by the bundle.",
+        constants=(
+            "gateway/service_defaults.EXTRA_MARGIN",
+            "gateway/service_defaults.RESERVE_PARTS",
+            "kernel/budgets.MOST_SAVED",
+            "kernel/budgets.INITIAL_RESERVE",
+        ),
+        events=("REQUEST_SENT_AGAIN",),
+        tests=(
+            Scenario("gateway", "the fleet's extra sends keep to share and reserve"),
+            Scenario("kernel", "extra sends stay within their share"),
+        ),
+    ),
+    Rule(
+        question="What counts as a whole answer, as 'not run', as unknown",
+        functions=(
+            "forwarding/judgement.end_of_fault",
+            "forwarding/judgement.end_of_answer",
+            "gateway/answers.read",
+            "gateway/answers.falsely_says_not_run",
+            "drivers/upstream_http.HttpUpstreamPort.send",
+        ),
+        inputs="fault of the connection, request id and stamp of the answer, status,"
+        " framing and end of the body.",
+        reason="'Not run' needs positive knowledge: no connection was made, or the"
+        " upstream said so. All else may have run.",
+        constants=("gateway/answers.MAX_WHOLE_ANSWER_BYTES",),
+        events=("REQUEST_FAILED", "FOREIGN_ANSWER"),
+        tests=(
+            Scenario(
+                "platform",
+                "A fault of one worker is covered for requests that may be repeated",
+            ),
+            Scenario(
+                "platform",
+                "A fault of a worker is never hidden for what may run once",
+            ),
+            Scenario(
+                "defaults",
+                "A booking over a connection that breaks is unknown and not resent",
+            ),
+        ),
+    ),
+    Rule(
+        question="When an upstream is ejected and comes back",
+        functions=(
+            "kernel/ejection.reason_to_eject",
+            "kernel/ejection.is_frozen",
+            "kernel/ejection.pause_s",
+            "kernel/ejection.may_eject",
+            "kernel/upstreams.Upstream.may_take",
+        ),
+        inputs="failures in a row, silence (s), 95th percentile of the latency (s),"
+        " ejections in a row, share of the pool that is out.",
+        reason="Failures in a row or a silence that only a stop explains take it out."
+        " After the pause one request on probation decides.",
+        constants=(
+            "kernel/ejection.FAILURES_IN_ROW",
+            "kernel/ejection.FIRST_PAUSE_S",
+            "kernel/ejection.LONGEST_PAUSE_S",
+            "kernel/ejection.FROZEN_P95_FACTOR",
+            "kernel/ejection.FROZEN_LEAST_S",
+            "kernel/ejection.LEAST_POOL",
+        ),
+        events=("UPSTREAM_EJECTED", "UPSTREAM_PROBATION", "UPSTREAM_BACK"),
+        tests=(
+            Scenario(
+                "kernel",
+                "A zone that has lost most of its upstreams does not shrink the others",
+            ),
+            Scenario("invariants", "Any fault at any moment, together or twice"),
+        ),
+    ),
+    Rule(
+        question="Which route and service",
+        functions=(
+            "gateway/routing.RouteTable.find",
+            "gateway/routing.WeightedRoundRobin.next",
+        ),
+        inputs="Host header, path, weights of the route's services.",
+        reason="The longest prefix of the host; smooth weighted round robin keeps each"
+        " service within one request of its share.",
+        events=("CONFIGURATION_APPLIED",),
+        tests=(
+            Scenario("gateway", "the longest prefix of the host is the route"),
+            Scenario("gateway", "weights are kept to within one request"),
+        ),
+    ),
+    Rule(
+        question="Which gateways callers are sent to",
+        functions=("gateway/active_set.choose", "gateway/active_set.capacity_of"),
+        inputs="capacity of each ready gateway (requests and bytes a second), demand of"
+        " the fleet (the same), setting `entries_per_zone`.",
+        reason="The strongest of each zone, and more while an even share of the demand"
+        " is more than the weakest can carry. Few gateways see most of what an"
+        " upstream does.",
+        constants=(
+            "gateway/active_set.PROCESSOR_SHARE",
+            "gateway/active_set.LINK_SHARE",
+            "gateway/active_set.REQUESTS_PER_CORE",
+            "gateway/active_set.BYTES_PER_REQUEST",
+            "gateway/active_set.TIER_FACTOR",
+            "gateway/demand_meter.SPAN_S",
+            "gateway/demand_meter.SPANS_KEPT",
+            "gateway/demand_meter.REPORTED_CHANGE_SHARE",
+        ),
+        events=("PEER_SEEN", "PEER_GONE"),
+        tests=(
+            Scenario(
+                "gateway", "callers are sent to the strongest gateways of each zone"
+            ),
+            Scenario(
+                "gateway", "more gateways step in where the weakest is overloaded"
+            ),
+            Scenario("gateway", "what callers ask rises at once and falls late"),
+        ),
+    ),
+    Rule(
+        question="Who reads the store, who probes, who writes the discovery record",
+        functions=(
+            "gateway/duties.reader",
+            "gateway/duties.probers",
+            "gateway/duties.is_prober",
+            "gateway/relay.Relay.must_read",
+            "gateway/discovery.DiscoveryWriter.due",
+        ),
+        inputs="ready gateways by zone, which of them are active, when the zone's"
+        " reader was last heard (instant), upstreams by zone.",
+        reason="Rendezvous hashing among the standby gateways of a zone, without a"
+        " lease: too many or too few holders for a moment do no harm.",
+        constants=(
+            "gateway/relay.READER_LOST_S",
+            "gateway/relay.ASK_S",
+            "gateway/relay.FIRST_PEER_S",
+            "gateway/duties.UPSTREAMS_PER_PROBER",
+            "gateway/discovery.SETTLE_S",
+            "gateway/discovery.REWRITE_S",
+        ),
+        events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
+        tests=(
+            Scenario("gateway", "a fleet that starts has one reader a zone"),
+            Scenario("gateway", "a probed upstream has one prober with equal views"),
+            Scenario("platform", "Few gateways read the store, and the others step in"),
+        ),
+    ),
+    Rule(
+        question="How long a vanished upstream still gets work",
+        functions=("gateway/listing.Listing.remove",),
+        inputs="when the store last failed (instant), share of the service that vanished"
+        " at once, state in the list.",
+        reason="Leases that expire together right after the store was out of reach more"
+        " likely expired in its outage than by a stop of the upstreams.",
+        constants=(
+            "gateway/listing.AFTER_OUTAGE_S",
+            "gateway/listing.GRACE_S",
+            "gateway/listing.EXPIRY_SHARE",
+        ),
+        events=("UPSTREAM_LEAVING",),
+        tests=(
+            Scenario(
+                "gateway", "entries that lapse with the store are kept for a while"
+            ),
+            Scenario("gateway", "entries that leave a sound store are dropped at once"),
+        ),
+    ),
+    Rule(
+        question="When a gateway is ready, leaves, takes nothing more",
+        functions=(
+            "gateway/lifecycle.phase_after",
+            "gateway/lifecycle.stop_schedule",
+            "gateway/gateway.Gateway.stop",
+        ),
+        inputs="whether configuration and upstreams are known, settings `hand_out_s` and"
+        " `stop_limit_s` (s).",
+        reason="Ready with both documents. When stopping it serves on while callers"
+        " may keep its address, then refuses, and ends when what it took has ended.",
+        constants=(
+            "gateway/lifecycle.KEPT_FACTOR",
+            "gateway/lifecycle.LAST_ARRIVALS_S",
+            "gateway/lifecycle.CLOSING_S",
+            "gateway/lifecycle.MARGIN_S",
+        ),
+        events=("READY", "LEAVING", "STOP_FORCED", "STOPPED"),
+        tests=(
+            Scenario(
+                "platform",
+                "What comes late in a planned stop on an open connection is refused,"
+                " not cut",
+            ),
+            Scenario(
+                "platform",
+                "Callers are told ready gateways, and a stopping one is told no more",
+            ),
+        ),
+    ),
+    Rule(
+        question="At most once (entry daemon)",
+        functions=(
+            "entry/once.OnceTable.begin",
+            "entry/once.refuse_before_home",
+            "entry/claims.Claims.home_of",
+            "entry/tickets.Mint.mint",
+        ),
+        inputs="request id (ticket or chosen), attempt number, incarnation, table of"
+        " ids, claim in the store.",
+        reason="Only the one process life that is the home of an id may run it; its"
+        " table decides whether to run, join, replay or refuse.",
+        constants=(
+            "entry/tickets.LIFETIME_S",
+            "entry/once.MAX_KEPT_BODY",
+            "entry/claims.MAX_CLAIM_WAIT_S",
+        ),
+        events=("OUTCOME_UNKNOWN", "ID_TABLE_FULL"),
+        tests=(
+            Scenario("faults", "A booking resent through another host runs once"),
+            Scenario(
+                "faults", "A booking whose entry was killed is unknown, and stays so"
+            ),
+            Scenario(
+                "invariants", "Requests that may not be repeated, resent everywhere"
+            ),
+        ),
+    ),
+)
