--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -14,6 +14,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.bundles import bundle
+from spindlenotch.decisions import hedging, queueing, retrying
 from spindlenotch.kernel import (
     budgets,
     outcomes,
@@ -25,16 +26,6 @@
 
 #: Decisions kept for ``explain``.
 DECISIONS_KEPT = 2000
-#: An answer is overdue when a healthy upstream would be this unlikely to be
-#: silent for so long: exp(-4) is about 2 in 100.
-SILENCE_EXPONENT = 4.0
-#: A slowed upstream is worth a second copy once the first has taken this share
-#: of the usual time.
-SLOWED_SHARE = 0.6
-#: Looked at this often, as a share of the usual time, where paces are told.
-CHECK_SHARE = 0.5
-#: The soonest that a waiting caller is told to come back, in seconds.
-LEAST_RETRY_S = 0.05
 
 
 class Kind(enum.Enum):
@@ -147,7 +138,9 @@
         if call.deadline <= now:
             return outcomes.not_run(outcomes.Reason.DEADLINE_PASSED)
         if not self._anyone(now):
-            return outcomes.not_run(outcomes.Reason.NO_UPSTREAM, self.pool.soonest(now))
+            return outcomes.not_run(
+                outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
+            )
         verdict = self._place(call, now)
         refused = isinstance(verdict, outcomes.Refusal)
         self.pool.refusing.add(1.0 if refused else 0.0)
@@ -216,19 +209,17 @@
         Called while calls wait. They get their final answer now rather than
         at the deadline, with the time at which the queue will have passed.
         """
-        hopeless = [
+        given_up = [
             call
             for ahead, call in enumerate(self.queue)
-            if now >= call.wait_until
-            or call.deadline - now
-            < self.expected_wait(ahead) + self.pool.typical_latency_s(call.operation)
+            if queueing.is_given_up(self.pool, call, ahead, now)
         ]
-        retry_at = self._retry_at(now)
-        for call in hopeless:
+        retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+        for call in given_up:
             self.queue.remove(call.id)
             self.pool.refusing.add(1.0)
         refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
-        return [Settlement(call, refusal) for call in hopeless]
+        return [Settlement(call, refusal) for call in given_up]
 
     def withdraw(self, call_id: ids.CallId) -> None:
         """Take a call out of the queue; its caller is gone."""
@@ -244,42 +235,35 @@
         said that this try has not run and never will.
         """
         call = grant.call
-        if call.deadline <= now or self._all_tries_used(call):
-            return None
-        if not known_not_run and (not call.repeatable or self.pool.in_trouble()):
-            return None
-        if not self.retries.available(now):
+        tries = len(self.tried_by_call.get(call.id, ()))
+        allowed = retrying.is_allowed(
+            self.pool, call, tries, now, known_not_run=known_not_run
+        )
+        if not allowed or not self.retries.available(now):
             return None
         retry = self._grant(call, Kind.RETRY, now)
         if retry is not None:
             self.retries.spend(now)
         return retry
 
-    def _all_tries_used(self, call: waiting.Call) -> bool:
-        return len(self.tried_by_call.get(call.id, ())) >= call.most_tries
-
     def next_check(self, grant: Grant, now: ids.Instant) -> ids.Instant:
         """Return when to look again whether the answer is overdue."""
-        usual = self.pool.typical_latency_s(grant.call.operation)
-        if grant.upstream.reports_slowdown:
-            usual *= CHECK_SHARE
-        return ids.later(now, max(0.001, usual))
+        interval_s = hedging.check_interval_s(
+            self.pool, grant.upstream, grant.call.operation
+        )
+        return ids.later(now, interval_s)
 
     def hedge(self, grant: Grant, now: ids.Instant) -> Grant | None:
-        """
-        Place a second copy of a call whose answer is overdue.
-
-        Overdue means: the upstream, not just this call, has been silent for
-        longer than chance explains, or the call is slower than 95 in 100.
-        """
+        """Place a second copy of a call whose answer is overdue, if it may have one."""
         self._eject_if_frozen(grant, now)
         call = grant.call
-        tried = self.tried_by_call.get(call.id, set())
-        if not call.repeatable or len(tried) != 1 or self.pool.in_trouble():
-            return None
-        if not self._overdue(grant, now) or len(self.queue):
+        tries = len(self.tried_by_call.get(call.id, ()))
+        if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
             return None
-        if self._all_tries_used(call) or not self.hedges.available(now):
+        overdue = hedging.is_overdue(
+            self.pool, grant.upstream, call.operation, grant.sent_at, now
+        )
+        if not overdue or not self.hedges.available(now):
             return None
         hedge = self._grant(call, Kind.HEDGE, now)
         if hedge is not None:
@@ -288,7 +272,7 @@
 
     def expected_wait(self, ahead: int) -> float:
         """Estimate the wait behind ``ahead`` calls, in seconds."""
-        return ahead * self.pool.typical_s.value / max(1.0, self.pool.owned_total)
+        return queueing.expected_wait_s(self.pool, ahead)
 
     def _place(
         self, call: waiting.Call, now: ids.Instant
@@ -298,25 +282,11 @@
             grant = self._grant(call, Kind.FIRST, now)
             if grant is not None:
                 return grant
-        wait_s = self.expected_wait(ahead)
-        if call.deadline - now < wait_s + self.pool.typical_latency_s(call.operation):
-            return outcomes.not_run(
-                outcomes.Reason.DEADLINE_HOPELESS, self._retry_at(now)
-            )
+        if queueing.is_hopeless(self.pool, call, ahead, now):
+            retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+            return outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
         return self._enqueue(call, now)
 
-    def _overdue(self, grant: Grant, now: ids.Instant) -> bool:
-        upstream = grant.upstream
-        age = now - grant.sent_at
-        if age > self.pool.p95_latency_s(grant.call.operation):
-            return True
-        usual = self.pool.typical_latency_s(grant.call.operation)
-        slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
-        if slowed and age > SLOWED_SHARE * usual:
-            return True
-        answers_per_s = upstream.outstanding / self.pool.typical_s.value
-        return upstream.silent_s(now) * answers_per_s > SILENCE_EXPONENT
-
     def _eject_if_frozen(self, grant: Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
@@ -361,21 +331,20 @@
         if len(self.queue) < self.queue.limit:
             self.queue.push(call)
             return Waiting(call)
-        victim = self.queue.lowest()
-        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, self._retry_at(now))
-        if victim is None or victim.rank <= call.rank:
+        retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, retry_at)
+        displaced = queueing.displaced_by(self.queue, call)
+        if displaced is None:
             return refusal
-        self.queue.remove(victim.id)
+        self.queue.remove(displaced.id)
         self.queue.push(call)
-        return Waiting(call, Settlement(victim, refusal))
+        return Waiting(call, Settlement(displaced, refusal))
 
     def _refuse_all(self, now: ids.Instant) -> list[Settlement]:
-        refusal = outcomes.not_run(outcomes.Reason.NO_UPSTREAM, self.pool.soonest(now))
+        refusal = outcomes.not_run(
+            outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
+        )
         waiting_calls = list(self.queue)
         for call in waiting_calls:
             self.queue.remove(call.id)
         return [Settlement(call, refusal) for call in waiting_calls]
-
-    def _retry_at(self, now: ids.Instant) -> ids.Instant:
-        wait = self.expected_wait(len(self.queue) + 1)
-        return ids.later(now, max(LEAST_RETRY_S, wait))
--- a/spindlenotch/decisions/selection_owned.py
+++ b/spindlenotch/decisions/selection_owned.py
@@ -14,6 +14,7 @@
 from collections import abc
 
 from spindlenotch import ids, selection
+from spindlenotch.decisions import overload, queueing_cost
 from spindlenotch.kernel import pool as pools, upstreams, waiting
 
 #: Upstreams looked at besides the own ones. Few, and random, so that many
@@ -58,7 +59,7 @@
         own = self._best_own(pool, now, exclude)
         if own is not None and own.cost <= SLOW_COST:
             return _choice(pool, own, selection.Rule.OWN_SLOT, (own,))
-        overloaded = pool.overloaded()
+        overloaded = overload.is_overloaded(pool)
         factor = LEAST_FACTOR if overloaded else self.factor
         limit = max(1.0, pool.owned_total * factor)
         if pool.owned and pool.busy() >= limit:
@@ -67,7 +68,7 @@
         options = self._options(pool, sampled, now, exclude)
         if not options:
             return None
-        candidates = tuple(selection.appraise(pool, u, now) for u in options)
+        candidates = tuple(queueing_cost.appraise(pool, u, now) for u in options)
         best = min(candidates, key=_cost)
         return _choice(pool, best, selection.Rule.CHEAPEST, candidates)
 
@@ -91,7 +92,7 @@
                 continue
             if not upstream.may_take(now):
                 continue
-            candidate = selection.appraise(pool, upstream, now)
+            candidate = queueing_cost.appraise(pool, upstream, now)
             if best is None or candidate.cost < best.cost:
                 best = candidate
             seen += 1
--- a/spindlenotch/decisions/selection_paced.py
+++ b/spindlenotch/decisions/selection_paced.py
@@ -10,6 +10,7 @@
 """
 
 from spindlenotch import ids, selection
+from spindlenotch.decisions import silence
 from spindlenotch.kernel import crowding, pool as pools, upstreams, waiting
 
 NAME = "paced"
@@ -22,10 +23,6 @@
 FULL_EXTRA = 0.7
 #: How many times as long work takes in an upstream that has just started.
 COLD_FACTOR = 2.0
-#: An answer that is overdue says more than those that came: beyond this many
-#: usual times each counts so much.
-SILENT_USUAL = 3.0
-SILENT_COST = 0.3
 #: Least and most that the ratio of observed to expected times counts.
 MIN_LATENCY_RATIO = 0.7
 #: With so many answers its own slowness counts as much as that of all.
@@ -134,9 +131,6 @@
     if full > NEARLY_FULL:
         work *= 1.0 + FULL_EXTRA * (full - NEARLY_FULL) / (1.0 - NEARLY_FULL)
     ahead = max(0.0, running + 1 - slots)
-    if upstream.sent_at_by_call:
-        silent = upstream.silent_s(now) * upstream.outstanding / pool.typical_s.value
-        if silent > SILENT_USUAL:
-            work *= 1.0 + SILENT_COST * (silent - SILENT_USUAL)
+    work *= 1.0 + silence.overdue_cost(upstream, pool.typical_s.value, now)
     far = 0.0 if upstream.spec.zone == pool.local_member.zone else call.cross_zone_s
     return work * (1.0 + ahead / slots) + far
--- /dev/null
+++ b/spindlenotch/decisions/silence.py
@@ -0,0 +1,37 @@
+"""
+What the silence of an upstream with outstanding calls says of it.
+
+An answer that is overdue says more than those that came. The unit is the
+number of answers that a healthy upstream would have given in the time of the
+silence. Used by both cost estimates and by ``hedging``.
+"""
+
+from spindlenotch import ids
+from spindlenotch.kernel import upstreams
+
+#: Missed answers that cost nothing yet. Chosen, not measured.
+FREE_MISSED_ANSWERS = 3.0
+#: What each further one costs, as a share of the typical latency. Chosen, not
+#: measured.
+COST_PER_MISSED_ANSWER = 0.3
+
+
+def missed_answers(
+    upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
+) -> float:
+    """
+    Return how many answers it should have given since its last one.
+
+    ``typical_s`` is the service's typical latency in seconds.
+    """
+    return upstream.silent_s(now) * upstream.outstanding / typical_s
+
+
+def overdue_cost(
+    upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
+) -> float:
+    """Return what its silence costs, as a share of the typical latency."""
+    if not upstream.sent_at_by_call:
+        return 0.0
+    missed = missed_answers(upstream, typical_s, now)
+    return COST_PER_MISSED_ANSWER * max(0.0, missed - FREE_MISSED_ANSWERS)
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, queueing_cost
 from spindlenotch.entry import entry_state
 from spindlenotch.kernel import pool, upstreams
 from spindlenotch.peers import gossip
@@ -113,6 +113,8 @@
 
 
 def _upstream(found: pool.Pool, upstream: upstreams.Upstream, now: ids.Instant) -> Dump:
+    load = found.estimated_load(upstream, now)
+    cost = queueing_cost.estimate(found, upstream, load, now)
     return {
         "id": upstream.spec.id,
         "zone": upstream.spec.zone,
@@ -122,11 +124,11 @@
         "why": upstream.state_reason,
         "owned_slots": round(upstream.owned_slots, 3),
         "outstanding": upstream.outstanding,
-        "believed_running": round(found.estimated_load(upstream, now), 2),
+        "believed_running": round(load, 2),
         "belief_age_s": round(now - upstream.report_at, 4),
         "silent_s": round(upstream.silent_s(now), 4),
         "slowness": round(upstream.latency_ratio.value, 3),
-        "cost": round(found.cost(upstream, now), 3),
+        "cost": round(cost, 3),
     }
 
 
--- a/spindlenotch/entry/measuring.py
+++ b/spindlenotch/entry/measuring.py
@@ -15,7 +15,7 @@
 from spindlenotch import events, ids, ports
 from spindlenotch.bundles import bundle
 from spindlenotch.entry import entry_state
-from spindlenotch.kernel import budgets, rendezvous, upstreams
+from spindlenotch.kernel import budgets, ejection, rendezvous, upstreams
 
 LEASE_S = 10.0
 #: The holder stops this long before the lease ends.
@@ -203,5 +203,5 @@
             return
         upstream.failures_in_row += 1
         found = self.state.balancer_by_service.get(service)
-        if upstream.failures_in_row >= upstreams.EJECT_AFTER_FAILURES and found:
+        if upstream.failures_in_row >= ejection.FAILURES_IN_ROW and found:
             found.pool.eject(upstream, "probes fail", now)
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -12,7 +12,7 @@
 from collections import abc
 
 from spindlenotch import clock as clocks, events, headers, ids, metrics, ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, queueing
 from spindlenotch.kernel import outcomes, upstreams, waiting
 
 #: How often the queue is looked at while calls wait and no answer ends.
@@ -419,7 +419,7 @@
     def _refusal(self, reason: outcomes.Reason, may_have_run: bool) -> outcomes.Refusal:
         retry_at = None
         if reason is not outcomes.Reason.DEADLINE_PASSED:
-            wait_s = self.retry_after_s or balancer.LEAST_RETRY_S
+            wait_s = self.retry_after_s or queueing.LEAST_RETRY_AFTER_S
             retry_at = ids.later(self.path.state.clock.now(), wait_s)
         if may_have_run:
             return outcomes.unknown(reason, retry_at)
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -2,8 +2,9 @@
 The upstreams of one service as one entry sees them.
 
 Keeps the set in step with the host list, cuts out the entry's own slots,
-ejects what fails or falls silent, and answers the two questions selection
-asks: which upstreams may take work, and what a request would cost there.
+ejects what fails or falls silent by the rules of ``ejection``, and answers what
+the decisions ask: which upstreams may take work, how much they are estimated to
+have, how long a request typically takes.
 """
 
 import collections
@@ -13,21 +14,17 @@
 
 from spindlenotch import ids
 from spindlenotch.bundles import bundle
-from spindlenotch.kernel import crowding, latency, ownership, schedule, upstreams
+from spindlenotch.kernel import (
+    crowding,
+    ejection,
+    latency,
+    ownership,
+    schedule,
+    upstreams,
+)
 
 #: Beliefs about others' requests fade over this many usual request times.
 BELIEF_FADES_AFTER = 2.0
-#: An upstream is taken for frozen after this many times the slow quantile.
-FROZEN_FACTOR = 3.0
-FROZEN_LEAST_S = 0.25
-#: What one millisecond between zones counts, in seconds.
-ZONE_CROSSING_S = 0.001
-#: Failing share of recent answers above which retries would only add load.
-TROUBLE_SHARE = 0.3
-#: Overload: this share of calls refused, or so many waiting per own slot.
-OVERLOAD_SHARE = 0.05
-OVERLOAD_WAITING = 5.0
-
 
 #: Changes of state kept until somebody takes them.
 CHANGES_KEPT = 1000
@@ -242,33 +239,6 @@
             total = report.running + report.queued
             self.mean_foreign_load.add(max(0, total - upstream.outstanding))
 
-    def cost(self, upstream: upstreams.Upstream, now: ids.Instant) -> float:
-        """
-        Estimate what a usual request would take there.
-
-        The unit is the usual request time: one is an idle, healthy upstream
-        in this zone.
-        """
-        return self.cost_of(upstream, self.estimated_load(upstream, now), now)
-
-    def cost_of(
-        self, upstream: upstreams.Upstream, running: float, now: ids.Instant
-    ) -> float:
-        """Estimate the same, with so many requests believed to be in it."""
-        slots = upstream.slots
-        usual = self.typical_s.value
-        full = min(1.0, running / slots) ** slots
-        waiting = full + max(0.0, running + 1 - slots)
-        latency_ratio = max(0.5, upstream.latency_ratio.value)
-        if upstream.sent_at_by_call:
-            # An answer that is overdue says more than those that came.
-            silent = upstream.silent_s(now) * upstream.outstanding / usual
-            latency_ratio += 0.3 * max(0.0, silent - 3)
-        way = (
-            0.0 if upstream.spec.zone == self.local_member.zone else 2 * ZONE_CROSSING_S
-        )
-        return float(latency_ratio * (1 + waiting / slots) + way / usual)
-
     def note(
         self,
         upstream: upstreams.Upstream,
@@ -287,18 +257,21 @@
             if operation in self.typical_by_operation:
                 self.typical_by_operation[operation].add(took_s)
                 self.p95_by_operation[operation].add(took_s)
-        if upstream.failures_in_row >= upstreams.EJECT_AFTER_FAILURES:
-            self.eject(upstream, "failures in a row", now)
-        elif bad and upstream.state is upstreams.State.PROBATION:
-            self.eject(upstream, "failed on probation", now)
+        reason = ejection.reason_to_eject(
+            failed=bad,
+            failures_in_row=upstream.failures_in_row,
+            on_probation=upstream.state is upstreams.State.PROBATION,
+        )
+        if reason is not None:
+            self.eject(upstream, reason, now)
 
     def eject(
         self, upstream: upstreams.Upstream, reason: str, now: ids.Instant
     ) -> bool:
         """Eject an upstream unless too many are out already."""
-        out = sum(u.state is upstreams.State.EJECTED for u in self.ejected)
-        allowed = max(1, int(self.service.eject_share * len(self.usable_order)))
-        if out >= allowed or len(self.usable_order) < 2:
+        ejected = sum(u.state is upstreams.State.EJECTED for u in self.ejected)
+        usable = len(self.usable_order)
+        if not ejection.may_eject(ejected, usable, self.service.eject_share):
             return False
         upstream.eject(reason, now)
         self.refresh()
@@ -308,8 +281,7 @@
         self, upstream: upstreams.Upstream, operation: str, now: ids.Instant
     ) -> bool:
         """Tell whether its silence can only mean that it has stopped."""
-        limit = max(FROZEN_LEAST_S, FROZEN_FACTOR * self.p95_latency_s(operation))
-        return upstream.silent_s(now) > limit
+        return ejection.is_frozen(upstream.silent_s(now), self.p95_latency_s(operation))
 
     def tick(self, now: ids.Instant) -> None:
         """Let ejections end; called a few times a second."""
@@ -323,21 +295,11 @@
         """Count the calls under way but for those stuck in ejected upstreams."""
         return self.under_way - sum(u.outstanding for u in self.ejected)
 
-    def overloaded(self) -> bool:
-        """Tell whether more is asked for than the upstreams can bear."""
-        if self.refusing.value > OVERLOAD_SHARE:
-            return True
-        return self.waiting > OVERLOAD_WAITING * self.owned_total
-
-    def in_trouble(self) -> bool:
-        """Tell whether so much fails that extra requests only add load."""
-        return self.failing.value > TROUBLE_SHARE
-
-    def soonest(self, now: ids.Instant) -> ids.Instant:
-        """Return when an ejected upstream may come back, or a second hence."""
+    def usable_again_at(self, now: ids.Instant) -> ids.Instant:
+        """Return when the first ejection ends, or a moment where there is none."""
         ends = [
             u.state_until
             for u in self.usable_order
             if u.state is upstreams.State.EJECTED
         ]
-        return min(ends, default=ids.later(now, 1.0))
+        return min(ends, default=ids.later(now, ejection.RETRY_AFTER_S))
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -11,11 +11,8 @@
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.kernel import latency
+from spindlenotch.kernel import ejection, latency
 
-EJECT_AFTER_FAILURES = 3
-EJECT_BASE_S = 1.0
-EJECT_MAX_S = 30.0
 #: Weight of the newest sample in the estimate of an upstream's slowness.
 LATENCY_RATIO_WEIGHT = 0.08
 #: An upstream that works this many times slower than usual just now is slowed.
@@ -182,10 +179,10 @@
         """Take it out of use for a while that doubles each time in a row."""
         if self.state is State.LEAVING:
             return
-        pause = min(EJECT_MAX_S, EJECT_BASE_S * 2.0**self.ejections_in_row)
-        self.ejections_in_row = min(10, self.ejections_in_row + 1)
+        pause_s = ejection.pause_s(self.ejections_in_row)
+        self.ejections_in_row = min(ejection.MOST_COUNTED, self.ejections_in_row + 1)
         self.failures_in_row = 0
-        self._become(State.EJECTED, reason, ids.later(now, pause))
+        self._become(State.EJECTED, reason, ids.later(now, pause_s))
 
     def leave(self, reason: str) -> None:
         """Give it no new work until a higher generation is listed."""
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -99,20 +99,6 @@
     return found
 
 
-def appraise(
-    pool: pools.Pool, upstream: upstreams.Upstream, now: ids.Instant
-) -> Candidate:
-    """Return what is believed of ``upstream`` and what it would cost."""
-    running = pool.estimated_load(upstream, now)
-    return Candidate(
-        upstream.spec.id,
-        pool.cost_of(upstream, running, now),
-        running,
-        now - upstream.report_at,
-        upstream.owned_slots,
-    )
-
-
 class _Heedless:
     """A policy that makes nothing of reports."""
 
