--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -9,13 +9,15 @@
 from hypothesis import strategies
 
 from spindlenotch import ids, registry, selection
-from spindlenotch.bundles import bundle, bundle_check
+from spindlenotch.bundles import bundle_check
 from spindlenotch.decisions import balancer
 from spindlenotch.kernel import (
     budgets,
+    extra_budgets,
     outcomes,
     ownership,
     schedule,
+    service_policy,
     upstreams,
     waiting,
 )
@@ -27,6 +29,7 @@
 )
 NOW = ids.Instant(1000.0)
 ZONES = tuple(ids.ZoneName(z) for z in ("a", "b", "c"))
+SHARES = extra_budgets.SeparateShares(retry_share=0.05, hedge_share=0.05)
 small = strategies.integers(1, 12)
 
 
@@ -35,32 +38,35 @@
     PROPERTIES.get(name)()
 
 
-def service(policy: str = "owned", queue_limit: int = 50) -> bundle.Service:
-    """Return a service with a read that repeats and a booking that does not."""
-    operations = tuple(
-        bundle.Operation(name, frozenset({"GET"}), "/", ids.ClassName("c"), repeatable)
-        for name, repeatable in (("read", True), ("book", False))
-    )
-    return bundle.Service(
-        ids.ServiceName("s"),
-        ZONES,
-        2,
-        10,
-        10.0,
-        policy,
-        0.05,
-        0.05,
-        queue_limit,
-        0.3,
-        operations,
-        (),
+def service(
+    policy: str = "owned",
+    extra: extra_budgets.ExtraPolicy = SHARES,
+) -> service_policy.ServicePolicy:
+    """Return a service with two kinds of calls."""
+    return service_policy.ServicePolicy(
+        name=ids.ServiceName("s"),
+        zones=ZONES,
+        slots=2,
+        typical_s=0.01,
+        selection=policy,
+        extra=extra,
+        queue_limit=50,
+        eject_share=0.3,
+        latency_keys=("read", "book"),
     )
 
 
-def loaded(seed: int, count: int, policy: str = "owned") -> balancer.Balancer:
+def loaded(
+    seed: int,
+    count: int,
+    policy: str = "owned",
+    extra: extra_budgets.ExtraPolicy = SHARES,
+) -> balancer.Balancer:
     """Return a balancer with ``count`` upstreams that are warm."""
     local_member = ownership.Member(ZONES[0], ids.HostId("e0"))
-    made = balancer.Balancer(service(policy), local_member, random.Random(seed), NOW)
+    made = balancer.Balancer(
+        service(policy, extra), local_member, random.Random(seed), NOW
+    )
     specs = [
         upstreams.UpstreamSpec(
             ids.UpstreamId(f"u{n}"), ZONES[n % 3], ids.Address(""), 1
@@ -117,15 +123,11 @@
     @hypothesis.given(steps, strategies.floats(0, 1439.9))
     def check(drawn: list[tuple[int, list[float]]], minute: float) -> None:
         day = tuple(
-            bundle.DayStep(at, dict(zip(ZONES, values, strict=True)))
+            schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
             for at, values in sorted(drawn)
         )
-        made = service()
-        planned = bundle.Service(
-            **{f: getattr(made, f) for f in made.__slots__ if f != "day"}, day=day
-        )
-        before = schedule.planned(planned, minute)
-        after = schedule.planned(planned, (minute + 0.01) % 1440)
+        before = schedule.planned(ZONES, day, minute)
+        after = schedule.planned(ZONES, day, (minute + 0.01) % 1440)
         assert abs(sum(before.values()) - 1) < 1e-9
         steepest = 0.01 * 100 / max(1, _shortest(day)) + 1e-6
         for zone in ZONES:
@@ -134,7 +136,7 @@
     check()
 
 
-def _shortest(day: tuple[bundle.DayStep, ...]) -> float:
+def _shortest(day: tuple[schedule.DayStep, ...]) -> float:
     minutes = [step.minute for step in day]
     if len(minutes) == 1:
         return 1440
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -28,6 +28,7 @@
     sources,
     state as states,
 )
+from spindlenotch.kernel import schedule
 from spindlenotch.peers import (
     documents,
     gossip,
@@ -435,8 +436,8 @@
         ),
     )
     day = (
-        bundle.DayStep(minute=390, weight_by_zone={zones[0]: 1.5, zones[1]: 0.0}),
-        bundle.DayStep(minute=1080, weight_by_zone={zones[0]: 0.5, zones[1]: 2.0}),
+        schedule.DayStep(minute=390, weight_by_zone={zones[0]: 1.5, zones[1]: 0.0}),
+        schedule.DayStep(minute=1080, weight_by_zone={zones[0]: 0.5, zones[1]: 2.0}),
     )
     service = bundle.Service(
         name=ids.ServiceName("core"),
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -1,5 +1,5 @@
 """
-The bundle as the kernel sees it: checked, immutable, keyed by name.
+The bundle as the daemons see it: checked, immutable, keyed by name.
 
 ``bundle_check`` builds these objects from TOML and is the only module that
 does. Units: shares are fractions of one, times are seconds unless the name
@@ -9,6 +9,7 @@
 import dataclasses
 
 from spindlenotch import ids
+from spindlenotch.kernel import schedule
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,14 +27,6 @@
         return method in self.methods and path.startswith(self.prefix)
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class DayStep:
-    """Zone weights that hold exactly at ``minute`` of the local day."""
-
-    minute: int
-    weight_by_zone: dict[ids.ZoneName, float]
-
-
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
     """
@@ -55,7 +48,7 @@
     queue_limit: int
     eject_share: float
     operations: tuple[Operation, ...]
-    day: tuple[DayStep, ...]
+    day: tuple[schedule.DayStep, ...]
 
     def operation_for(self, method: str, path: str) -> Operation | None:
         """Return the operation with the longest matching prefix, if any."""
--- a/spindlenotch/bundles/bundle_check.py
+++ b/spindlenotch/bundles/bundle_check.py
@@ -16,6 +16,7 @@
 
 from spindlenotch import ids
 from spindlenotch.bundles import bundle
+from spindlenotch.kernel import schedule
 
 #: The store holds values of up to a megabyte; the envelope needs some of it.
 MAX_TEXT_BYTES = 900_000
@@ -336,7 +337,7 @@
 
 def _read_day(
     checker: Checker, service: Table, path: str, zones: tuple[ids.ZoneName, ...]
-) -> tuple[bundle.DayStep, ...]:
+) -> tuple[schedule.DayStep, ...]:
     steps = []
     for i, table in enumerate(checker.tables(service, "day", f"{path}.day")):
         where = f"{path}.day[{i}]"
@@ -347,7 +348,7 @@
         minute = int(clock[1]) * 60 + int(clock[2]) if clock else 0
         weights = checker.table(table, "weights", f"{where}.weights")
         steps.append(
-            bundle.DayStep(minute, _read_weights(checker, weights, where, zones))
+            schedule.DayStep(minute, _read_weights(checker, weights, where, zones))
         )
     minutes = [s.minute for s in steps]
     if minutes != sorted(set(minutes)):
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -13,13 +13,12 @@
 import random
 
 from spindlenotch import ids, selection
-from spindlenotch.bundles import bundle
 from spindlenotch.decisions import hedging, queueing, retrying
 from spindlenotch.kernel import (
-    budgets,
     outcomes,
     ownership,
     pool as pools,
+    service_policy,
     upstreams,
     waiting,
 )
@@ -98,43 +97,37 @@
 
     def __init__(
         self,
-        service: bundle.Service,
+        service: service_policy.ServicePolicy,
         local_member: ownership.Member,
         rng: random.Random,
         now: ids.Instant,
     ) -> None:
         self.service = service
         self.pool = pools.Pool(service, local_member, rng, now)
-        self.policy = selection.POLICIES.get(service.policy)()
+        self.policy = selection.POLICIES.get(service.selection)()
         self.queue = waiting.WaitQueue(service.queue_limit)
-        self.hedges: budgets.ExtraBudget = budgets.ShareBudget(service.hedge_share)
-        self.retries: budgets.ExtraBudget = budgets.ShareBudget(service.retry_share)
+        self.extra = service.extra.create()
+        self.retries = self.extra.retries
+        self.hedges = self.extra.hedges
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self.decisions: collections.deque[Decision] = collections.deque(
             maxlen=DECISIONS_KEPT
         )
 
-    def update_service(self, service: bundle.Service) -> None:
-        """Take in a new bundle's settings; beliefs and calls stay."""
-        if service.policy != self.service.policy:
-            self.policy = selection.POLICIES.get(service.policy)()
+    def update_service(self, service: service_policy.ServicePolicy) -> None:
+        """Put a changed policy into force; beliefs and calls stay."""
+        if service.selection != self.service.selection:
+            self.policy = selection.POLICIES.get(service.selection)()
         self.service = service
         self.pool.service = service
         self.queue.limit = service.queue_limit
-        for budget, share in (
-            (self.hedges, service.hedge_share),
-            (self.retries, service.retry_share),
-        ):
-            if isinstance(budget, budgets.ShareBudget):
-                budget.share = share
+        service.extra.update(self.extra)
 
     def offer(
         self, call: waiting.Call, now: ids.Instant
     ) -> Grant | Waiting | outcomes.Refusal:
         """Decide on a new call."""
-        self.hedges.earn(now)
-        if self.retries is not self.hedges:
-            self.retries.earn(now)
+        self.extra.earn(now)
         if call.deadline <= now:
             return outcomes.not_run(outcomes.Reason.DEADLINE_PASSED)
         if not self._anyone(now):
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from spindlenotch import clock, events, ids, metrics, selection
-from spindlenotch.bundles import bundle, bundle_seal
+from spindlenotch.bundles import bundle, bundle_seal, kernel_policy
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import once, readiness, settings
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
@@ -130,7 +130,9 @@
             return
         minute = schedule.minute_of_day(self.clock.unix_s(), current.timezone)
         for service in self.balancer_by_service.values():
-            service.pool.set_plan(schedule.planned(service.service, minute))
+            policy = service.service
+            plan = schedule.planned(policy.zones, policy.day, minute)
+            service.pool.set_plan(plan)
 
     def publish_status(self) -> None:
         """Put phase and bundle version into what peers are told."""
@@ -172,12 +174,13 @@
         for name in set(self.balancer_by_service) - set(services):
             del self.balancer_by_service[name]
         for name, service in services.items():
+            policy = kernel_policy.of(service)
             existing = self.balancer_by_service.get(name)
             if existing is None:
                 rng = random.Random(self.rng.getrandbits(64))
-                existing = balancer.Balancer(service, self.local_member, rng, now)
+                existing = balancer.Balancer(policy, self.local_member, rng, now)
                 self.balancer_by_service[name] = existing
-            existing.update_service(service)
+            existing.update_service(policy)
         version = opened.bundle.version
         self.metrics.bundle_version.set(version)
         self.gossip.advertise(_records_of(document_of(opened)))
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -68,7 +68,7 @@
     recent = list(found.decisions)[-10:]
     return {
         **_service(found, now),
-        "policy": found.service.policy,
+        "policy": found.service.selection,
         "recent": [_decision(decision, now) for decision in recent],
     }
 
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -12,7 +12,6 @@
 from collections import abc
 
 from spindlenotch import clock as clocks, events, ids, metrics
-from spindlenotch.bundles import bundle
 from spindlenotch.decisions import balancer, selection_paced
 from spindlenotch.gateway import (
     demand as demands,
@@ -22,7 +21,7 @@
     settings,
     sources,
 )
-from spindlenotch.kernel import budgets, ownership, upstreams
+from spindlenotch.kernel import extra_budgets, ownership, service_policy, upstreams
 from spindlenotch.peers import gossip
 
 POLICY = selection_paced.NAME
@@ -236,7 +235,7 @@
             specs = specs_by_service.get(name, [])
             zones = {spec.zone for spec in specs} | {self.config.zone}
             if set(service.service.zones) != zones:
-                service.update_service(_service(name, tuple(sorted(zones))))
+                service.update_service(self._service(name, tuple(sorted(zones))))
             service.pool.set_listed(specs, now)
         self._report_changes()
 
@@ -258,15 +257,29 @@
 
     def _new_balancer(self, name: ids.ServiceName) -> balancer.Balancer:
         now = self.clock.now()
-        service = _service(name, (self.config.zone,))
-        made = balancer.Balancer(service, self.local_member, self.rng, now)
+        service = self._service(name, (self.config.zone,))
+        return balancer.Balancer(service, self.local_member, self.rng, now)
+
+    def _service(
+        self, name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]
+    ) -> service_policy.ServicePolicy:
+        """Return what the kernel needs to know of a service."""
         config = self.config
-        made.retries = made.hedges = budgets.SlidingShareBudget(
-            EXTRA_MARGIN * config.extra_share,
-            int(config.extra_reserve / RESERVE_PARTS),
-            config.extra_window_s,
+        return service_policy.ServicePolicy(
+            name=name,
+            zones=zones,
+            # Only where an upstream is listed without slots of its own.
+            slots=1,
+            typical_s=USUAL_UNKNOWN_S,
+            selection=POLICY,
+            extra=extra_budgets.SharedWindow(
+                share=EXTRA_MARGIN * config.extra_share,
+                reserve=int(config.extra_reserve / RESERVE_PARTS),
+                window_s=config.extra_window_s,
+            ),
+            queue_limit=QUEUE_LIMIT,
+            eject_share=EJECT_SHARE,
         )
-        return made
 
     def _own_record(self) -> gossip.MemberRecord:
         return gossip.MemberRecord(
@@ -293,21 +306,3 @@
     upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
     upstreams.State.PROBATION: events.Event.UPSTREAM_PROBATION,
 }
-
-
-def _service(name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]) -> bundle.Service:
-    """Return what the kernel needs to know of a service."""
-    return bundle.Service(
-        name=name,
-        zones=zones,
-        slots=1,
-        connections=1,
-        typical_ms=USUAL_UNKNOWN_S * 1000,
-        policy=POLICY,
-        hedge_share=0.0,
-        retry_share=0.0,
-        queue_limit=QUEUE_LIMIT,
-        eject_share=EJECT_SHARE,
-        operations=(),
-        day=(),
-    )
--- /dev/null
+++ b/spindlenotch/kernel/extra_budgets.py
@@ -0,0 +1,89 @@
+"""
+How the budgets of retries and hedges go together: separate or shared.
+
+A service has one of two named policies: each kind gets a share of the traffic
+of its own (``SeparateShares``), or both draw on one sliding window
+(``SharedWindow``). Relies on ``budgets`` for the arithmetic.
+"""
+
+import dataclasses
+import typing
+
+from spindlenotch import ids
+from spindlenotch.kernel import budgets
+
+
+class ExtraBudgets:
+    """
+    The budgets of one service's retries and hedges.
+
+    Both may be the same budget, which then earns once for each call.
+    """
+
+    def __init__(
+        self, retries: budgets.ExtraBudget, hedges: budgets.ExtraBudget
+    ) -> None:
+        self.retries = retries
+        self.hedges = hedges
+        shared = retries is hedges
+        self._distinct = (retries,) if shared else (retries, hedges)
+
+    def earn(self, now: ids.Instant) -> None:
+        """Count one ordinary request."""
+        for budget in self._distinct:
+            budget.earn(now)
+
+
+class ExtraPolicy(typing.Protocol):
+    """Says which budgets a service has."""
+
+    def create(self) -> ExtraBudgets:
+        """Return new budgets."""
+
+    def update(self, existing: ExtraBudgets) -> None:
+        """Put this policy into force in budgets that are already in use."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class SeparateShares:
+    """Retries and hedges each get a share of the calls offered, from 0 to 1."""
+
+    retry_share: float
+    hedge_share: float
+
+    def create(self) -> ExtraBudgets:
+        """Return new budgets with their initial reserve."""
+        return ExtraBudgets(
+            budgets.ShareBudget(self.retry_share), budgets.ShareBudget(self.hedge_share)
+        )
+
+    def update(self, existing: ExtraBudgets) -> None:
+        """Change the shares; what has been earned stays."""
+        for budget, share in (
+            (existing.retries, self.retry_share),
+            (existing.hedges, self.hedge_share),
+        ):
+            if isinstance(budget, budgets.ShareBudget):
+                budget.share = share
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class SharedWindow:
+    """
+    Retries and hedges together get one budget over a sliding window.
+
+    ``share`` of the calls offered in ``window_s`` seconds, and ``reserve``
+    besides.
+    """
+
+    share: float
+    reserve: int
+    window_s: float
+
+    def create(self) -> ExtraBudgets:
+        """Return one new budget for both."""
+        shared = budgets.SlidingShareBudget(self.share, self.reserve, self.window_s)
+        return ExtraBudgets(shared, shared)
+
+    def update(self, existing: ExtraBudgets) -> None:
+        """Leave the budget as it was created: its settings need a restart."""
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -13,13 +13,13 @@
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.bundles import bundle
 from spindlenotch.kernel import (
     crowding,
     ejection,
     latency,
     ownership,
     schedule,
+    service_policy,
     upstreams,
 )
 
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        service: bundle.Service,
+        service: service_policy.ServicePolicy,
         local_member: ownership.Member,
         rng: random.Random,
         now: ids.Instant,
@@ -68,7 +68,9 @@
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
-        self.plan: dict[ids.ZoneName, float] = schedule.planned(service, 0.0)
+        self.plan: dict[ids.ZoneName, float] = schedule.planned(
+            service.zones, service.day, 0.0
+        )
         self.mean_foreign_load = latency.Mean(0.0, 0.02)
         self.refusing = latency.Mean(0.0, 0.01)
         self.under_way = 0
@@ -79,14 +81,15 @@
         #: The mean of all upstreams' slowness, by answers.
         self.latency_ratio = latency.Mean(1.0, 0.02)
         self.crowding = crowding.Crowding()
-        usual = service.typical_ms / 1000
+        typical_s = service.typical_s
         self.typical_by_operation = {
-            o.name: latency.Mean(usual, 0.05) for o in service.operations
+            key: latency.Mean(typical_s, 0.05) for key in service.latency_keys
         }
         self.p95_by_operation = {
-            o.name: latency.QuantileTracker(0.95, usual * 3) for o in service.operations
+            key: latency.QuantileTracker(0.95, typical_s * 3)
+            for key in service.latency_keys
         }
-        self.typical_s = latency.Mean(usual, 0.02)
+        self.typical_s = latency.Mean(typical_s, 0.02)
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the entries that are alive, this one included."""
--- a/spindlenotch/kernel/schedule.py
+++ b/spindlenotch/kernel/schedule.py
@@ -1,44 +1,56 @@
 """
 The day's movement: how much of a service's traffic each zone should carry.
 
-Weights move on a straight line between the steps of the bundle, around
+Weights move on a straight line between the planned steps, around
 midnight as well, so that a restart or a skewed clock causes no jump. What is
 observed overrides the plan: a zone without usable upstreams gets weight zero,
 and where all planned zones are empty every zone counts alike.
 """
 
+import dataclasses
 import datetime
 import zoneinfo
 
 from spindlenotch import ids
-from spindlenotch.bundles import bundle
 
 MINUTES_PER_DAY = 1440.0
 
 
+@dataclasses.dataclass(frozen=True, slots=True)
+class DayStep:
+    """Zone weights that hold exactly at ``minute`` of the local day."""
+
+    minute: int
+    weight_by_zone: dict[ids.ZoneName, float]
+
+
 def minute_of_day(unix_s: float, timezone: str) -> float:
     """Return the local minute of the day, with fractions."""
     local = datetime.datetime.fromtimestamp(unix_s, zoneinfo.ZoneInfo(timezone))
     return local.hour * 60 + local.minute + local.second / 60
 
 
-def planned(service: bundle.Service, minute: float) -> dict[ids.ZoneName, float]:
-    """Return the weight of each zone at ``minute``; shares add up to one."""
-    if not service.day:
-        return _shares(dict.fromkeys(service.zones, 1.0))
-    before = service.day[-1]
-    after = service.day[0]
-    for step in service.day:
+def planned(
+    zones: tuple[ids.ZoneName, ...], day: tuple[DayStep, ...], minute: float
+) -> dict[ids.ZoneName, float]:
+    """
+    Return the weight of each zone at ``minute``; shares add up to one.
+
+    ``day`` is in order of minutes; where it is empty every zone counts alike.
+    """
+    if not day:
+        return _shares(dict.fromkeys(zones, 1.0))
+    before = day[-1]
+    after = day[0]
+    for step in day:
         if step.minute <= minute:
             before = step
-    for step in reversed(service.day):
+    for step in reversed(day):
         if step.minute > minute:
             after = step
     span = (after.minute - before.minute) % MINUTES_PER_DAY or MINUTES_PER_DAY
     progress = ((minute - before.minute) % MINUTES_PER_DAY) / span
-    return _shares(
-        {zone: _between(before, after, zone, progress) for zone in service.zones}
-    )
+    return _shares({zone: _between(before, after, zone, progress) for zone in zones})
 
 
 def effective(
@@ -59,7 +71,7 @@
 
 
 def _between(
-    before: bundle.DayStep, after: bundle.DayStep, zone: ids.ZoneName, progress: float
+    before: DayStep, after: DayStep, zone: ids.ZoneName, progress: float
 ) -> float:
     start = before.weight_by_zone.get(zone, 0.0)
     end = after.weight_by_zone.get(zone, 0.0)
--- /dev/null
+++ b/spindlenotch/kernel/service_policy.py
@@ -0,0 +1,37 @@
+"""
+What the kernel needs to know of one service.
+
+Built from a signed bundle in the entry daemon and from the gateway's defaults
+in the gateway. Owns no state. Immutable: a changed service is a new policy,
+which ``Balancer.update_service`` puts into force.
+"""
+
+import dataclasses
+
+from spindlenotch import ids
+from spindlenotch.kernel import extra_budgets, schedule
+
+
+@dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
+class ServicePolicy:
+    """
+    How the calls of one service are treated.
+
+    ``slots`` is what an upstream runs at once where its own spec says nothing;
+    ``typical_s`` seeds every latency estimate before there are measurements;
+    ``latency_keys`` name the kinds of calls whose latency is followed
+    separately. ``selection`` is the registered name of the selection policy,
+    ``eject_share`` the share of the upstreams that may be ejected at a time.
+    ``day`` holds the planned zone weights; empty where all zones count alike.
+    """
+
+    name: ids.ServiceName
+    zones: tuple[ids.ZoneName, ...]
+    slots: int
+    typical_s: float
+    selection: str
+    extra: extra_budgets.ExtraPolicy
+    queue_limit: int
+    eject_share: float
+    latency_keys: tuple[str, ...] = ()
+    day: tuple[schedule.DayStep, ...] = ()
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -23,10 +23,12 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import once, plugins
 from spindlenotch.kernel import (
+    extra_budgets,
     hostlist,
     outcomes,
     ownership,
     rendezvous,
+    service_policy,
     upstreams,
     waiting,
 )
@@ -34,25 +36,18 @@
 from tools import measure_gossip, slopes
 
 
-def service(name: str) -> bundle.Service:
-    """Return a service of usual settings."""
-    operation = bundle.Operation(
-        "read", frozenset({"GET"}), "/", ids.ClassName("browse"), True
-    )
-    zones = tuple(ids.ZoneName(f"zone-{n}") for n in range(5))
-    return bundle.Service(
-        ids.ServiceName(name),
-        zones,
-        6,
-        250,
-        20.0,
-        "owned",
-        0.05,
-        0.05,
-        200,
-        0.3,
-        (operation,),
-        (),
+def service(name: str) -> service_policy.ServicePolicy:
+    """Return a service of typical settings."""
+    return service_policy.ServicePolicy(
+        name=ids.ServiceName(name),
+        zones=tuple(ids.ZoneName(f"zone-{n}") for n in range(5)),
+        slots=6,
+        typical_s=0.02,
+        selection="owned",
+        extra=extra_budgets.SeparateShares(retry_share=0.05, hedge_share=0.05),
+        queue_limit=200,
+        eject_share=0.3,
+        latency_keys=("read",),
     )
 
 
