--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -7,7 +7,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, selection_paced
+from spindlenotch.decisions import balancer, soonest
 from spindlenotch.kernel import crowding, extra_budgets, upstreams
 
 NOW = kernel.NOW
@@ -17,7 +17,7 @@
 def paced(slots: list[int]) -> balancer.Balancer:
     """Return a balancer by the policy of the gateway."""
     extra = extra_budgets.SharedWindow(share=0.0, reserve=1000, window_s=10.0)
-    made = kernel.loaded(1, 0, selection_paced.NAME, extra)
+    made = kernel.loaded(1, 0, soonest.NAME, extra)
     specs = [
         upstreams.UpstreamSpec(ids.UpstreamId(f"u{n}"), ZONE, ids.Address(""), 1, count)
         for n, count in enumerate(slots)
--- a/spindlenotch/entry/plugins.py
+++ b/spindlenotch/entry/plugins.py
@@ -10,7 +10,7 @@
 MODULES = (
     "spindlenotch.clock",
     "spindlenotch.selection",
-    "spindlenotch.decisions.selection_owned",
+    "spindlenotch.decisions.owned_slots",
     "spindlenotch.drivers.store_http",
     "spindlenotch.drivers.hostlist_http",
     "spindlenotch.drivers.upstream_http",
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -12,7 +12,7 @@
 from collections import abc
 
 from spindlenotch import clock as clocks, events, ids, metrics
-from spindlenotch.decisions import balancer, selection_paced
+from spindlenotch.decisions import balancer, soonest
 from spindlenotch.gateway import (
     demand as demands,
     entry_choice,
@@ -24,7 +24,7 @@
 from spindlenotch.kernel import extra_budgets, ownership, service_policy, upstreams
 from spindlenotch.peers import gossip
 
-POLICY = selection_paced.NAME
+POLICY = soonest.NAME
 #: What a request is taken to need before any was measured, as a share of the
 #: time within which it should be answered.
 USUAL_OF_TARGET = 0.35
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -4,7 +4,7 @@
 A policy is registered by name; the bundle names the one a service uses. All
 are pure: pool, call, instant and the pool's seeded random numbers in, a
 decision with its reason out. The baselines here stay because a signed bundle
-may name them; the project recommends ``selection_owned``.
+may name them; the project recommends ``owned_slots``.
 """
 
 import dataclasses
