--- a/spindlenotch/entry/plugins.py
+++ b/spindlenotch/entry/plugins.py
@@ -9,7 +9,7 @@
 
 MODULES = (
     "spindlenotch.clock",
-    "spindlenotch.selection",
+    "spindlenotch.decisions.baselines",
     "spindlenotch.decisions.owned_slots",
     "spindlenotch.drivers.store_http",
     "spindlenotch.drivers.hostlist_http",
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -3,8 +3,8 @@
 
 A policy is registered by name; the bundle names the one a service uses. All
 are pure: pool, call, instant and the pool's seeded random numbers in, a
-decision with its reason out. The baselines here stay because a signed bundle
-may name them; the project recommends ``owned_slots``.
+decision with its reason out. The policies are in ``decisions``: ``owned_slots``
+(recommended for bundles), ``soonest`` (the gateway's) and ``baselines``.
 """
 
 import dataclasses
@@ -97,91 +97,3 @@
             if len(found) == count:
                 break
     return found
-
-
-class _Heedless:
-    """A policy that makes nothing of reports."""
-
-    def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
-    ) -> None:
-        """Do nothing."""
-
-
-@POLICIES.register("random")
-class RandomPolicy(_Heedless):
-    """Baseline: any upstream that may take work."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick one at random."""
-        options = eligible(pool, now, exclude)
-        return Choice(pool.rng.choice(options), Rule.RANDOM) if options else None
-
-
-@POLICIES.register("round-robin")
-class RoundRobinPolicy(_Heedless):
-    """Baseline: each upstream in turn, from a random start."""
-
-    def __init__(self) -> None:
-        self.turn: int | None = None
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick the next one."""
-        options = eligible(pool, now, exclude)
-        if not options:
-            return None
-        if self.turn is None:
-            self.turn = pool.rng.randrange(len(options))
-        self.turn += 1
-        return Choice(options[self.turn % len(options)], Rule.ROUND_ROBIN)
-
-
-@POLICIES.register("least-outstanding")
-class LeastOutstandingPolicy(_Heedless):
-    """Baseline: fewest own requests in flight, ties broken at random."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick the one with the fewest."""
-        options = eligible(pool, now, exclude)
-        if not options:
-            return None
-        least = min(u.outstanding for u in options)
-        best = [u for u in options if u.outstanding == least]
-        return Choice(pool.rng.choice(best), Rule.LEAST_OUTSTANDING)
-
-
-@POLICIES.register("two-choices")
-class TwoChoicesPolicy(_Heedless):
-    """Baseline: the better of two at random, by own requests in flight."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Compare two."""
-        options = sample(pool, 2, now, exclude)
-        if not options:
-            return None
-        best = min(options, key=lambda u: u.outstanding)
-        return Choice(best, Rule.TWO_CHOICES)
