--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -170,7 +170,8 @@
     hosts = {ZONE: [ids.HostId(f"g{n}") for n in range(5)]}
     for zone in (ZONE, kernel.ZONES[1]):
         spec = upstreams.UpstreamSpec(ids.UpstreamId("u"), zone, ids.Address(""), 1)
-        one = upstreams.Upstream(spec, 1, NOW)
+        changes: list[upstreams.Upstream] = []
+        one = upstreams.Upstream(spec, 1, NOW, changes.append)
         asking = 0
         for host in hosts[ZONE]:
             local_member = ownership.Member(ZONE, host)
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -131,7 +131,7 @@
 
 
 def _has_room(upstream: upstreams.Upstream) -> bool:
-    trusted = max(1.0, upstream.owned_slots * upstream.warmth())
+    trusted = max(1.0, upstream.owned_slots * upstream.trusted_share())
     return upstream.outstanding + 0.5 <= trusted
 
 
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -115,13 +115,13 @@
             known_one = self.upstream_by_id.get(spec.id)
             if known_one is None or known_one.spec.generation < spec.generation:
                 slots = spec.slots or self.service.slots
-                fresh = upstreams.Upstream(spec, slots, now)
-                fresh.on_change = self._note_change
-                self.upstream_by_id[spec.id] = fresh
+                self.upstream_by_id[spec.id] = upstreams.Upstream(
+                    spec, slots, now, self._record_change
+                )
         self._forget_gone(spec_by_id)
         self.refresh()
 
-    def _note_change(self, upstream: upstreams.Upstream) -> None:
+    def _record_change(self, upstream: upstreams.Upstream) -> None:
         self.changes.append(
             Change(upstream.spec.id, upstream.state, upstream.state_reason)
         )
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -1,9 +1,10 @@
 """
-What one entry believes of each upstream, and how old that belief is.
+What one process knows of each upstream, and how old that knowledge is.
 
-The balancer feeds it: own requests sent and answered, load reports that ride
-on answers, probe results, marks from the host list and from peers. Selection
-reads it. No input or output happens here; every method takes the instant.
+The balancer feeds it: own requests sent and answered, load reports that come
+with answers and probes, drain notices, the host list. Selection reads it.
+Relies on ``ejection`` for how long an ejection lasts. No input or output happens
+here; every method takes the instant.
 """
 
 import dataclasses
@@ -13,17 +14,29 @@
 from spindlenotch import ids
 from spindlenotch.kernel import ejection, latency
 
-#: Weight of the newest sample in the estimate of an upstream's slowness.
+#: Weight of the newest sample in an upstream's latency ratio. Chosen, not
+#: measured.
 LATENCY_RATIO_WEIGHT = 0.08
-#: An upstream that works this many times slower than usual just now is slowed.
+#: Weight of the newest report in an upstream's mean load from other processes.
+#: Chosen, not measured.
+FOREIGN_LOAD_WEIGHT = 0.05
+#: Weight of the newest report in an upstream's mean slowdown. Chosen, not
+#: measured.
+MEAN_SLOWDOWN_WEIGHT = 0.03
+#: Slowdown above which an upstream is slowed. Chosen, not measured.
 SLOWED_FACTOR = 2.5
-#: One answer counts at most so many usual times.
+#: Highest latency ratio that one answer counts with. Chosen, not measured.
 MAX_LATENCY_RATIO = 20.0
-#: What an upstream said of its pace fades over this time, in seconds.
+#: Time constant, in seconds, with which a reported slowdown fades to the mean.
+#: Chosen, not measured.
 SLOWDOWN_DECAY_S = 0.5
-#: An upstream that has this many answers behind it is no longer cold.
+#: Answers after which an upstream is trusted with all its slots. Chosen, not
+#: measured.
 WARM_AFTER_ANSWERS = 20
 
+#: Called with each upstream whose state has changed.
+ChangeListener = abc.Callable[["Upstream"], None]
+
 
 class State(enum.Enum):
     """Whether an upstream may get work."""
@@ -47,9 +60,9 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
     """
-    What an upstream said of itself: requests running and queued.
+    What an upstream reports of itself: requests running and queued.
 
-    ``slowdown`` says how many times as long as usual work takes there just now.
+    ``slowdown`` is how many times its typical time work takes there just now.
     """
 
     running: int
@@ -63,7 +76,7 @@
     One upstream as the host list gives it.
 
     ``slots`` is None where all upstreams of the service have as many;
-    ``cold_until`` is when it is no longer slow from its start.
+    ``cold_until`` is when it has warmed up after its start.
     """
 
     id: ids.UpstreamId
@@ -76,15 +89,23 @@
 
 class Upstream:
     """
-    Belief about one upstream.
+    State and estimates of one upstream.
 
-    Invariants: ``sent_at_by_call`` holds exactly the calls this entry has
+    Invariants: ``sent_at_by_call`` holds exactly the calls this process has
     sent and not seen the end of, oldest first; ``LEAVING`` is left only by a
-    higher generation; ``latency_ratio`` is the ratio of observed to usual time.
+    higher generation; ``latency_ratio`` is the mean ratio of observed to typical
+    latency.
     """
 
-    def __init__(self, spec: UpstreamSpec, slots: int, now: ids.Instant) -> None:
+    def __init__(
+        self,
+        spec: UpstreamSpec,
+        slots: int,
+        now: ids.Instant,
+        on_change: ChangeListener,
+    ) -> None:
         self.spec = spec
+        self.on_change = on_change
         self.slots = slots
         self.state = State.ACTIVE
         self.state_reason = "listed"
@@ -100,11 +121,9 @@
         self.answered_at = now
         self.busy_since = now
         self.owned_slots = 0.0
-        self.foreign_load = latency.Mean(0.0, 0.05)
-        self.mean_slowdown = latency.Mean(1.0, 0.03)
+        self.foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
+        self.mean_slowdown = latency.Mean(1.0, MEAN_SLOWDOWN_WEIGHT)
         self.reports_slowdown = False
-        #: Told of each change of state; set by the pool.
-        self.on_change: abc.Callable[[Upstream], None] = _nobody
 
     @property
     def outstanding(self) -> int:
@@ -112,7 +131,7 @@
         return len(self.sent_at_by_call)
 
     def sent(self, call: ids.CallId, now: ids.Instant) -> None:
-        """Note that a call goes out."""
+        """Record that a call goes out."""
         if not self.sent_at_by_call:
             self.busy_since = now
         self.sent_at_by_call[call] = now
@@ -120,7 +139,7 @@
     def ended(
         self, call: ids.CallId, result: Result, typical_s: float, now: ids.Instant
     ) -> None:
-        """Note the end of a call; ``typical_s`` is the usual time of its kind."""
+        """Record the end of a call; ``typical_s`` is the typical time of its kind."""
         sent_at = self.sent_at_by_call.pop(call, None)
         if sent_at is None or result is Result.CANCELLED:
             return
@@ -147,30 +166,30 @@
 
     def slowdown(self, now: ids.Instant) -> float:
         """
-        Estimate how many times as long as usual work takes there now.
+        Estimate how many times its typical time work takes there now.
 
-        What it last said fades towards its mean as it ages.
+        The last report fades towards the mean of all reports as it ages.
         """
         if not self.reports_slowdown:
             return 1.0
         weight = latency.decay(now - self.report_at, SLOWDOWN_DECAY_S)
-        usual = self.mean_slowdown.value
-        return usual + (self.report.slowdown - usual) * weight
+        mean = self.mean_slowdown.value
+        return mean + (self.report.slowdown - mean) * weight
 
     def foreign_load_now(
-        self, now: ids.Instant, time_constant: float, usual: float
+        self, now: ids.Instant, time_constant_s: float, typical: float
     ) -> float:
         """
-        Estimate how many requests of other entries are in it now.
+        Estimate how many requests of other processes are in it now.
 
-        What it last said fades towards ``usual`` as it ages.
+        The last report fades towards ``typical`` as it ages.
         """
-        said = self.report.running + self.report.queued - self.outstanding_at_report
-        weight = latency.decay(now - self.report_at, time_constant)
-        return usual + (max(0, said) - usual) * weight
+        reported = self.report.running + self.report.queued - self.outstanding_at_report
+        weight = latency.decay(now - self.report_at, time_constant_s)
+        return typical + (max(0, reported) - typical) * weight
 
     def silent_s(self, now: ids.Instant) -> float:
-        """Return how long it has owed an answer without giving any."""
+        """Return for how many seconds it has owed an answer without giving any."""
         if not self.sent_at_by_call:
             return 0.0
         return now - max(self.answered_at, self.busy_since)
@@ -200,7 +219,7 @@
         self.tick(now)
         return self.state is State.PROBATION and not self.sent_at_by_call
 
-    def warmth(self) -> float:
+    def trusted_share(self) -> float:
         """Return the share of its slots that it may be trusted with, 0 to 1."""
         return min(1.0, (1 + self.answers) / WARM_AFTER_ANSWERS)
 
@@ -211,7 +230,3 @@
         self.state_until = until
         if changed:
             self.on_change(self)
-
-
-def _nobody(upstream: Upstream) -> None:
-    """Stand in for a listener that is not set."""
