--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -61,7 +61,7 @@
     made = paced([4, 4, 4])
     now = NOW
     # Answers come in a fifth of the time that was expected.
-    took_s = made.pool.typical_s.value / 5
+    took_s = made.pool.latencies.overall.value / 5
     for number in range(60):
         if number == 30:
             spec = upstreams.UpstreamSpec(
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -380,8 +380,8 @@
         grants.append(offered)
     assert isinstance(offered, balancer.Waiting)
     # The upstream turns slow: what waits can no longer be answered in time.
-    made.pool.typical_s.value = 0.6
-    made.pool.typical_by_operation["read"].value = 0.6
+    made.pool.latencies.overall.value = 0.6
+    made.pool.latencies.latency_by_key["read"].typical.value = 0.6
     later = ids.later(NOW, 0.1)
     (settled,) = made.give_up(later)
     assert isinstance(settled.verdict, outcomes.Refusal)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -136,7 +136,7 @@
             )
         verdict = self._place(call, now)
         refused = isinstance(verdict, outcomes.Refusal)
-        self.pool.refusing.add(1.0 if refused else 0.0)
+        self.pool.refused_share.add(1.0 if refused else 0.0)
         return verdict
 
     def finish(
@@ -148,7 +148,7 @@
     ) -> list[Settlement]:
         """Note the end of a grant and hand the freed slot on."""
         upstream = grant.upstream
-        usual = self.pool.typical_latency_s(grant.call.operation)
+        usual = self.pool.latencies.typical_s(grant.call.operation)
         if report is not None:
             if result is upstreams.Result.ANSWERED:
                 self._note_crowding(grant, report, (now - grant.sent_at) / usual)
@@ -159,9 +159,9 @@
         if result is upstreams.Result.ANSWERED:
             times = (now - grant.sent_at) / (usual * slowdown)
             self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, times))
-        self.pool.under_way -= 1
+        self.pool.in_flight -= 1
         took = now - grant.sent_at
-        self.pool.note(upstream, grant.call.operation, result, took, now)
+        self.pool.record_result(upstream, grant.call.operation, result, took, now)
         return self.settle(now)
 
     def _note_crowding(
@@ -210,7 +210,7 @@
         retry_at = queueing.retry_at(self.pool, len(self.queue), now)
         for call in given_up:
             self.queue.remove(call.id)
-            self.pool.refusing.add(1.0)
+            self.pool.refused_share.add(1.0)
         refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
         return [Settlement(call, refusal) for call in given_up]
 
@@ -305,7 +305,7 @@
         self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
         slowdown = upstream.slowdown(now)
-        self.pool.under_way += 1
+        self.pool.in_flight += 1
         self.decisions.append(
             Decision(
                 now,
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -33,7 +33,7 @@
     A reported slowdown can make a call overdue before its typical latency has
     passed, so the checks are closer together where upstreams report any.
     """
-    interval_s = pool.typical_latency_s(operation)
+    interval_s = pool.latencies.typical_s(operation)
     if upstream.reports_slowdown:
         interval_s *= SLOWDOWN_CHECK_SHARE
     return max(LEAST_CHECK_S, interval_s)
@@ -54,12 +54,12 @@
     for longer than chance explains.
     """
     age_s = now - sent_at
-    if age_s > pool.p95_latency_s(operation):
+    if age_s > pool.latencies.p95_s(operation):
         return True
     slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
-    if slowed and age_s > SLOWED_AGE_SHARE * pool.typical_latency_s(operation):
+    if slowed and age_s > SLOWED_AGE_SHARE * pool.latencies.typical_s(operation):
         return True
-    missed = silence.missed_answers(upstream, pool.typical_s.value, now)
+    missed = silence.missed_answers(upstream, pool.latencies.overall.value, now)
     return missed > MISSED_ANSWERS
 
 
--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -20,11 +20,11 @@
 
 def is_overloaded(pool: pools.Pool) -> bool:
     """Tell whether calls are being refused, or queue in number."""
-    if pool.refusing.value > REFUSED_SHARE:
+    if pool.refused_share.value > REFUSED_SHARE:
         return True
     return pool.waiting > QUEUED_PER_SLOT * pool.owned_total
 
 
 def is_failing(pool: pools.Pool) -> bool:
     """Tell whether so many calls fail that extra ones only add load."""
-    return pool.failing.value > FAILED_SHARE
+    return pool.failed_share.value > FAILED_SHARE
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -24,7 +24,7 @@
 
     Own slots are taken to free up at the rate of one per typical latency each.
     """
-    return ahead * pool.typical_s.value / max(LEAST_SLOTS, pool.owned_total)
+    return ahead * pool.latencies.overall.value / max(LEAST_SLOTS, pool.owned_total)
 
 
 def is_hopeless(
@@ -36,7 +36,7 @@
     Refusing it at once leaves the caller time to try elsewhere, and no slot
     is spent on an answer that comes too late.
     """
-    typical_s = pool.typical_latency_s(call.operation)
+    typical_s = pool.latencies.typical_s(call.operation)
     return call.deadline - now < expected_wait_s(pool, ahead) + typical_s
 
 
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -26,7 +26,7 @@
     in this zone. ``load`` is the estimated number of requests in it.
     """
     slots = upstream.slots
-    typical_s = pool.typical_s.value
+    typical_s = pool.latencies.overall.value
     # The chance that all slots are taken, and what queues once they are.
     all_taken = min(1.0, load / slots) ** slots
     queued = all_taken + max(0.0, load + 1 - slots)
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -55,7 +55,7 @@
             options = selection.eligible(pool, now, exclude)
         if now < call.wait_until:
             options = worth_waiting_for(options, now)
-        typical_s = pool.typical_latency_s(call.operation)
+        typical_s = pool.latencies.typical_s(call.operation)
         cost_by_id: dict[ids.UpstreamId, float] = {}
         for upstream in options:
             running = pool.estimated_load(upstream, now)
@@ -131,6 +131,6 @@
     if full > NEARLY_FULL:
         work *= 1.0 + FULL_EXTRA * (full - NEARLY_FULL) / (1.0 - NEARLY_FULL)
     ahead = max(0.0, running + 1 - slots)
-    work *= 1.0 + silence.overdue_cost(upstream, pool.typical_s.value, now)
+    work *= 1.0 + silence.overdue_cost(upstream, pool.latencies.overall.value, now)
     far = 0.0 if upstream.spec.zone == pool.local_member.zone else call.cross_zone_s
     return work * (1.0 + ahead / slots) + far
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -99,8 +99,8 @@
     found = service.pool
     return {
         "waiting": len(service.queue),
-        "usual_ms": round(found.typical_s.value * 1000, 3),
-        "failing_share": round(found.failing.value, 4),
+        "usual_ms": round(found.latencies.overall.value * 1000, 3),
+        "failing_share": round(found.failed_share.value, 4),
         "zone_plan": found.plan,
         "zone_factor": found.zone_factor,
         "hedge_balance": round(service.hedges.balance, 2),
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -117,7 +117,7 @@
                 usual = USUAL_OF_TARGET * route.target_s
             for part in route.parts:
                 service = self.balancer_by_service[part.service]
-                service.pool.learn_operation(route.name, usual)
+                service.pool.latencies.learn(route.name, usual)
         self.metrics.bundle_version.set(configuration.version)
         events.emit(
             events.Event.CONFIGURATION_APPLIED,
@@ -241,7 +241,7 @@
 
     def _report_changes(self) -> None:
         for name, service in self.balancer_by_service.items():
-            for change in service.pool.take_changes():
+            for change in service.pool.collect_changes():
                 events.emit(
                     _EVENT_BY_STATE[change.state],
                     service=name,
--- /dev/null
+++ b/spindlenotch/kernel/latency_table.py
@@ -0,0 +1,74 @@
+"""
+The latencies of one service: of all its calls, and of each kind of call.
+
+Owns the running estimates; ``Pool`` feeds them with each answer and the decisions
+read them. A kind of call is named by its latency key: the operation in the
+entry daemon, the route in the gateway. All times are in seconds.
+"""
+
+import dataclasses
+from collections import abc
+
+from spindlenotch.kernel import latency
+
+#: Weight of the newest answer in the mean over all calls of a service. Chosen,
+#: not measured.
+OVERALL_WEIGHT = 0.02
+#: Weight of the newest answer in the mean of one kind. Chosen, not measured.
+KEY_WEIGHT = 0.05
+#: The quantile after which a call is late: 95 in 100 are faster. Chosen, not
+#: measured.
+SLOW_QUANTILE = 0.95
+#: The first estimate of that quantile, as a multiple of the typical latency.
+#: Chosen, not measured.
+SLOW_FACTOR = 3.0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class KeyLatency:
+    """The estimates of one kind of call."""
+
+    typical: latency.Mean
+    p95: latency.QuantileTracker
+
+
+class LatencyTable:
+    """
+    Estimates by latency key, and one over all calls.
+
+    A call whose key is unknown counts by the estimate over all.
+    """
+
+    def __init__(self, typical_s: float, keys: abc.Iterable[str]) -> None:
+        self.overall = latency.Mean(typical_s, OVERALL_WEIGHT)
+        self.latency_by_key: dict[str, KeyLatency] = {}
+        for key in keys:
+            self.learn(key, typical_s)
+
+    def learn(self, key: str, typical_s: float) -> None:
+        """Begin to follow a kind of call; one that is followed already stays."""
+        if key not in self.latency_by_key:
+            self.latency_by_key[key] = KeyLatency(
+                latency.Mean(typical_s, KEY_WEIGHT),
+                latency.QuantileTracker(SLOW_QUANTILE, typical_s * SLOW_FACTOR),
+            )
+
+    def typical_s(self, key: str) -> float:
+        """Return the mean latency of one kind of call."""
+        known = self.latency_by_key.get(key)
+        return self.overall.value if known is None else known.typical.value
+
+    def p95_s(self, key: str) -> float:
+        """Return the latency that 95 in 100 calls of one kind stay under."""
+        known = self.latency_by_key.get(key)
+        if known is None:
+            return SLOW_FACTOR * self.overall.value
+        return known.p95.value
+
+    def add(self, key: str, took_s: float) -> None:
+        """Take in one answer."""
+        self.overall.add(took_s)
+        known = self.latency_by_key.get(key)
+        if known is not None:
+            known.typical.add(took_s)
+            known.p95.add(took_s)
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -1,10 +1,9 @@
 """
-The upstreams of one service as one entry sees them.
+The upstreams of one service as one process sees them.
 
-Keeps the set in step with the host list, cuts out the entry's own slots,
-ejects what fails or falls silent by the rules of ``ejection``, and answers what
-the decisions ask: which upstreams may take work, how much they are estimated to
-have, how long a request typically takes.
+Keeps the set in step with the host list, works out the own slots (``ownership``)
+and ejects what fails or falls silent (``ejection``). Answers what the decisions
+ask: which upstreams may take work and how much they are estimated to have.
 """
 
 import collections
@@ -17,16 +16,23 @@
     crowding,
     ejection,
     latency,
+    latency_table,
     ownership,
     schedule,
     service_policy,
     upstreams,
 )
 
-#: Beliefs about others' requests fade over this many usual request times.
-BELIEF_FADES_AFTER = 2.0
-
-#: Changes of state kept until somebody takes them.
+#: Time constant with which a report of other processes' requests fades, as a
+#: multiple of the typical latency. Chosen, not measured.
+REPORT_DECAY_FACTOR = 2.0
+#: Weights of the newest sample in the means over the whole service. Chosen, not
+#: measured.
+FOREIGN_LOAD_WEIGHT = 0.02
+REFUSED_WEIGHT = 0.01
+FAILED_WEIGHT = 0.05
+LATENCY_RATIO_WEIGHT = 0.02
+#: Changes of state kept until they are collected. Chosen, not measured.
 CHANGES_KEPT = 1000
 
 
@@ -41,15 +47,16 @@
 
 class Pool:
     """
-    Upstream beliefs by id, plus what is known of the service as a whole.
+    The upstreams by id, and the running means of the service as a whole.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving;
-    ``owned`` lists those of them in which this entry owns slots, in all
-    ``owned_total``; ``under_way`` counts the calls sent and not ended,
-    ``waiting`` those in the queue; at most
-    ``eject_share`` of the pool (at least one) is ejected at a time.
-    ``mean_foreign_load`` is what other entries usually have in an upstream where this
-    one owns no slots; ``refusing`` the share of calls refused for overload.
+    ``owned`` lists those of them in which this process owns slots, in all
+    ``owned_total``; ``in_flight`` counts the calls sent and not ended,
+    ``waiting`` those in the queue; at most ``eject_share`` of the pool (at least
+    one) is ejected at a time. ``mean_foreign_load`` is the number of requests
+    that other processes have in an upstream where this one owns no slots;
+    ``refused_share`` is the share of calls refused for overload,
+    ``failed_share`` that of answers that are failures.
     """
 
     def __init__(
@@ -71,28 +78,22 @@
         self.plan: dict[ids.ZoneName, float] = schedule.planned(
             service.zones, service.day, 0.0
         )
-        self.mean_foreign_load = latency.Mean(0.0, 0.02)
-        self.refusing = latency.Mean(0.0, 0.01)
-        self.under_way = 0
+        self.mean_foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
+        self.refused_share = latency.Mean(0.0, REFUSED_WEIGHT)
+        self.in_flight = 0
         self.waiting = 0
         self.changes: collections.deque[Change] = collections.deque(maxlen=CHANGES_KEPT)
         self.owned_total = 0.0
-        self.failing = latency.Mean(0.0, 0.05)
-        #: The mean of all upstreams' slowness, by answers.
-        self.latency_ratio = latency.Mean(1.0, 0.02)
+        self.failed_share = latency.Mean(0.0, FAILED_WEIGHT)
+        #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
+        self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.crowding = crowding.Crowding()
-        typical_s = service.typical_s
-        self.typical_by_operation = {
-            key: latency.Mean(typical_s, 0.05) for key in service.latency_keys
-        }
-        self.p95_by_operation = {
-            key: latency.QuantileTracker(0.95, typical_s * 3)
-            for key in service.latency_keys
-        }
-        self.typical_s = latency.Mean(typical_s, 0.02)
+        self.latencies = latency_table.LatencyTable(
+            service.typical_s, service.latency_keys
+        )
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
-        """Take in the entries that are alive, this one included."""
+        """Take in the live members, this process included."""
         ordered = tuple(sorted({*members, self.local_member}))
         if ordered != self.members:
             self.members = ordered
@@ -108,12 +109,12 @@
         higher generation starts anew. Calls in flight are not touched.
         """
         spec_by_id = {s.id: s for s in specs if s.zone in self.service.zones}
-        for upstream_id, known in self.upstream_by_id.items():
+        for upstream_id, upstream in self.upstream_by_id.items():
             if upstream_id not in spec_by_id:
-                known.leave("not listed")
+                upstream.leave("not listed")
         for spec in spec_by_id.values():
-            known_one = self.upstream_by_id.get(spec.id)
-            if known_one is None or known_one.spec.generation < spec.generation:
+            known = self.upstream_by_id.get(spec.id)
+            if known is None or known.spec.generation < spec.generation:
                 slots = spec.slots or self.service.slots
                 self.upstream_by_id[spec.id] = upstreams.Upstream(
                     spec, slots, now, self._record_change
@@ -126,8 +127,8 @@
             Change(upstream.spec.id, upstream.state, upstream.state_reason)
         )
 
-    def take_changes(self) -> list[Change]:
-        """Return the changes of state since the last time, oldest first."""
+    def collect_changes(self) -> list[Change]:
+        """Return and forget the changes of state so far, oldest first."""
         taken = list(self.changes)
         self.changes.clear()
         return taken
@@ -139,7 +140,7 @@
             self.refresh()
 
     def leave(self, upstream_id: ids.UpstreamId, generation: int, reason: str) -> bool:
-        """Mark an upstream as leaving; tell whether that was news."""
+        """Mark an upstream as leaving; tell whether it was not before."""
         known = self.upstream_by_id.get(upstream_id)
         if known is None or known.spec.generation > generation:
             return False
@@ -150,7 +151,7 @@
         return True
 
     def refresh(self) -> None:
-        """Work out anew who is usable and which slots are this entry's own."""
+        """Work out anew which upstreams are usable and which slots are the own ones."""
         self.usable_order = [
             u
             for u in self.upstream_by_id.values()
@@ -199,36 +200,18 @@
         for upstream_id in gone:
             del self.upstream_by_id[upstream_id]
 
-    def learn_operation(self, operation: str, typical_s: float) -> None:
-        """Begin to follow an operation that the service did not have before."""
-        if operation not in self.typical_by_operation:
-            self.typical_by_operation[operation] = latency.Mean(typical_s, 0.05)
-            self.p95_by_operation[operation] = latency.QuantileTracker(
-                0.95, typical_s * 3
-            )
-
-    def typical_latency_s(self, operation: str) -> float:
-        """Return the usual time of one request of ``operation``, in seconds."""
-        mean = self.typical_by_operation.get(operation, self.typical_s)
-        return mean.value
-
-    def p95_latency_s(self, operation: str) -> float:
-        """Return the time that 95 in 100 requests of it stay under."""
-        tracker = self.p95_by_operation.get(operation)
-        return tracker.value if tracker else 3 * self.typical_s.value
-
     def estimated_load(self, upstream: upstreams.Upstream, now: ids.Instant) -> float:
         """
-        Estimate the requests in ``upstream``, those of others included.
+        Estimate the requests in ``upstream``, those of other processes included.
 
-        Of an upstream where this entry owns slots it has heard enough to know
-        what others usually have there; of the rest only what is usual for all.
+        Upstreams where this process owns slots report often enough to have a
+        mean of their own; the others count with the mean over all of them.
         """
-        fades = BELIEF_FADES_AFTER * self.typical_s.value
-        usual = self.mean_foreign_load.value
+        decay_s = REPORT_DECAY_FACTOR * self.latencies.overall.value
+        typical = self.mean_foreign_load.value
         if upstream.owned_slots > 0:
-            usual = upstream.foreign_load.value
-        return upstream.outstanding + upstream.foreign_load_now(now, fades, usual)
+            typical = upstream.foreign_load.value
+        return upstream.outstanding + upstream.foreign_load_now(now, decay_s, typical)
 
     def reported(
         self,
@@ -242,7 +225,7 @@
             total = report.running + report.queued
             self.mean_foreign_load.add(max(0, total - upstream.outstanding))
 
-    def note(
+    def record_result(
         self,
         upstream: upstreams.Upstream,
         operation: str,
@@ -250,18 +233,15 @@
         took_s: float,
         now: ids.Instant,
     ) -> None:
-        """Take in how a request ended, and eject the upstream where needed."""
+        """Record how a request ended, and eject the upstream where needed."""
         if result is upstreams.Result.CANCELLED:
             return
-        bad = result not in (upstreams.Result.ANSWERED, upstreams.Result.SHED)
-        self.failing.add(1.0 if bad else 0.0)
+        failed = result not in (upstreams.Result.ANSWERED, upstreams.Result.SHED)
+        self.failed_share.add(1.0 if failed else 0.0)
         if result is upstreams.Result.ANSWERED:
-            self.typical_s.add(took_s)
-            if operation in self.typical_by_operation:
-                self.typical_by_operation[operation].add(took_s)
-                self.p95_by_operation[operation].add(took_s)
+            self.latencies.add(operation, took_s)
         reason = ejection.reason_to_eject(
-            failed=bad,
+            failed=failed,
             failures_in_row=upstream.failures_in_row,
             on_probation=upstream.state is upstreams.State.PROBATION,
         )
@@ -284,7 +264,9 @@
         self, upstream: upstreams.Upstream, operation: str, now: ids.Instant
     ) -> bool:
         """Tell whether its silence can only mean that it has stopped."""
-        return ejection.is_frozen(upstream.silent_s(now), self.p95_latency_s(operation))
+        return ejection.is_frozen(
+            upstream.silent_s(now), self.latencies.p95_s(operation)
+        )
 
     def tick(self, now: ids.Instant) -> None:
         """Let ejections end; called a few times a second."""
@@ -295,8 +277,8 @@
                 self.refresh()
 
     def busy(self) -> int:
-        """Count the calls under way but for those stuck in ejected upstreams."""
-        return self.under_way - sum(u.outstanding for u in self.ejected)
+        """Count the calls in flight but for those stuck in ejected upstreams."""
+        return self.in_flight - sum(u.outstanding for u in self.ejected)
 
     def usable_again_at(self, now: ids.Instant) -> ids.Instant:
         """Return when the first ejection ends, or a moment where there is none."""
