--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -124,11 +124,35 @@
         found = crowding.Crowding()
         for number in range(samples):
             times = 0.9 + 0.2 * (number % 2)
-            found.add(slots, 1.0, 1.0, 1.0, times)
-            found.add(slots, slots, slots, 1.0, slowdown * times)
+            found.add(
+                slots=slots,
+                load_sent=1.0,
+                load_answered=1.0,
+                slowdown=1.0,
+                latency_ratio=times,
+            )
+            found.add(
+                slots=slots,
+                load_sent=slots,
+                load_answered=slots,
+                slowdown=1.0,
+                latency_ratio=slowdown * times,
+            )
             # A slowed upstream's time says nothing of that, nor a queue's.
-            found.add(slots, slots, slots, 7.0, 7.0)
-            found.add(slots, slots + 2.0, slots, 1.0, 7.0)
+            found.add(
+                slots=slots,
+                load_sent=slots,
+                load_answered=slots,
+                slowdown=7.0,
+                latency_ratio=7.0,
+            )
+            found.add(
+                slots=slots,
+                load_sent=slots + 2.0,
+                load_answered=slots,
+                slowdown=1.0,
+                latency_ratio=7.0,
+            )
         known = samples >= crowding.LEAST_SAMPLES
         limited = known and slowdown >= 1.2
         below = max(1, int(crowding.NEARLY_FULL * slots))
@@ -137,8 +161,12 @@
     check()
     made = paced([3, 3])
     for _ in range(crowding.LEAST_SAMPLES):
-        made.pool.crowding.add(3, 1.0, 1.0, 1.0, 1.0)
-        made.pool.crowding.add(3, 3.0, 3.0, 1.0, 1.5)
+        made.pool.crowding.add(
+            slots=3, load_sent=1.0, load_answered=1.0, slowdown=1.0, latency_ratio=1.0
+        )
+        made.pool.crowding.add(
+            slots=3, load_sent=3.0, load_answered=3.0, slowdown=1.0, latency_ratio=1.5
+        )
     for number in range(6):
         made.offer(kernel.call(number), NOW)
     assert [u.outstanding for u in made.pool.usable_order] == [2, 2]
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -223,10 +223,10 @@
         for number, rank in enumerate(order):
             queue.push(call(number, rank))
         turns = 0
-        while (chosen := queue.turn()) is not None:
+        while (chosen := queue.head()) is not None:
             turns += 1
             ahead = min(c.rank for c in queue)
-            fair = turns % waiting.FAIR_TURN == 0
+            fair = turns % waiting.OLDEST_FIRST_EVERY == 0
             assert fair or chosen.rank == ahead
             queue.take(chosen)
         assert turns == len(order)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -1,10 +1,10 @@
 """
-The kernel's front: admission, selection, retries and hedges of one service.
+The front of the kernel: it decides on the calls of one service.
 
-State in, decision and reason out. Both daemons drive
-the very same object: they pass in calls, ends of calls and the instant, and
-carry out the grants it returns. Sits between the data path (above) and pool,
-queue and policies (below).
+Owns the queue, the budgets and the upstreams each call was sent to. The rules are
+in the modules beside it (``queueing``, ``retrying``, ``hedging``, the selection
+policies); what is known of the upstreams is in ``pool``. Both daemons pass in
+calls, ends of calls and the instant, and carry out the grants it returns.
 """
 
 import collections
@@ -23,7 +23,7 @@
     waiting,
 )
 
-#: Decisions kept for ``explain``.
+#: Decisions kept for ``explain``. Chosen, not measured.
 DECISIONS_KEPT = 2000
 
 
@@ -38,11 +38,11 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
     """
-    Leave to send a call to one upstream now.
+    Permission to send a call to one upstream now.
 
-    ``slowdown`` is how many times as long as usual work was believed to take
-    there when it was granted, ``filled`` how many requests it was believed to
-    have then, this one included.
+    Both estimates are those of the moment it was granted: ``slowdown`` is how
+    many times its typical time work takes there, ``load`` the number of
+    requests in the upstream, this one included.
     """
 
     call: waiting.Call
@@ -50,7 +50,7 @@
     kind: Kind
     sent_at: ids.Instant
     slowdown: float = 1.0
-    filled: float = 1.0
+    load: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
         self.extra.earn(now)
         if call.deadline <= now:
             return outcomes.not_run(outcomes.Reason.DEADLINE_PASSED)
-        if not self._anyone(now):
+        if not self._any_usable(now):
             return outcomes.not_run(
                 outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
             )
@@ -146,33 +146,36 @@
         report: upstreams.LoadReport | None,
         now: ids.Instant,
     ) -> list[Settlement]:
-        """Note the end of a grant and hand the freed slot on."""
+        """Record the end of a grant and hand the freed slot on."""
         upstream = grant.upstream
-        usual = self.pool.latencies.typical_s(grant.call.operation)
+        answered = result is upstreams.Result.ANSWERED
+        took_s = now - grant.sent_at
+        typical_s = self.pool.latencies.typical_s(grant.call.operation)
         if report is not None:
-            if result is upstreams.Result.ANSWERED:
-                self._note_crowding(grant, report, (now - grant.sent_at) / usual)
+            if answered:
+                self._learn_crowding(grant, report, took_s / typical_s)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
+        # The call ran at neither the first nor the last slowdown alone.
         slowdown = (grant.slowdown + upstream.slowdown(now)) / 2
-        upstream.ended(grant.call.id, result, usual * slowdown, now)
-        if result is upstreams.Result.ANSWERED:
-            times = (now - grant.sent_at) / (usual * slowdown)
-            self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, times))
+        expected_s = typical_s * slowdown
+        upstream.ended(grant.call.id, result, expected_s, now)
+        if answered:
+            latency_ratio = took_s / expected_s
+            self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, latency_ratio))
         self.pool.in_flight -= 1
-        took = now - grant.sent_at
-        self.pool.record_result(upstream, grant.call.operation, result, took, now)
+        self.pool.record_result(upstream, grant.call.operation, result, took_s, now)
         return self.settle(now)
 
-    def _note_crowding(
-        self, grant: Grant, report: upstreams.LoadReport, times: float
+    def _learn_crowding(
+        self, grant: Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
         self.pool.crowding.add(
-            grant.upstream.slots,
-            grant.filled,
-            report.running + report.queued + 1,
-            max(grant.slowdown, report.slowdown),
-            times,
+            slots=grant.upstream.slots,
+            load_sent=grant.load,
+            load_answered=report.running + report.queued + 1,
+            slowdown=max(grant.slowdown, report.slowdown),
+            latency_ratio=latency_ratio,
         )
 
     def forget(self, call_id: ids.CallId) -> None:
@@ -180,27 +183,27 @@
         self.tried_by_call.pop(call_id, None)
 
     def settle(self, now: ids.Instant) -> list[Settlement]:
-        """Refuse what is too late, then place waiting calls while it goes."""
+        """Refuse what is too late, then place waiting calls while one finds room."""
         settled = [
             Settlement(call, outcomes.not_run(outcomes.Reason.DEADLINE_PASSED))
             for call in self.queue.expired(now)
         ]
-        while (call := self.queue.turn()) is not None:
+        while (call := self.queue.head()) is not None:
             grant = self._grant(call, Kind.FIRST, now)
             if grant is None:
                 break
             self.queue.take(call)
             settled.append(Settlement(call, grant))
-        if len(self.queue) and not self._anyone(now):
+        if len(self.queue) and not self._any_usable(now):
             settled.extend(self._refuse_all(now))
         return settled
 
     def give_up(self, now: ids.Instant) -> list[Settlement]:
         """
-        Refuse the waiting calls that can no longer make their deadlines.
+        Refuse the waiting calls that are not worth waiting for any longer.
 
         Called while calls wait. They get their final answer now rather than
-        at the deadline, with the time at which the queue will have passed.
+        at the deadline, with the instant from which to try again.
         """
         given_up = [
             call
@@ -287,7 +290,7 @@
         if self.pool.frozen(upstream, grant.call.operation, now):
             self.pool.eject(upstream, "silent", now)
 
-    def _anyone(self, now: ids.Instant) -> bool:
+    def _any_usable(self, now: ids.Instant) -> bool:
         for upstream in self.pool.usable_order:
             upstream.tick(now)
             if upstream.state is not upstreams.State.EJECTED:
@@ -301,7 +304,7 @@
         if choice is None:
             return None
         upstream = choice.upstream
-        filled = self.pool.estimated_load(upstream, now) + 1
+        load = self.pool.estimated_load(upstream, now) + 1
         self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
         slowdown = upstream.slowdown(now)
@@ -316,7 +319,7 @@
                 choice.candidates,
             )
         )
-        return Grant(call, upstream, kind, now, slowdown, filled)
+        return Grant(call, upstream, kind, now, slowdown, load)
 
     def _enqueue(
         self, call: waiting.Call, now: ids.Instant
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -1,12 +1,11 @@
 """
-The policy for upstreams that tell how fast they work just now.
-
-Neighbours can slow an upstream several times over for half a second. Where
-upstreams say so, the expected end of a request at each of them is worked out
-from that, their queue and their distance, and the soonest one is taken. An
-upstream without room gets nothing: calls wait in the entry, by rank. They wait
-as well while only slowed upstreams have room but others may get some: work that
-has begun at a slowed one is late, and holds its slot for many times as long.
+The policy for upstreams that report slowdowns: the soonest expected end.
+
+Other load on its host can slow an upstream several times over for half a second.
+The expected latency at each upstream is estimated from its reported slowdown,
+load and zone, and the least is taken. An upstream without room gets nothing:
+calls wait here, by priority. They also wait while only slowed upstreams have
+room: work at a slowed one is late and holds its slot for many times as long.
 """
 
 from spindlenotch import ids, selection
@@ -14,22 +13,32 @@
 from spindlenotch.kernel import crowding, pool as pools, upstreams, waiting
 
 NAME = "paced"
-#: How far the estimate of an upstream's requests may lie above its slots for it
-#: to have room: estimates of others' requests are fractions.
+#: How far the estimated load may lie above the slots for an upstream to have
+#: room: estimates of other processes' requests are fractions. That there is no
+#: more room than the slots is measured (MEASUREMENTS.md, "Room at an upstream");
+#: the margin is chosen.
 ROOM_MARGIN = 0.25
-#: Above this share of its slots in use an upstream works slower; at all of
-#: them, by this much.
-NEARLY_FULL = 0.7
-FULL_EXTRA = 0.7
-#: How many times as long work takes in an upstream that has just started.
+#: Share of its slots in use from which an upstream is expected to be slower,
+#: rising to ``FULL_SLOWDOWN`` when all are in use. It weighs upstreams against
+#: each other; ``crowding.NEARLY_FULL`` is where slots stop being used. Chosen, not
+#: measured.
+SLOWER_FROM_SHARE = 0.7
+#: How much longer work takes when all slots are in use, as a share. Chosen, not
+#: measured.
+FULL_SLOWDOWN = 0.7
+#: How many times its typical time work takes in an upstream that is warming up.
+#: Chosen, not measured.
 COLD_FACTOR = 2.0
-#: Least and most that the ratio of observed to expected times counts.
+#: Least latency ratio that counts. Chosen, not measured.
 MIN_LATENCY_RATIO = 0.7
-#: With so many answers its own slowness counts as much as that of all.
+#: Answers with which an upstream's own latency ratio counts as much as that of
+#: all. Chosen, not measured; that few answers count little is (MEASUREMENTS.md,
+#: round 19).
 ANSWERS_TRUSTED = 10.0
-#: Costs this close to the least, as a share, are taken for equal.
-NEAR = 0.08
-#: Upstreams compared for one call; more than that are sampled.
+#: Costs within this share of the least are taken for equal. Chosen, not measured.
+NEAR_SHARE = 0.08
+#: Upstreams compared for one call; of more than that a sample is drawn. Chosen,
+#: not measured.
 MOST_COMPARED = 64
 
 
@@ -38,7 +47,7 @@
     """
     Chooses the upstream with the soonest expected end.
 
-    Invariant: an upstream that is believed to have no room is not chosen.
+    Invariant: an upstream that is estimated to have no room is not chosen.
     """
 
     def choose(
@@ -48,23 +57,23 @@
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
-        """Take the soonest, one of the nearly soonest at random."""
+        """Take one of the nearly soonest at random, so that not all take the same."""
         if len(pool.usable_order) > MOST_COMPARED:
             options = selection.sample(pool, MOST_COMPARED, now, exclude)
         else:
             options = selection.eligible(pool, now, exclude)
         if now < call.wait_until:
-            options = worth_waiting_for(options, now)
+            options = without_slowed(options, now)
         typical_s = pool.latencies.typical_s(call.operation)
         cost_by_id: dict[ids.UpstreamId, float] = {}
         for upstream in options:
-            running = pool.estimated_load(upstream, now)
-            if has_room(upstream, running, pool.crowding):
-                cost = expected_s(pool, call, upstream, running, typical_s, now)
+            load = pool.estimated_load(upstream, now)
+            if has_room(upstream, load, pool.crowding):
+                cost = expected_s(pool, call, upstream, load, typical_s, now)
                 cost_by_id[upstream.spec.id] = cost
         if not cost_by_id:
             return None
-        limit = min(cost_by_id.values()) * (1.0 + NEAR)
+        limit = min(cost_by_id.values()) * (1.0 + NEAR_SHARE)
         near = [name for name, cost in cost_by_id.items() if cost <= limit]
         chosen = pool.upstream_by_id[pool.rng.choice(near)]
         candidate = selection.Candidate(
@@ -79,58 +88,66 @@
     def reported(
         self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Take in what an upstream said of its queue."""
+        """Ignore the queue: no upstream gets more than its slots."""
 
 
-def worth_waiting_for(
+def without_slowed(
     options: list[upstreams.Upstream], now: ids.Instant
 ) -> list[upstreams.Upstream]:
-    """Return those that are not slowed, or all where all are."""
-    sound = [one for one in options if one.slowdown(now) <= upstreams.SLOWED_FACTOR]
-    return sound or options
+    """
+    Return those that are not slowed, or all where all are.
+
+    While one of the others may get room a call had better wait for it
+    (MEASUREMENTS.md, round 12).
+    """
+    others = [u for u in options if u.slowdown(now) <= upstreams.SLOWED_FACTOR]
+    return others or options
 
 
 def has_room(
-    upstream: upstreams.Upstream, running: float, crowded: crowding.Crowding
+    upstream: upstreams.Upstream, load: float, crowded: crowding.Crowding
 ) -> bool:
-    """Tell whether one more request would start there at once, and is worth it."""
-    return running + 1 <= crowded.usable(upstream.slots) + ROOM_MARGIN
+    """Tell whether one more request would start there at once and slow no other."""
+    return load + 1 <= crowded.usable(upstream.slots) + ROOM_MARGIN
 
 
 def estimated_latency_ratio(pool: pools.Pool, upstream: upstreams.Upstream) -> float:
     """
-    Return how slow it is, judged by few answers as all are together.
+    Return its latency ratio; with few answers mostly that of all upstreams.
 
     One that has answered less than the others would otherwise be passed over
     for the mere reason that nothing is known of it.
     """
     trust = upstream.answers / (upstream.answers + ANSWERS_TRUSTED)
-    usual = pool.latency_ratio.value
-    return usual + trust * (upstream.latency_ratio.value - usual)
+    overall = pool.latency_ratio.value
+    return overall + trust * (upstream.latency_ratio.value - overall)
 
 
 def expected_s(
     pool: pools.Pool,
     call: waiting.Call,
     upstream: upstreams.Upstream,
-    running: float,
+    load: float,
     typical_s: float,
     now: ids.Instant,
 ) -> float:
     """
     Estimate how long the call would take there, in seconds.
 
-    ``typical_s`` is the usual time of its kind.
+    ``load`` is the estimated number of requests in the upstream, ``typical_s``
+    the typical latency of this kind of call in seconds.
     """
     slots = upstream.slots
-    work = typical_s * upstream.slowdown(now)
-    work *= max(MIN_LATENCY_RATIO, estimated_latency_ratio(pool, upstream))
+    work_s = typical_s * upstream.slowdown(now)
+    work_s *= max(MIN_LATENCY_RATIO, estimated_latency_ratio(pool, upstream))
     if now < upstream.spec.cold_until:
-        work *= COLD_FACTOR
-    full = min(1.0, (running + 1) / slots)
-    if full > NEARLY_FULL:
-        work *= 1.0 + FULL_EXTRA * (full - NEARLY_FULL) / (1.0 - NEARLY_FULL)
-    ahead = max(0.0, running + 1 - slots)
-    work *= 1.0 + silence.overdue_cost(upstream, pool.latencies.overall.value, now)
-    far = 0.0 if upstream.spec.zone == pool.local_member.zone else call.cross_zone_s
-    return work * (1.0 + ahead / slots) + far
+        work_s *= COLD_FACTOR
+    in_use = min(1.0, (load + 1) / slots)
+    if in_use > SLOWER_FROM_SHARE:
+        excess = FULL_SLOWDOWN * (in_use - SLOWER_FROM_SHARE)
+        work_s *= 1.0 + excess / (1.0 - SLOWER_FROM_SHARE)
+    ahead = max(0.0, load + 1 - slots)
+    work_s *= 1.0 + silence.overdue_cost(upstream, pool.latencies.overall.value, now)
+    local = upstream.spec.zone == pool.local_member.zone
+    crossing_s = 0.0 if local else call.cross_zone_s
+    return work_s * (1.0 + ahead / slots) + crossing_s
--- a/spindlenotch/kernel/crowding.py
+++ b/spindlenotch/kernel/crowding.py
@@ -1,33 +1,42 @@
 """
-Finds out whether the upstreams of a service work slower when nearly full.
+Learns whether the upstreams of a service work slower when nearly full.
 
-Pure. Compares how long requests took that began and ended at a nearly full
-upstream with those that began and ended at one that was not, both only while
-the upstream said that it worked as usual. Where filling the last slots slows
-all of them so much that less gets done, they are better left empty.
+Pure. Compares the latency of requests that began and ended at a nearly full
+upstream with that of those that began and ended at one that was not, both only
+while the upstream reported no slowdown. Where filling the last slots slows all
+requests so much that less gets done, they are better left empty.
 """
 
 from spindlenotch.kernel import latency
 
-#: Above this share of its slots in use an upstream counts as nearly full.
+#: Share of its slots in use above which an upstream counts as nearly full. Not
+#: the share from which ``soonest`` expects a slowdown (``SLOWER_FROM_SHARE``):
+#: this one is where slots stop being used. Chosen, not measured.
 NEARLY_FULL = 0.75
-#: An upstream that says less than this works as usual.
+#: Highest reported slowdown at which a request is a sample. Chosen, not measured.
 UNSLOWED_FACTOR = 1.3
-#: Samples of each kind before anything is concluded, and so many are averaged.
+#: Least samples of each kind before anything is concluded. Chosen, not measured.
 LEAST_SAMPLES = 40
+#: Samples over which the means run. Chosen, not measured.
 SAMPLES_AVERAGED = 300
-#: One stray sample counts at most so many usual times.
-MOST_TIMES = 3.0
-#: From this ratio on the last slots stay empty. It is far below what a nearly
-#: full upstream does to its work, since what is counted as nearly full was so
+#: Highest latency ratio that one sample counts with. Chosen, not measured.
+MOST_LATENCY_RATIO = 3.0
+#: Requests above an upstream's slots with which a request is still a sample:
+#: estimates are fractions. Chosen, not measured.
+LOAD_MARGIN = 0.5
+#: Ratio of the two latencies from which the last slots stay empty. It is far
+#: below the slowdown of a full upstream, since what counts as nearly full was so
 #: for part of the time only: 1.05 to 1.3 was measured where work takes 1.7
-#: times as long, 0.85 to 1.03 where it takes as long as ever.
+#: times as long, 0.85 to 1.03 where it takes as long as ever (MEASUREMENTS.md,
+#: round 15).
 CROWDED = 1.08
+#: Keeps the ratio finite.
+LEAST_LATENCY = 1e-9
 
 
 class Crowding:
     """
-    What one service's upstreams do when nearly full.
+    How much slower one service's upstreams are when nearly full.
 
     Invariant: nothing is concluded from fewer than ``LEAST_SAMPLES`` of either
     kind.
@@ -40,31 +49,40 @@
         self.partly_samples = 0
 
     def add(
-        self, slots: int, before: float, after: float, slowdown: float, times: float
+        self,
+        *,
+        slots: int,
+        load_sent: float,
+        load_answered: float,
+        slowdown: float,
+        latency_ratio: float,
     ) -> None:
         """
         Take in one answer.
 
-        ``before`` and ``after`` are the requests in the upstream, this one
-        included, as it was sent and answered; ``slowdown`` the slower of what was
-        believed then; ``times`` how long it took, in usual times.
+        ``load_sent`` and ``load_answered`` are the requests in the upstream when
+        the request was sent and answered, itself included; ``slowdown`` is the
+        higher of the two estimates; ``latency_ratio`` is its latency as a
+        multiple of the typical one.
         """
-        if slowdown > UNSLOWED_FACTOR or max(before, after) > slots + 0.5:
+        if slowdown > UNSLOWED_FACTOR:
+            return
+        if max(load_sent, load_answered) > slots + LOAD_MARGIN:
             return
         limit = NEARLY_FULL * slots
-        times = min(MOST_TIMES, times)
-        if before > limit and after > limit:
+        sample = min(MOST_LATENCY_RATIO, latency_ratio)
+        if load_sent > limit and load_answered > limit:
             self.full_samples += 1
-            _average(self.full, times, self.full_samples)
-        elif before <= limit and after <= limit:
+            _average(self.full, sample, self.full_samples)
+        elif load_sent <= limit and load_answered <= limit:
             self.partly_samples += 1
-            _average(self.partly, times, self.partly_samples)
+            _average(self.partly, sample, self.partly_samples)
 
     def slowdown(self) -> float:
-        """Return the ratio of the two times; one where too little is known."""
+        """Return the ratio of the two latencies; one where too little is known."""
         if min(self.full_samples, self.partly_samples) < LEAST_SAMPLES:
             return 1.0
-        return max(1.0, self.full.value / max(1e-9, self.partly.value))
+        return max(1.0, self.full.value / max(LEAST_LATENCY, self.partly.value))
 
     def usable(self, slots: int) -> int:
         """Return how many of an upstream's slots are best used at once."""
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -1,9 +1,9 @@
 """
-The queue of one service in one entry: by rank, then first come, first served.
+The queue of one service in one process: by rank, then first come, first served.
 
-A request waits here rather than at an upstream, so that a more urgent one can
-still pass it and so that it is bound to a slot as late as possible. The queue
-is bounded by number and by time.
+A call waits here rather than at an upstream, so that a more urgent one can
+still pass it and so that it is bound to a slot as late as possible. Owns the
+order only; ``queueing`` in the decisions says who is admitted and given up.
 """
 
 import collections
@@ -12,9 +12,9 @@
 
 from spindlenotch import ids
 
-#: Every this many turns the longest-waiting request goes first, whatever its
-#: rank, so that the lowest class never starves.
-FAIR_TURN = 20
+#: One call in this many is the longest-waiting one, whatever its rank, so that
+#: the lowest class never starves. Chosen, not measured.
+OLDEST_FIRST_EVERY = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,15 +42,15 @@
     """
     Calls that wait, by rank.
 
-    Invariant: within a rank the order is that of arrival. ``turn`` names
-    the lowest rank number first, except for every ``FAIR_TURN``-th turn.
+    Invariant: within a rank the order is that of arrival. ``head`` is of the
+    lowest rank number, except for every ``OLDEST_FIRST_EVERY``-th call.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.calls_by_rank: dict[int, collections.OrderedDict[ids.CallId, Call]] = {}
         self.rank_by_call: dict[ids.CallId, int] = {}
-        self.turns = 0
+        self.taken = 0
 
     def __len__(self) -> int:
         return len(self.rank_by_call)
@@ -65,8 +65,8 @@
 
     def push(self, call: Call) -> None:
         """Add a call at the end of its rank."""
-        line = self.calls_by_rank.setdefault(call.rank, collections.OrderedDict())
-        line[call.id] = call
+        calls = self.calls_by_rank.setdefault(call.rank, collections.OrderedDict())
+        calls[call.id] = call
         self.rank_by_call[call.id] = call.rank
 
     def remove(self, call_id: ids.CallId) -> Call | None:
@@ -74,19 +74,19 @@
         rank = self.rank_by_call.pop(call_id, None)
         return None if rank is None else self.calls_by_rank[rank].pop(call_id)
 
-    def turn(self) -> Call | None:
-        """Return the call whose turn it is, without taking it out."""
-        ranks = sorted(rank for rank, line in self.calls_by_rank.items() if line)
+    def head(self) -> Call | None:
+        """Return the call that goes next, without taking it out."""
+        ranks = sorted(rank for rank, calls in self.calls_by_rank.items() if calls)
         if not ranks:
             return None
         firsts = [next(iter(self.calls_by_rank[rank].values())) for rank in ranks]
-        if (self.turns + 1) % FAIR_TURN == 0:
+        if (self.taken + 1) % OLDEST_FIRST_EVERY == 0:
             return min(firsts, key=lambda call: call.arrived_at)
         return firsts[0]
 
     def take(self, call: Call) -> None:
-        """Take out the call that ``turn`` returned."""
-        self.turns += 1
+        """Take out the call that ``head`` returned."""
+        self.taken += 1
         self.remove(call.id)
 
     def lowest(self) -> Call | None:
