--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -115,7 +115,7 @@
         )
 
     def update_service(self, service: service_policy.ServicePolicy) -> None:
-        """Put a changed policy into force; beliefs and calls stay."""
+        """Put a changed policy into force; estimates and calls stay."""
         if service.selection != self.service.selection:
             self.policy = selection.POLICIES.get(service.selection)()
         self.service = service
@@ -311,15 +311,22 @@
         self.pool.in_flight += 1
         self.decisions.append(
             Decision(
-                now,
-                call.id,
-                kind,
-                upstream.spec.id,
-                choice.rule.value,
-                choice.candidates,
+                at=now,
+                call=call.id,
+                kind=kind,
+                upstream=upstream.spec.id,
+                rule=choice.rule.value,
+                candidates=choice.candidates,
             )
         )
-        return Grant(call, upstream, kind, now, slowdown, load)
+        return Grant(
+            call=call,
+            upstream=upstream,
+            kind=kind,
+            sent_at=now,
+            slowdown=slowdown,
+            load=load,
+        )
 
     def _enqueue(
         self, call: waiting.Call, now: ids.Instant
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -1,13 +1,12 @@
 """
-The recommended policy: own slots first, then the cheapest of a few, in limits.
-
-Work goes to the slots this entry owns (see ``ownership``), where its own
-count is nearly exact without any measuring. When those are busy it compares
-the own upstreams with a few others by believed cost. How much an entry may
-have under way follows what answers say of queues at the upstreams; beyond it
-calls wait in the entry, where the more urgent can still pass. While calls are
-being refused for overload, the limit is the own slots: then no queue forms at
-the upstreams, and urgent calls find a slot as soon as one is free.
+The policy for bundles: own slots first, then the cheapest of a few, in limits.
+
+Calls go to the slots this entry owns (see ``ownership``), where its own count is
+nearly exact without any measuring. When those are busy it compares the own
+upstreams with a few others by estimated cost (``queueing_cost``). The limit of
+calls in flight follows the queues that upstreams report; beyond it calls wait in
+the entry, where the more urgent can still pass. Under overload the limit is the
+own slots: no queue forms at the upstreams, and urgent calls find a free slot.
 """
 
 import itertools
@@ -17,23 +16,35 @@
 from spindlenotch.decisions import overload, queueing_cost
 from spindlenotch.kernel import pool as pools, upstreams, waiting
 
-#: Upstreams looked at besides the own ones. Few, and random, so that many
-#: entries with the same stale belief do not all pick the same one.
+#: Upstreams compared besides the own ones. Few, and random, so that many entries
+#: with the same stale estimate do not all pick the same one. Chosen, not measured.
 SAMPLE = 8
 #: Own upstreams with room that are compared, and own ones when all are busy.
-#: Bounds the time of a decision where an entry owns slots in many.
-OWN_SEEN = 4
-OWN_SEEN_BUSY = 4
-#: An own upstream this much slower than usual competes with the others.
+#: Bounds the time of a decision where an entry owns slots in many; that all of
+#: them were too many is measured (MEASUREMENTS.md, round 3), the figure is chosen.
+OWN_COMPARED = 4
+OWN_COMPARED_BUSY = 4
+#: Cost (a multiple of the typical latency) from which an own upstream competes
+#: with the others. Chosen; a sweep of this threshold brought no gain
+#: (MEASUREMENTS.md, round 2).
 SLOW_COST = 1.6
-#: Calls under way per own slot: bounds, and steps per answer. The least is
-#: above one so that a slot does not idle while its answer is on the way.
+#: Least calls in flight per own slot. Above one, so that a slot does not idle
+#: while its answer is on its way. Chosen, not measured.
 LEAST_FACTOR = 1.15
+#: Most calls in flight per own slot (MEASUREMENTS.md, round 8; commit 77b545b
+#: names the values tried).
 MOST_FACTOR = 8.0
-FACTOR_GROWS = 0.01
-FACTOR_SHRINKS = 0.99
-#: Calls queued per slot of an upstream above which the factor shrinks.
+#: Added to the factor with each report of a short queue. Chosen, not measured.
+FACTOR_STEP = 0.01
+#: The factor is multiplied by this with each report of a long queue. Chosen, not
+#: measured.
+FACTOR_DECAY = 0.99
+#: Calls queued per slot of an upstream above which the factor shrinks
+#: (MEASUREMENTS.md, round 8; commit 77b545b names the values tried).
 QUEUE_TARGET = 3.0
+#: Least that has to be free of an own slot, which may be a fraction of one, for
+#: it to count as free. Chosen, not measured.
+FREE_SLOT_SHARE = 0.5
 
 
 @selection.POLICIES.register("owned")
@@ -41,7 +52,7 @@
     """
     Chooses by ownership, then by expected cost, within a limit.
 
-    Invariant: with own slots at hand, calls under way never exceed the own
+    Invariant: with own slots at hand, calls in flight never exceed the own
     slots times the factor (at least one).
     """
 
@@ -75,19 +86,19 @@
     def reported(
         self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Let the limit follow what an upstream says of its queue."""
+        """Let the limit follow the queue that an upstream reports."""
         if queued > QUEUE_TARGET * upstream.slots:
-            self.factor = max(LEAST_FACTOR, self.factor * FACTOR_SHRINKS)
+            self.factor = max(LEAST_FACTOR, self.factor * FACTOR_DECAY)
         else:
-            self.factor = min(MOST_FACTOR, self.factor + FACTOR_GROWS)
+            self.factor = min(MOST_FACTOR, self.factor + FACTOR_STEP)
 
     def _best_own(
         self, pool: pools.Pool, now: ids.Instant, exclude: selection.Exclusion
     ) -> selection.Candidate | None:
         """Return the cheapest of a few own upstreams with room."""
         best: selection.Candidate | None = None
-        seen = 0
-        for upstream in _from_anywhere(pool):
+        compared = 0
+        for upstream in _own_from_random(pool):
             if not _has_room(upstream) or upstream.spec.id in exclude:
                 continue
             if not upstream.may_take(now):
@@ -95,8 +106,8 @@
             candidate = queueing_cost.appraise(pool, upstream, now)
             if best is None or candidate.cost < best.cost:
                 best = candidate
-            seen += 1
-            if seen == OWN_SEEN:
+            compared += 1
+            if compared == OWN_COMPARED:
                 break
         return best
 
@@ -108,7 +119,7 @@
         exclude: selection.Exclusion,
     ) -> list[upstreams.Upstream]:
         options = selection.sample(pool, sampled, now, exclude)
-        for upstream in itertools.islice(_from_anywhere(pool), OWN_SEEN_BUSY):
+        for upstream in itertools.islice(_own_from_random(pool), OWN_COMPARED_BUSY):
             if upstream in options or upstream.spec.id in exclude:
                 continue
             if upstream.may_take(now):
@@ -116,7 +127,7 @@
         return options
 
 
-def _from_anywhere(pool: pools.Pool) -> abc.Iterator[upstreams.Upstream]:
+def _own_from_random(pool: pools.Pool) -> abc.Iterator[upstreams.Upstream]:
     """Go through the own upstreams once, from a random one on."""
     own = pool.owned
     if not own:
@@ -132,7 +143,7 @@
 
 def _has_room(upstream: upstreams.Upstream) -> bool:
     trusted = max(1.0, upstream.owned_slots * upstream.trusted_share())
-    return upstream.outstanding + 0.5 <= trusted
+    return upstream.outstanding + FREE_SLOT_SHARE <= trusted
 
 
 def _choice(
--- a/spindlenotch/kernel/backoff.py
+++ b/spindlenotch/kernel/backoff.py
@@ -1,15 +1,18 @@
 """
-Waits between tries that double, with jitter, so that a fleet does not come at once.
+Waits between tries: exponential backoff with jitter.
+
+The jitter keeps the processes of a fleet from trying at the same moment. Pure but
+for the random numbers that are handed in.
 """
 
 import random
 
-#: Shortest and longest factor of a wait that is drawn at random.
+#: Shortest and longest factor of a wait, drawn evenly. Chosen, not measured.
 JITTER = (0.5, 1.5)
 
 
 class Backoff:
-    """Waits in seconds from ``least_s``, doubling up to ``most_s``."""
+    """Waits in seconds from ``least_s``, doubling up to ``most_s``, before jitter."""
 
     def __init__(self, rng: random.Random, least_s: float, most_s: float) -> None:
         self.rng = rng
--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -11,6 +11,11 @@
 
 from spindlenotch import ids
 
+#: Most extra requests that a share budget saves up. Chosen, not measured.
+MOST_SAVED = 10.0
+#: Extra requests that it allows before anything was earned. Chosen, not measured.
+INITIAL_RESERVE = 1.0
+
 
 class ExtraBudget(typing.Protocol):
     """Bounds what is sent beyond the first try of each request."""
@@ -39,8 +44,8 @@
     """
 
     share: float
-    cap: float = 10.0
-    balance: float = 1.0
+    cap: float = MOST_SAVED
+    balance: float = INITIAL_RESERVE
 
     def earn(self, now: ids.Instant) -> None:
         """Count one ordinary request."""
@@ -65,8 +70,7 @@
     Invariant: in any span of ``window_s`` seconds, the extra requests are at
     most ``share`` of the ordinary ones in a span of that length that ends
     with them, plus ``reserve``. The sums of several processes therefore keep
-    to the same share plus the sum of their reserves, whatever each believes
-    of the others.
+    to the same share plus the sum of their reserves, without any message.
     """
 
     def __init__(self, share: float, reserve: int, window_s: float) -> None:
--- a/spindlenotch/kernel/latency.py
+++ b/spindlenotch/kernel/latency.py
@@ -8,6 +8,12 @@
 import dataclasses
 import math
 
+#: Largest step of a quantile tracker with one sample, as a share of its value.
+#: Chosen, not measured.
+QUANTILE_GAIN = 0.05
+#: Weight of the newest sample where a mean is given none. Chosen, not measured.
+DEFAULT_WEIGHT = 0.1
+
 
 @dataclasses.dataclass(slots=True)
 class QuantileTracker:
@@ -21,7 +27,7 @@
 
     quantile: float
     value: float
-    gain: float = 0.05
+    gain: float = QUANTILE_GAIN
 
     def add(self, sample: float) -> None:
         """Take in one sample (same unit as ``value``)."""
@@ -36,13 +42,13 @@
     """Exponentially weighted mean; ``weight`` is that of the newest sample."""
 
     value: float
-    weight: float = 0.1
+    weight: float = DEFAULT_WEIGHT
 
     def add(self, sample: float) -> None:
         """Take in one sample."""
         self.value += self.weight * (sample - self.value)
 
 
-def decay(age: float, time_constant: float) -> float:
-    """Return how much a belief of this age still counts, from 1 down to 0."""
-    return math.exp(-max(age, 0.0) / time_constant)
+def decay(age_s: float, time_constant_s: float) -> float:
+    """Return how much a report of this age still counts, from 1 down to 0."""
+    return math.exp(-max(age_s, 0.0) / time_constant_s)
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -12,6 +12,7 @@
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
 
+#: Scores that are cached. Chosen, not measured.
 SCORES_KEPT = 65_536
 
 
--- a/spindlenotch/kernel/schedule.py
+++ b/spindlenotch/kernel/schedule.py
@@ -13,6 +13,7 @@
 
 from spindlenotch import ids
 
+#: A unit.
 MINUTES_PER_DAY = 1440.0
 
 
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -15,6 +15,10 @@
 from spindlenotch import ids, registry
 from spindlenotch.kernel import pool as pools, upstreams, waiting
 
+#: Random draws per upstream of a sample: some hit one that is drawn already or
+#: that may not take the call. Chosen, not measured.
+DRAWS_PER_SAMPLE = 3
+
 
 class Rule(enum.Enum):
     """Why an upstream was chosen."""
@@ -29,7 +33,7 @@
 
 
 class Candidate(typing.NamedTuple):
-    """One upstream that was considered, and what was believed of it."""
+    """One upstream that was compared, and what was estimated of it."""
 
     upstream: ids.UpstreamId
     cost: float
@@ -65,7 +69,7 @@
     def reported(
         self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Take in what an upstream said of its queue."""
+        """Take in how many requests an upstream reports as queued."""
 
 
 POLICIES: registry.Registry[abc.Callable[[], Policy]] = registry.Registry("policy")
@@ -88,7 +92,7 @@
     order = pool.usable_order
     if not order:
         return found
-    for _ in range(3 * count):
+    for _ in range(DRAWS_PER_SAMPLE * count):
         upstream = order[int(pool.rng.random() * len(order))]
         if upstream in found or upstream.spec.id in exclude:
             continue
