--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -64,9 +64,7 @@
 ) -> balancer.Balancer:
     """Return a balancer with ``count`` upstreams that are warm."""
     local_member = ownership.Member(ZONES[0], ids.HostId("e0"))
-    made = balancer.Balancer(
-        service(policy, extra), local_member, random.Random(seed), NOW
-    )
+    made = balancer.Balancer(service(policy, extra), local_member, random.Random(seed))
     specs = [
         upstreams.UpstreamSpec(
             ids.UpstreamId(f"u{n}"), ZONES[n % 3], ids.Address(""), 1
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -100,10 +100,9 @@
         service: service_policy.ServicePolicy,
         local_member: ownership.Member,
         rng: random.Random,
-        now: ids.Instant,
     ) -> None:
         self.service = service
-        self.pool = pools.Pool(service, local_member, rng, now)
+        self.pool = pools.Pool(service, local_member, rng)
         self.policy = selection.POLICIES.get(service.selection)()
         self.queue = waiting.WaitQueue(service.queue_limit)
         self.extra = service.extra.create()
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -168,7 +168,6 @@
         return verdict
 
     def _apply_bundle(self, opened: bundle_seal.Opened) -> None:
-        now = self.clock.now()
         self.opened = opened
         services = opened.bundle.service_by_name
         for name in set(self.balancer_by_service) - set(services):
@@ -178,7 +177,7 @@
             existing = self.balancer_by_service.get(name)
             if existing is None:
                 rng = random.Random(self.rng.getrandbits(64))
-                existing = balancer.Balancer(policy, self.local_member, rng, now)
+                existing = balancer.Balancer(policy, self.local_member, rng)
                 self.balancer_by_service[name] = existing
             existing.update_service(policy)
         version = opened.bundle.version
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -256,9 +256,8 @@
             )
 
     def _new_balancer(self, name: ids.ServiceName) -> balancer.Balancer:
-        now = self.clock.now()
         service = self._service(name, (self.config.zone,))
-        return balancer.Balancer(service, self.local_member, self.rng, now)
+        return balancer.Balancer(service, self.local_member, self.rng)
 
     def _service(
         self, name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -64,7 +64,6 @@
         service: service_policy.ServicePolicy,
         local_member: ownership.Member,
         rng: random.Random,
-        now: ids.Instant,
     ) -> None:
         self.service = service
         self.local_member = local_member
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -54,7 +54,7 @@
 def pool_of(size: int, entries: int) -> balancer.Balancer:
     """Return a balancer with a pool of ``size`` among ``entries``."""
     local_member = ownership.Member(ids.ZoneName("zone-0"), ids.HostId("entry-0000"))
-    made = balancer.Balancer(service("s"), local_member, random.Random(1), slopes.NOW)
+    made = balancer.Balancer(service("s"), local_member, random.Random(1))
     made.pool.set_members(
         ownership.Member(measure_gossip.member(n).zone, measure_gossip.member(n).host)
         for n in range(entries)
