--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -80,7 +80,14 @@
 def call(number: int, rank: int = 1, deadline: float = 60.0) -> waiting.Call:
     """Return a repeatable call."""
     name = ids.CallId(f"c{number}")
-    return waiting.Call(name, rank, True, ids.later(NOW, deadline), "read", NOW)
+    return waiting.Call(
+        id=name,
+        rank=rank,
+        repeatable=True,
+        deadline=ids.later(NOW, deadline),
+        operation="read",
+        arrived_at=NOW,
+    )
 
 
 @PROPERTIES.register("own slots of all entries add up to all slots")
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -341,7 +341,12 @@
     (upstream,) = service.pool.upstream_by_id.values()
     now = state.clock.now()
     call = waiting.Call(
-        ids.CallId("call-1"), 1, True, ids.later(now, 5), "route-0", now
+        id=ids.CallId("call-1"),
+        rank=1,
+        repeatable=True,
+        deadline=ids.later(now, 5),
+        operation="route-0",
+        arrived_at=now,
     )
     job = data_path.Job(service, call, "GET", "/path-0", [], None, 0, False)
     grant = balancer.Grant(call, upstream, balancer.Kind.RETRY, now, 2.5)
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -108,12 +108,12 @@
         whole = isinstance(body, (bytes, type(None)))
         operation = admitted.operation
         call = waiting.Call(
-            call_id,
-            admitted.rank,
-            operation.repeatable and whole and not admitted.no_retry,
-            ids.later(sent_at, admitted.timeout_s),
-            operation.name,
-            sent_at,
+            id=call_id,
+            rank=admitted.rank,
+            repeatable=operation.repeatable and whole and not admitted.no_retry,
+            deadline=ids.later(sent_at, admitted.timeout_s),
+            operation=operation.name,
+            arrived_at=sent_at,
         )
         return data_path.Job(
             service=self.state.balancer_by_service[admitted.service.name],
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -326,12 +326,12 @@
             wait_s = WAIT_SHARE * route.target_s
         size = len(body) if isinstance(body, bytes) else request.content_length or 0
         call = waiting.Call(
-            ids.CallId(f"{next(self._numbers):x}"),
-            route.rank,
-            route.repeatable,
-            deadline,
-            route.name,
-            now,
+            id=ids.CallId(f"{next(self._numbers):x}"),
+            rank=route.rank,
+            repeatable=route.repeatable,
+            deadline=deadline,
+            operation=route.name,
+            arrived_at=now,
             most_tries=route.most_tries,
             wait_until=ids.later(now, wait_s),
             cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * size,
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -15,9 +15,15 @@
 #: One call in this many is the longest-waiting one, whatever its rank, so that
 #: the lowest class never starves. Chosen, not measured.
 OLDEST_FIRST_EVERY = 20
+#: Upstreams that a call may be sent to where nothing bounds them: more than there
+#: are. Chosen, not measured.
+MOST_TRIES = 1_000
+#: What an upstream in another zone costs a call where nothing else is said, in
+#: seconds, both ways. Chosen, not measured.
+CROSS_ZONE_S = 0.002
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
+@dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
     """
     A request as the kernel sees it. ``deadline`` is an instant.
@@ -33,9 +39,9 @@
     deadline: ids.Instant
     operation: str
     arrived_at: ids.Instant
-    most_tries: int = 1_000
+    most_tries: int = MOST_TRIES
     wait_until: ids.Instant = ids.NEVER
-    cross_zone_s: float = 0.002
+    cross_zone_s: float = CROSS_ZONE_S
 
 
 class WaitQueue:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -110,7 +110,12 @@
 
 def _call(name: str) -> waiting.Call:
     return waiting.Call(
-        ids.CallId(name), 1, True, ids.later(slopes.NOW, 5.0), "read", slopes.NOW
+        id=ids.CallId(name),
+        rank=1,
+        repeatable=True,
+        deadline=ids.later(slopes.NOW, 5.0),
+        operation="read",
+        arrived_at=slopes.NOW,
     )
 
 
