--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -98,7 +98,7 @@
         """Let ejections end and log what changed; a few times a second."""
         for name, service in self.balancer_by_service.items():
             service.pool.tick(now)
-            for change in service.pool.collect_changes():
+            for change in service.pool.changes.collect():
                 events.emit(
                     _EVENT_BY_STATE[change.state],
                     service=name,
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -241,7 +241,7 @@
 
     def _report_changes(self) -> None:
         for name, service in self.balancer_by_service.items():
-            for change in service.pool.collect_changes():
+            for change in service.pool.changes.collect():
                 events.emit(
                     _EVENT_BY_STATE[change.state],
                     service=name,
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -6,8 +6,6 @@
 ask: which upstreams may take work and how much they are estimated to have.
 """
 
-import collections
-import dataclasses
 import random
 from collections import abc
 
@@ -20,6 +18,8 @@
     ownership,
     schedule,
     service_policy,
+    slot_division,
+    state_changes,
     upstreams,
 )
 
@@ -32,17 +32,6 @@
 REFUSED_WEIGHT = 0.01
 FAILED_WEIGHT = 0.05
 LATENCY_RATIO_WEIGHT = 0.02
-#: Changes of state kept until they are collected. Chosen, not measured.
-CHANGES_KEPT = 1000
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Change:
-    """An upstream changed its state, and why."""
-
-    upstream: ids.UpstreamId
-    state: upstreams.State
-    reason: str
 
 
 class Pool:
@@ -81,7 +70,7 @@
         self.refused_share = latency.Mean(0.0, REFUSED_WEIGHT)
         self.in_flight = 0
         self.waiting = 0
-        self.changes: collections.deque[Change] = collections.deque(maxlen=CHANGES_KEPT)
+        self.changes = state_changes.ChangeLog()
         self.owned_total = 0.0
         self.failed_share = latency.Mean(0.0, FAILED_WEIGHT)
         #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
@@ -116,22 +105,11 @@
             if known is None or known.spec.generation < spec.generation:
                 slots = spec.slots or self.service.slots
                 self.upstream_by_id[spec.id] = upstreams.Upstream(
-                    spec, slots, now, self._record_change
+                    spec, slots, now, self.changes.record
                 )
         self._forget_gone(spec_by_id)
         self.refresh()
 
-    def _record_change(self, upstream: upstreams.Upstream) -> None:
-        self.changes.append(
-            Change(upstream.spec.id, upstream.state, upstream.state_reason)
-        )
-
-    def collect_changes(self) -> list[Change]:
-        """Return and forget the changes of state so far, oldest first."""
-        taken = list(self.changes)
-        self.changes.clear()
-        return taken
-
     def set_plan(self, plan: dict[ids.ZoneName, float]) -> None:
         """Take in the day's weights by zone."""
         if plan != self.plan:
@@ -159,31 +137,12 @@
         self.ejected = [
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
-        # Ejected slots count here: a zone that has lost most of its own must
-        # not make the plan shrink the others.
-        slots: dict[ids.ZoneName, float] = {}
-        ready = {
-            u.spec.zone
-            for u in self.usable_order
-            if u.state is not upstreams.State.EJECTED
-        }
-        for upstream in self.usable_order:
-            zone = upstream.spec.zone
-            if zone in ready:
-                slots[zone] = slots.get(zone, 0.0) + upstream.slots
+        slots = slot_division.slots_by_zone(self.usable_order)
         self.zone_factor = schedule.effective(self.plan, slots)
         self._assign_slots()
 
     def _assign_slots(self) -> None:
-        offers = [
-            ownership.SlotOffer(
-                u.spec.id,
-                u.spec.zone,
-                u.slots * self.zone_factor.get(u.spec.zone, 0.0),
-            )
-            for u in self.usable_order
-            if u.state is not upstreams.State.EJECTED
-        ]
+        offers = slot_division.offers(self.usable_order, self.zone_factor)
         own = ownership.owned(offers, self.members, self.local_member)
         for upstream in self.upstream_by_id.values():
             upstream.owned_slots = own.get(upstream.spec.id, 0.0)
