--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -32,8 +32,8 @@
     """
     One service and how its traffic is treated.
 
-    ``slots`` is what one upstream runs at once; ``typical_ms`` is the time
-    one request usually takes and seeds every estimate before there are
+    ``slots`` is what one upstream runs at once; ``typical_ms`` is the
+    typical latency of one request and seeds every estimate before there are
     measurements.
     """
 
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerGrant:
-    """Which classes a caller may use; the first is its usual one."""
+    """Which classes a caller may use; the first is its default."""
 
     name: ids.CallerName
     key_sha256: str
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -7,10 +7,8 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import silence
-from spindlenotch.kernel import pool as pools, upstreams
+from spindlenotch.kernel import pool as pools, upstreams, waiting
 
-#: One way between two zones, in seconds. Chosen, not measured.
-ZONE_CROSSING_S = 0.001
 #: Least latency ratio that counts: a few quick answers must not draw all calls.
 #: Chosen, not measured.
 LEAST_LATENCY_RATIO = 0.5
@@ -34,7 +32,7 @@
     latency_ratio += silence.overdue_cost(upstream, typical_s, now)
     crossing_s = 0.0
     if upstream.spec.zone != pool.local_member.zone:
-        crossing_s = 2 * ZONE_CROSSING_S
+        crossing_s = waiting.CROSS_ZONE_S
     return float(latency_ratio * (1 + queued / slots) + crossing_s / typical_s)
 
 
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from spindlenotch import ids
+from spindlenotch import ids, selection
 from spindlenotch.decisions import balancer, queueing_cost
 from spindlenotch.entry import entry_state
 from spindlenotch.kernel import pool, upstreams
@@ -139,7 +139,17 @@
         "try": decision.kind.value,
         "upstream": decision.upstream,
         "why": decision.rule,
-        "candidates": [c._asdict() for c in decision.candidates],
+        "candidates": [_candidate(c) for c in decision.candidates],
+    }
+
+
+def _candidate(candidate: selection.Candidate) -> Dump:
+    return {
+        "upstream": candidate.upstream,
+        "cost": candidate.cost,
+        "believed_running": candidate.load,
+        "belief_age_s": candidate.report_age_s,
+        "owned_slots": candidate.owned_slots,
     }
 
 
--- a/spindlenotch/kernel/__init__.py
+++ b/spindlenotch/kernel/__init__.py
@@ -1,5 +1,5 @@
 """
-Kernel: what is known of each upstream and service, and pure rules on it.
+The kernel: what is known of each upstream and service, and pure rules on it.
 
 No input or output and no clock here; every method takes the instant.
 """
--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -40,7 +40,7 @@
     Allows extra work as a share of ordinary work.
 
     Invariant: spent <= share * earned + the initial reserve of one. The
-    balance is capped so that a quiet day does not save up for a storm.
+    balance is capped so that a quiet day does not save up for a burst of retries.
     """
 
     share: float
@@ -141,7 +141,7 @@
 
     Invariant: up to any instant at most ``per_second`` uses for each second
     since the start, and in any span at most ``burst`` more than that.
-    ``tokens`` is negative while uses are promised for later.
+    ``tokens`` is negative while uses are reserved for later.
     """
 
     per_second: float
@@ -151,7 +151,7 @@
 
     def reserve(self, now: ids.Instant, longest_wait_s: float) -> ids.Instant | None:
         """
-        Promise one use and return when it is due, at the soonest now.
+        Reserve one use and return when it is due, not before now.
 
         None where that would be more than ``longest_wait_s`` seconds away.
         """
--- a/spindlenotch/kernel/hostlist.py
+++ b/spindlenotch/kernel/hostlist.py
@@ -1,8 +1,8 @@
 """
 The host list as data: which hosts the platform lists and in what state.
 
-It lags, so it is one witness among several: an upstream that says itself that
-it is draining, or that a peer has marked, is leaving whatever the list says.
+The list lags behind: an upstream that reports that it is draining, or of which a
+peer has sent a drain notice, is leaving whatever the list says. Pure.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class HostState(enum.Enum):
-    """What the platform says of a host."""
+    """Whether the platform lets a host get new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -1,9 +1,9 @@
 """
-The one vocabulary in which every answer states what became of a request.
+What became of a request, as every answer states it.
 
-The caller library, the entry and the tests all use these values. ``NOT_RUN``
-may only be built from positive knowledge: the request was never dispatched,
-the connection was never made, or the upstream said so itself.
+The client library, both daemons and the tests use these values. ``NOT_RUN`` may
+only be built from positive knowledge: the request was never dispatched, the
+connection was never made, or the upstream reported that it has not run.
 """
 
 import dataclasses
@@ -57,7 +57,7 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
     """
-    A sentinel returned in place of an answer. It is final when it is made.
+    A value returned in place of an answer. It is final when it is made.
 
     ``retry_at`` is the instant from which asking again makes sense, or None
     where the same request would be refused again.
--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -1,11 +1,11 @@
 """
-Which slots of which upstreams an entry looks on as its own.
+Which slots of which upstreams a member owns: deterministic subsetting.
 
-All entries lay the same upstreams on the same line and cut it into equal
-parts, so that nearly all work in a slot comes from one entry, whose own count
-of outstanding requests is then nearly exact. It is a preference, not a right:
-where two entries see different lists they share some slots, and load reports
-show it. Nothing unsafe follows from a wrong cut.
+All members put the same upstreams in the same order and divide their slots into
+equal parts, so that nearly all work in a slot comes from one member, whose own
+count of outstanding requests is then nearly exact. Ownership is a preference,
+not a right: members with different lists share some slots, and load reports show
+it. Nothing unsafe follows from a wrong division. Pure.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """An entry as ownership sees it; sorted by zone, then id."""
+    """A process that sends to the upstreams; sorted by zone, then host."""
 
     zone: ids.ZoneName
     host: ids.HostId
@@ -37,14 +37,14 @@
     """
     Return the slots that ``local_member`` owns, by upstream.
 
-    Both lists are put in order of zone, so that where zones have entries and
-    slots in equal proportion every entry owns slots of its own zone.
+    Both lists are put in order of zone, so that where zones have members and
+    slots in equal proportion every member owns slots of its own zone.
     """
     ordered = sorted(offers, key=lambda s: (s.zone, s.upstream))
-    everyone = sorted({*members, local_member})
+    all_members = sorted({*members, local_member})
     total = sum(s.slots for s in ordered)
-    part = total / len(everyone)
-    begin = part * everyone.index(local_member)
+    part = total / len(all_members)
+    begin = part * all_members.index(local_member)
     end = begin + part
     result: dict[ids.UpstreamId, float] = {}
     position = 0.0
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -1,8 +1,8 @@
 """
 Who carries a duty, by rendezvous hashing: the same for equal views.
 
-Pure. Every duty given out here must be harmless when views differ and too
-many or too few carry it for a while.
+Pure. Every duty assigned here must be harmless when views differ and too many or
+too few hosts carry it for a while.
 """
 
 import functools
@@ -27,7 +27,7 @@
 
     Rendezvous hashing: a member that joins or leaves moves no other's duty.
     Differing views give too many or too few holders for a while; every duty
-    given out here must be harmless then.
+    assigned here must be harmless then.
     """
     hosts = [m.host for m in members if m.zone == zone]
     scored = sorted(hosts, key=lambda h: score(duty, h), reverse=True)
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -33,12 +33,17 @@
 
 
 class Candidate(typing.NamedTuple):
-    """One upstream that was compared, and what was estimated of it."""
+    """
+    One upstream that was compared, and what was estimated of it.
+
+    ``cost`` is in the unit of the policy that compared; ``load`` is a number of
+    requests, ``report_age_s`` the age of its last load report in seconds.
+    """
 
     upstream: ids.UpstreamId
     cost: float
-    believed_running: float
-    belief_age_s: float
+    load: float
+    report_age_s: float
     owned_slots: float
 
 
@@ -88,16 +93,16 @@
     pool: pools.Pool, count: int, now: ids.Instant, exclude: Exclusion
 ) -> list[upstreams.Upstream]:
     """Return up to ``count`` random upstreams that may take a call."""
-    found: list[upstreams.Upstream] = []
+    sampled: list[upstreams.Upstream] = []
     order = pool.usable_order
     if not order:
-        return found
+        return sampled
     for _ in range(DRAWS_PER_SAMPLE * count):
         upstream = order[int(pool.rng.random() * len(order))]
-        if upstream in found or upstream.spec.id in exclude:
+        if upstream in sampled or upstream.spec.id in exclude:
             continue
         if upstream.may_take(now):
-            found.append(upstream)
-            if len(found) == count:
+            sampled.append(upstream)
+            if len(sampled) == count:
                 break
-    return found
+    return sampled
