--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -82,7 +82,7 @@
     name = ids.CallId(f"c{number}")
     return waiting.Call(
         id=name,
-        rank=rank,
+        priority=rank,
         repeatable=True,
         deadline=ids.later(NOW, deadline),
         operation="read",
@@ -230,9 +230,9 @@
         turns = 0
         while (chosen := queue.head()) is not None:
             turns += 1
-            ahead = min(c.rank for c in queue)
+            ahead = min(c.priority for c in queue)
             fair = turns % waiting.OLDEST_FIRST_EVERY == 0
-            assert fair or chosen.rank == ahead
+            assert fair or chosen.priority == ahead
             queue.take(chosen)
         assert turns == len(order)
 
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -342,7 +342,7 @@
     now = state.clock.now()
     call = waiting.Call(
         id=ids.CallId("call-1"),
-        rank=1,
+        priority=1,
         repeatable=True,
         deadline=ids.later(now, 5),
         operation="route-0",
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -272,7 +272,7 @@
     def _place(
         self, call: waiting.Call, now: ids.Instant
     ) -> Grant | Waiting | outcomes.Refusal:
-        ahead = self.queue.ahead_of(call.rank)
+        ahead = self.queue.ahead_of(call.priority)
         if ahead == 0:
             grant = self._grant(call, Kind.FIRST, now)
             if grant is not None:
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -69,7 +69,7 @@
     It is the newest of the least urgent. None where nothing that waits is less
     urgent than ``call``, which is then refused itself.
     """
-    candidate = queue.lowest()
-    if candidate is None or candidate.rank <= call.rank:
+    candidate = queue.least_urgent()
+    if candidate is None or candidate.priority <= call.priority:
         return None
     return candidate
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -109,7 +109,7 @@
         operation = admitted.operation
         call = waiting.Call(
             id=call_id,
-            rank=admitted.rank,
+            priority=admitted.rank,
             repeatable=operation.repeatable and whole and not admitted.no_retry,
             deadline=ids.later(sent_at, admitted.timeout_s),
             operation=operation.name,
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -327,7 +327,7 @@
         size = len(body) if isinstance(body, bytes) else request.content_length or 0
         call = waiting.Call(
             id=ids.CallId(f"{next(self._numbers):x}"),
-            rank=route.rank,
+            priority=route.rank,
             repeatable=route.repeatable,
             deadline=deadline,
             operation=route.name,
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -1,5 +1,5 @@
 """
-The queue of one service in one process: by rank, then first come, first served.
+The queue of one service in one process: by priority, then first come, first served.
 
 A call waits here rather than at an upstream, so that a more urgent one can
 still pass it and so that it is bound to a slot as late as possible. Owns the
@@ -12,7 +12,7 @@
 
 from spindlenotch import ids
 
-#: One call in this many is the longest-waiting one, whatever its rank, so that
+#: One call in this many is the longest-waiting one, whatever its priority, so that
 #: the lowest class never starves. Chosen, not measured.
 OLDEST_FIRST_EVERY = 20
 #: Upstreams that a call may be sent to where nothing bounds them: more than there
@@ -26,15 +26,16 @@
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
     """
-    A request as the kernel sees it. ``deadline`` is an instant.
+    A request as the kernel sees it.
 
-    ``most_tries`` bounds the upstreams it may be sent to. It is refused when
-    it would wait beyond ``wait_until`` for a place in one. An upstream in
-    another zone counts ``cross_zone_s`` seconds more than one in this.
+    The lowest ``priority`` goes first. ``repeatable``: running it twice does no
+    harm. ``most_tries`` bounds the upstreams it may be sent to. It is refused
+    when it would wait beyond ``wait_until`` for a slot. An upstream in another
+    zone counts ``cross_zone_s`` seconds more than one in this.
     """
 
     id: ids.CallId
-    rank: int
+    priority: int
     repeatable: bool
     deadline: ids.Instant
     operation: str
@@ -46,46 +47,57 @@
 
 class WaitQueue:
     """
-    Calls that wait, by rank.
+    Calls that wait, by priority.
 
-    Invariant: within a rank the order is that of arrival. ``head`` is of the
-    lowest rank number, except for every ``OLDEST_FIRST_EVERY``-th call.
+    Invariant: within a priority the order is that of arrival. ``head`` is of the
+    lowest priority number, except for every ``OLDEST_FIRST_EVERY``-th call.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.calls_by_rank: dict[int, collections.OrderedDict[ids.CallId, Call]] = {}
-        self.rank_by_call: dict[ids.CallId, int] = {}
+        self.calls_by_priority: dict[
+            int, collections.OrderedDict[ids.CallId, Call]
+        ] = {}
+        self.priority_by_call: dict[ids.CallId, int] = {}
         self.taken = 0
 
     def __len__(self) -> int:
-        return len(self.rank_by_call)
+        return len(self.priority_by_call)
 
     def __iter__(self) -> typing.Iterator[Call]:
-        for rank in sorted(self.calls_by_rank):
-            yield from self.calls_by_rank[rank].values()
+        for priority in sorted(self.calls_by_priority):
+            yield from self.calls_by_priority[priority].values()
 
-    def ahead_of(self, rank: int) -> int:
-        """Return how many waiting calls go before a new one of ``rank``."""
-        return sum(len(c) for r, c in self.calls_by_rank.items() if r <= rank)
+    def ahead_of(self, priority: int) -> int:
+        """Return how many waiting calls go before a new one of ``priority``."""
+        return sum(len(c) for r, c in self.calls_by_priority.items() if r <= priority)
 
     def push(self, call: Call) -> None:
-        """Add a call at the end of its rank."""
-        calls = self.calls_by_rank.setdefault(call.rank, collections.OrderedDict())
+        """Add a call at the end of its priority."""
+        calls = self.calls_by_priority.setdefault(
+            call.priority, collections.OrderedDict()
+        )
         calls[call.id] = call
-        self.rank_by_call[call.id] = call.rank
+        self.priority_by_call[call.id] = call.priority
 
     def remove(self, call_id: ids.CallId) -> Call | None:
         """Take out a call that is served, expired or withdrawn."""
-        rank = self.rank_by_call.pop(call_id, None)
-        return None if rank is None else self.calls_by_rank[rank].pop(call_id)
+        priority = self.priority_by_call.pop(call_id, None)
+        return (
+            None if priority is None else self.calls_by_priority[priority].pop(call_id)
+        )
 
     def head(self) -> Call | None:
         """Return the call that goes next, without taking it out."""
-        ranks = sorted(rank for rank, calls in self.calls_by_rank.items() if calls)
-        if not ranks:
+        priorities = sorted(
+            priority for priority, calls in self.calls_by_priority.items() if calls
+        )
+        if not priorities:
             return None
-        firsts = [next(iter(self.calls_by_rank[rank].values())) for rank in ranks]
+        firsts = [
+            next(iter(self.calls_by_priority[priority].values()))
+            for priority in priorities
+        ]
         if (self.taken + 1) % OLDEST_FIRST_EVERY == 0:
             return min(firsts, key=lambda call: call.arrived_at)
         return firsts[0]
@@ -95,11 +107,11 @@
         self.taken += 1
         self.remove(call.id)
 
-    def lowest(self) -> Call | None:
-        """Return the newest call of the least urgent rank."""
-        for rank in sorted(self.calls_by_rank, reverse=True):
-            if self.calls_by_rank[rank]:
-                return next(reversed(self.calls_by_rank[rank].values()))
+    def least_urgent(self) -> Call | None:
+        """Return the newest call of the least urgent priority."""
+        for priority in sorted(self.calls_by_priority, reverse=True):
+            if self.calls_by_priority[priority]:
+                return next(reversed(self.calls_by_priority[priority].values()))
         return None
 
     def expired(self, now: ids.Instant) -> list[Call]:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -111,7 +111,7 @@
 def _call(name: str) -> waiting.Call:
     return waiting.Call(
         id=ids.CallId(name),
-        rank=1,
+        priority=1,
         repeatable=True,
         deadline=ids.later(slopes.NOW, 5.0),
         operation="read",
