--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -85,7 +85,7 @@
         priority=rank,
         repeatable=True,
         deadline=ids.later(NOW, deadline),
-        operation="read",
+        latency_key="read",
         arrived_at=NOW,
     )
 
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -345,7 +345,7 @@
         priority=1,
         repeatable=True,
         deadline=ids.later(now, 5),
-        operation="route-0",
+        latency_key="route-0",
         arrived_at=now,
     )
     job = data_path.Job(service, call, "GET", "/path-0", [], None, 0, False)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -149,7 +149,7 @@
         upstream = grant.upstream
         answered = result is upstreams.Result.ANSWERED
         took_s = now - grant.sent_at
-        typical_s = self.pool.latencies.typical_s(grant.call.operation)
+        typical_s = self.pool.latencies.typical_s(grant.call.latency_key)
         if report is not None:
             if answered:
                 self._learn_crowding(grant, report, took_s / typical_s)
@@ -163,7 +163,7 @@
             latency_ratio = took_s / expected_s
             self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, latency_ratio))
         self.pool.in_flight -= 1
-        self.pool.record_result(upstream, grant.call.operation, result, took_s, now)
+        self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
     def _learn_crowding(
@@ -244,7 +244,7 @@
     def next_check(self, grant: Grant, now: ids.Instant) -> ids.Instant:
         """Return when to look again whether the answer is overdue."""
         interval_s = hedging.check_interval_s(
-            self.pool, grant.upstream, grant.call.operation
+            self.pool, grant.upstream, grant.call.latency_key
         )
         return ids.later(now, interval_s)
 
@@ -256,7 +256,7 @@
         if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
             return None
         overdue = hedging.is_overdue(
-            self.pool, grant.upstream, call.operation, grant.sent_at, now
+            self.pool, grant.upstream, call.latency_key, grant.sent_at, now
         )
         if not overdue or not self.hedges.available(now):
             return None
@@ -286,7 +286,7 @@
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
-        if self.pool.frozen(upstream, grant.call.operation, now):
+        if self.pool.frozen(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, "silent", now)
 
     def _any_usable(self, now: ids.Instant) -> bool:
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -25,7 +25,7 @@
 
 
 def check_interval_s(
-    pool: pools.Pool, upstream: upstreams.Upstream, operation: str
+    pool: pools.Pool, upstream: upstreams.Upstream, latency_key: str
 ) -> float:
     """
     Return after how many seconds an outstanding call is looked at again.
@@ -33,7 +33,7 @@
     A reported slowdown can make a call overdue before its typical latency has
     passed, so the checks are closer together where upstreams report any.
     """
-    interval_s = pool.latencies.typical_s(operation)
+    interval_s = pool.latencies.typical_s(latency_key)
     if upstream.reports_slowdown:
         interval_s *= SLOWDOWN_CHECK_SHARE
     return max(LEAST_CHECK_S, interval_s)
@@ -42,7 +42,7 @@
 def is_overdue(
     pool: pools.Pool,
     upstream: upstreams.Upstream,
-    operation: str,
+    latency_key: str,
     sent_at: ids.Instant,
     now: ids.Instant,
 ) -> bool:
@@ -54,10 +54,10 @@
     for longer than chance explains.
     """
     age_s = now - sent_at
-    if age_s > pool.latencies.p95_s(operation):
+    if age_s > pool.latencies.p95_s(latency_key):
         return True
     slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
-    if slowed and age_s > SLOWED_AGE_SHARE * pool.latencies.typical_s(operation):
+    if slowed and age_s > SLOWED_AGE_SHARE * pool.latencies.typical_s(latency_key):
         return True
     missed = silence.missed_answers(upstream, pool.latencies.overall.value, now)
     return missed > MISSED_ANSWERS
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -36,7 +36,7 @@
     Refusing it at once leaves the caller time to try elsewhere, and no slot
     is spent on an answer that comes too late.
     """
-    typical_s = pool.latencies.typical_s(call.operation)
+    typical_s = pool.latencies.typical_s(call.latency_key)
     return call.deadline - now < expected_wait_s(pool, ahead) + typical_s
 
 
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -64,7 +64,7 @@
             options = selection.eligible(pool, now, exclude)
         if now < call.wait_until:
             options = without_slowed(options, now)
-        typical_s = pool.latencies.typical_s(call.operation)
+        typical_s = pool.latencies.typical_s(call.latency_key)
         cost_by_id: dict[ids.UpstreamId, float] = {}
         for upstream in options:
             load = pool.estimated_load(upstream, now)
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -112,7 +112,7 @@
             priority=admitted.rank,
             repeatable=operation.repeatable and whole and not admitted.no_retry,
             deadline=ids.later(sent_at, admitted.timeout_s),
-            operation=operation.name,
+            latency_key=operation.name,
             arrived_at=sent_at,
         )
         return data_path.Job(
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -330,7 +330,7 @@
             priority=route.rank,
             repeatable=route.repeatable,
             deadline=deadline,
-            operation=route.name,
+            latency_key=route.name,
             arrived_at=now,
             most_tries=route.most_tries,
             wait_until=ids.later(now, wait_s),
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -33,7 +33,7 @@
         events.emit(
             events.Event.REQUEST_SERVED,
             request=request_id,
-            route=job.call.operation,
+            route=job.call.latency_key,
             service=job.service.service.name,
             upstream=grant.upstream.spec.id,
             kind=grant.kind.value,
--- a/spindlenotch/kernel/pool.py
+++ b/spindlenotch/kernel/pool.py
@@ -186,7 +186,7 @@
     def record_result(
         self,
         upstream: upstreams.Upstream,
-        operation: str,
+        latency_key: str,
         result: upstreams.Result,
         took_s: float,
         now: ids.Instant,
@@ -197,7 +197,7 @@
         failed = result not in (upstreams.Result.ANSWERED, upstreams.Result.SHED)
         self.failed_share.add(1.0 if failed else 0.0)
         if result is upstreams.Result.ANSWERED:
-            self.latencies.add(operation, took_s)
+            self.latencies.add(latency_key, took_s)
         reason = ejection.reason_to_eject(
             failed=failed,
             failures_in_row=upstream.failures_in_row,
@@ -219,11 +219,11 @@
         return True
 
     def frozen(
-        self, upstream: upstreams.Upstream, operation: str, now: ids.Instant
+        self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
         """Tell whether its silence can only mean that it has stopped."""
         return ejection.is_frozen(
-            upstream.silent_s(now), self.latencies.p95_s(operation)
+            upstream.silent_s(now), self.latencies.p95_s(latency_key)
         )
 
     def tick(self, now: ids.Instant) -> None:
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -28,17 +28,18 @@
     """
     A request as the kernel sees it.
 
-    The lowest ``priority`` goes first. ``repeatable``: running it twice does no
-    harm. ``most_tries`` bounds the upstreams it may be sent to. It is refused
-    when it would wait beyond ``wait_until`` for a slot. An upstream in another
-    zone counts ``cross_zone_s`` seconds more than one in this.
+    The lowest ``priority`` goes first. ``latency_key`` names the kind of call
+    whose latency is expected: the operation or the route. ``repeatable``:
+    running it twice does no harm. ``most_tries`` bounds the upstreams it may be
+    sent to. It is refused when it would wait beyond ``wait_until`` for a slot.
+    An upstream in another zone counts ``cross_zone_s`` seconds more.
     """
 
     id: ids.CallId
     priority: int
     repeatable: bool
     deadline: ids.Instant
-    operation: str
+    latency_key: str
     arrived_at: ids.Instant
     most_tries: int = MOST_TRIES
     wait_until: ids.Instant = ids.NEVER
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -114,7 +114,7 @@
         priority=1,
         repeatable=True,
         deadline=ids.later(slopes.NOW, 5.0),
-        operation="read",
+        latency_key="read",
         arrived_at=slopes.NOW,
     )
 
