--- a/spindlenotch/gateway/listing.py
+++ b/spindlenotch/gateway/listing.py
@@ -71,7 +71,7 @@
         """Return the whole list for a peer; cold times count from now."""
         return tuple(
             dataclasses.replace(
-                known.listed, cold_s=max(0.0, known.spec.cold_until - now)
+                known.listed, cold_s=max(0.0, known.spec.warming_up_until - now)
             )
             for known in self.known_by_id.values()
         )
@@ -88,11 +88,11 @@
                 generation = self._generation
             else:
                 generation = known.spec.generation
-            cold_until = ids.later(now, one.cold_s)
+            warming_up_until = ids.later(now, one.cold_s)
             if known is not None and not back:
-                cold_until = known.spec.cold_until
+                warming_up_until = known.spec.warming_up_until
             spec = upstreams.UpstreamSpec(
-                one.id, one.zone, one.address, generation, one.slots, cold_until
+                one.id, one.zone, one.address, generation, one.slots, warming_up_until
             )
             self.known_by_id[one.id] = Known(one, spec)
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -76,7 +76,7 @@
     One upstream as the host list gives it.
 
     ``slots`` is None where all upstreams of the service have as many;
-    ``cold_until`` is when it has warmed up after its start.
+    ``warming_up_until`` is when it has warmed up after its start.
     """
 
     id: ids.UpstreamId
@@ -84,7 +84,7 @@
     address: ids.Address
     generation: int
     slots: int | None = None
-    cold_until: ids.Instant = ids.Instant(0.0)
+    warming_up_until: ids.Instant = ids.Instant(0.0)
 
 
 class Upstream:
