--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -3,7 +3,7 @@
 
 Owns the queue, the budgets and the upstreams each call was sent to. The rules are
 in the modules beside it (``queueing``, ``retrying``, ``hedging``, the selection
-policies); what is known of the upstreams is in ``pool``. Both daemons pass in
+policies); what is known of the upstreams is in ``upstream_pool``. Both daemons pass in
 calls, ends of calls and the instant, and carry out the grants it returns.
 """
 
@@ -17,8 +17,8 @@
 from spindlenotch.kernel import (
     outcomes,
     ownership,
-    pool as pools,
     service_policy,
+    upstream_pool,
     upstreams,
     waiting,
 )
@@ -102,7 +102,7 @@
         rng: random.Random,
     ) -> None:
         self.service = service
-        self.pool = pools.Pool(service, local_member, rng)
+        self.pool = upstream_pool.Pool(service, local_member, rng)
         self.policy = selection.POLICIES.get(service.selection)()
         self.queue = waiting.WaitQueue(service.queue_limit)
         self.extra = service.extra.create()
--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -9,14 +9,14 @@
 from collections import abc
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Which upstreams are compared.
 Options = abc.Callable[
-    [pools.Pool, ids.Instant, selection.Exclusion], list[upstreams.Upstream]
+    [upstream_pool.Pool, ids.Instant, selection.Exclusion], list[upstreams.Upstream]
 ]
 #: Which of them, at least one, is taken.
-Pick = abc.Callable[[pools.Pool, list[upstreams.Upstream]], upstreams.Upstream]
+Pick = abc.Callable[[upstream_pool.Pool, list[upstreams.Upstream]], upstreams.Upstream]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     def choose(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         call: waiting.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
@@ -41,7 +41,7 @@
         return selection.Choice(self.pick(pool, options), self.rule)
 
     def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
         """Ignore the report."""
 
@@ -77,7 +77,7 @@
         self.position: int | None = None
 
     def pick(
-        self, pool: pools.Pool, options: list[upstreams.Upstream]
+        self, pool: upstream_pool.Pool, options: list[upstreams.Upstream]
     ) -> upstreams.Upstream:
         if self.position is None:
             self.position = pool.rng.randrange(len(options))
@@ -85,19 +85,21 @@
         return options[self.position % len(options)]
 
 
-def _any(pool: pools.Pool, options: list[upstreams.Upstream]) -> upstreams.Upstream:
+def _any(
+    pool: upstream_pool.Pool, options: list[upstreams.Upstream]
+) -> upstreams.Upstream:
     return pool.rng.choice(options)
 
 
 def _any_of_least(
-    pool: pools.Pool, options: list[upstreams.Upstream]
+    pool: upstream_pool.Pool, options: list[upstreams.Upstream]
 ) -> upstreams.Upstream:
     least = min(u.outstanding for u in options)
     return pool.rng.choice([u for u in options if u.outstanding == least])
 
 
 def _first_of_least(
-    pool: pools.Pool, options: list[upstreams.Upstream]
+    pool: upstream_pool.Pool, options: list[upstreams.Upstream]
 ) -> upstreams.Upstream:
     return min(options, key=_outstanding)
 
@@ -107,6 +109,6 @@
 
 
 def _two(
-    pool: pools.Pool, now: ids.Instant, exclude: selection.Exclusion
+    pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
 ) -> list[upstreams.Upstream]:
     return selection.sample(pool, 2, now, exclude)
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -8,7 +8,7 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import overload, silence
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Answers that an upstream must have missed to count as stuck: if answers came
 #: at random, a healthy one would miss that many with probability exp(-4), about
@@ -25,7 +25,7 @@
 
 
 def check_interval_s(
-    pool: pools.Pool, upstream: upstreams.Upstream, latency_key: str
+    pool: upstream_pool.Pool, upstream: upstreams.Upstream, latency_key: str
 ) -> float:
     """
     Return after how many seconds an outstanding call is looked at again.
@@ -40,7 +40,7 @@
 
 
 def is_overdue(
-    pool: pools.Pool,
+    pool: upstream_pool.Pool,
     upstream: upstreams.Upstream,
     latency_key: str,
     sent_at: ids.Instant,
@@ -63,7 +63,9 @@
     return missed > MISSED_ANSWERS
 
 
-def is_allowed(pool: pools.Pool, call: waiting.Call, tries: int, queued: int) -> bool:
+def is_allowed(
+    pool: upstream_pool.Pool, call: waiting.Call, tries: int, queued: int
+) -> bool:
     """
     Tell whether a call that was sent to ``tries`` upstreams may be hedged.
 
--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -6,7 +6,7 @@
 extra to a service that fails.
 """
 
-from spindlenotch.kernel import pool as pools
+from spindlenotch.kernel import upstream_pool
 
 #: Share of recently offered calls refused above which a service is overloaded.
 #: Chosen, not measured.
@@ -18,13 +18,13 @@
 FAILED_SHARE = 0.3
 
 
-def is_overloaded(pool: pools.Pool) -> bool:
+def is_overloaded(pool: upstream_pool.Pool) -> bool:
     """Tell whether calls are being refused, or queue in number."""
     if pool.refused_share.value > REFUSED_SHARE:
         return True
     return pool.waiting > QUEUED_PER_SLOT * pool.owned_total
 
 
-def is_failing(pool: pools.Pool) -> bool:
+def is_failing(pool: upstream_pool.Pool) -> bool:
     """Tell whether so many calls fail that extra ones only add load."""
     return pool.failed_share.value > FAILED_SHARE
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -14,7 +14,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overload, queueing_cost
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Upstreams compared besides the own ones. Few, and random, so that many entries
 #: with the same stale estimate do not all pick the same one. Chosen, not measured.
@@ -61,7 +61,7 @@
 
     def choose(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         call: waiting.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
@@ -84,7 +84,7 @@
         return _choice(pool, best, selection.Rule.CHEAPEST, candidates)
 
     def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
         """Let the limit follow the queue that an upstream reports."""
         if queued > QUEUE_TARGET * upstream.slots:
@@ -93,7 +93,7 @@
             self.factor = min(MOST_FACTOR, self.factor + FACTOR_STEP)
 
     def _best_own(
-        self, pool: pools.Pool, now: ids.Instant, exclude: selection.Exclusion
+        self, pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
     ) -> selection.Candidate | None:
         """Return the cheapest of a few own upstreams with room."""
         best: selection.Candidate | None = None
@@ -113,7 +113,7 @@
 
     def _options(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         sampled: int,
         now: ids.Instant,
         exclude: selection.Exclusion,
@@ -127,7 +127,7 @@
         return options
 
 
-def _own_from_random(pool: pools.Pool) -> abc.Iterator[upstreams.Upstream]:
+def _own_from_random(pool: upstream_pool.Pool) -> abc.Iterator[upstreams.Upstream]:
     """Go through the own upstreams once, from a random one on."""
     own = pool.owned
     if not own:
@@ -147,7 +147,7 @@
 
 
 def _choice(
-    pool: pools.Pool,
+    pool: upstream_pool.Pool,
     best: selection.Candidate,
     rule: selection.Rule,
     candidates: tuple[selection.Candidate, ...],
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -2,13 +2,13 @@
 When a call waits in the entry, for how long, and what a refusal says.
 
 Rules on values: pool, queue, call and instant in, verdict out. They rely on
-``pool`` for typical latencies and own slots and on ``waiting`` for the order
+``upstream_pool`` for typical latencies and own slots and on ``waiting`` for the order
 of the queue. ``Balancer`` applies them when a call is offered, when a slot
 becomes free and at each queue check.
 """
 
 from spindlenotch import ids
-from spindlenotch.kernel import pool as pools, waiting
+from spindlenotch.kernel import upstream_pool, waiting
 
 #: Least wait in seconds that a refused caller is asked to keep before it tries
 #: again. Chosen, not measured.
@@ -18,7 +18,7 @@
 LEAST_SLOTS = 1.0
 
 
-def expected_wait_s(pool: pools.Pool, ahead: int) -> float:
+def expected_wait_s(pool: upstream_pool.Pool, ahead: int) -> float:
     """
     Estimate the wait in seconds behind ``ahead`` calls.
 
@@ -28,7 +28,7 @@
 
 
 def is_hopeless(
-    pool: pools.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
 ) -> bool:
     """
     Tell whether a call behind ``ahead`` others will miss its deadline.
@@ -41,7 +41,7 @@
 
 
 def is_given_up(
-    pool: pools.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
 ) -> bool:
     """
     Tell whether a waiting call behind ``ahead`` others is refused now.
@@ -52,7 +52,7 @@
     return now >= call.wait_until or is_hopeless(pool, call, ahead, now)
 
 
-def retry_at(pool: pools.Pool, queued: int, now: ids.Instant) -> ids.Instant:
+def retry_at(pool: upstream_pool.Pool, queued: int, now: ids.Instant) -> ids.Instant:
     """
     Return when a refused caller should try again.
 
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -7,7 +7,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import silence
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Least latency ratio that counts: a few quick answers must not draw all calls.
 #: Chosen, not measured.
@@ -15,7 +15,10 @@
 
 
 def estimate(
-    pool: pools.Pool, upstream: upstreams.Upstream, load: float, now: ids.Instant
+    pool: upstream_pool.Pool,
+    upstream: upstreams.Upstream,
+    load: float,
+    now: ids.Instant,
 ) -> float:
     """
     Estimate what a typical call would take there, as a ratio.
@@ -37,7 +40,7 @@
 
 
 def appraise(
-    pool: pools.Pool, upstream: upstreams.Upstream, now: ids.Instant
+    pool: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
 ) -> selection.Candidate:
     """Return what is estimated of ``upstream`` and what a call would cost there."""
     load = pool.estimated_load(upstream, now)
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -8,11 +8,11 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import overload
-from spindlenotch.kernel import pool as pools, waiting
+from spindlenotch.kernel import upstream_pool, waiting
 
 
 def is_allowed(
-    pool: pools.Pool,
+    pool: upstream_pool.Pool,
     call: waiting.Call,
     tries: int,
     now: ids.Instant,
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import silence
-from spindlenotch.kernel import crowding, pool as pools, upstreams, waiting
+from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
 
 NAME = "paced"
 #: How far the estimated load may lie above the slots for an upstream to have
@@ -52,7 +52,7 @@
 
     def choose(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         call: waiting.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
@@ -86,7 +86,7 @@
         return selection.Choice(chosen, selection.Rule.SOONEST, (candidate,))
 
     def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
         """Ignore the queue: no upstream gets more than its slots."""
 
@@ -111,7 +111,9 @@
     return load + 1 <= crowded.usable(upstream.slots) + ROOM_MARGIN
 
 
-def estimated_latency_ratio(pool: pools.Pool, upstream: upstreams.Upstream) -> float:
+def estimated_latency_ratio(
+    pool: upstream_pool.Pool, upstream: upstreams.Upstream
+) -> float:
     """
     Return its latency ratio; with few answers mostly that of all upstreams.
 
@@ -124,7 +126,7 @@
 
 
 def expected_s(
-    pool: pools.Pool,
+    pool: upstream_pool.Pool,
     call: waiting.Call,
     upstream: upstreams.Upstream,
     load: float,
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -12,7 +12,7 @@
 from spindlenotch import ids, selection
 from spindlenotch.decisions import balancer, queueing_cost
 from spindlenotch.entry import entry_state
-from spindlenotch.kernel import pool, upstreams
+from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import gossip
 
 Dump = dict[str, typing.Any]
@@ -112,7 +112,9 @@
     }
 
 
-def _upstream(found: pool.Pool, upstream: upstreams.Upstream, now: ids.Instant) -> Dump:
+def _upstream(
+    found: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
+) -> Dump:
     load = found.estimated_load(upstream, now)
     cost = queueing_cost.estimate(found, upstream, load, now)
     return {
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -2,7 +2,7 @@
 When an upstream is taken out of use and when it gets calls again.
 
 Rules on plain values. ``upstreams.Upstream`` keeps the state they lead to:
-an ejection ends in probation, on which one call at a time decides; ``pool``
+an ejection ends in probation, on which one call at a time decides; ``upstream_pool``
 counts how many are out and applies the rules after each answer.
 """
 
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -13,7 +13,7 @@
 from collections import abc
 
 from spindlenotch import ids, registry
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Random draws per upstream of a sample: some hit one that is drawn already or
 #: that may not take the call. Chosen, not measured.
@@ -64,7 +64,7 @@
 
     def choose(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         call: waiting.Call,
         now: ids.Instant,
         exclude: Exclusion,
@@ -72,7 +72,7 @@
         """Decide on one call."""
 
     def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
         """Take in how many requests an upstream reports as queued."""
 
@@ -81,7 +81,7 @@
 
 
 def eligible(
-    pool: pools.Pool, now: ids.Instant, exclude: Exclusion
+    pool: upstream_pool.Pool, now: ids.Instant, exclude: Exclusion
 ) -> list[upstreams.Upstream]:
     """Return all upstreams that may take a call."""
     return [
@@ -90,7 +90,7 @@
 
 
 def sample(
-    pool: pools.Pool, count: int, now: ids.Instant, exclude: Exclusion
+    pool: upstream_pool.Pool, count: int, now: ids.Instant, exclude: Exclusion
 ) -> list[upstreams.Upstream]:
     """Return up to ``count`` random upstreams that may take a call."""
     sampled: list[upstreams.Upstream] = []
