--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -1,5 +1,5 @@
 """
-The bundle as the kernel sees it: checked, immutable, keyed by name.
+The bundle as the daemons see it: checked, immutable, keyed by name.
 
 ``bundle_check`` builds these objects from TOML and is the only module that
 does. Units: shares are fractions of one, times are seconds unless the name
@@ -9,6 +9,7 @@
 import dataclasses
 
 from spindlenotch import ids
+from spindlenotch.kernel import schedule
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,21 +27,13 @@
         return method in self.methods and path.startswith(self.prefix)
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class DayStep:
-    """Zone weights that hold exactly at ``minute`` of the local day."""
-
-    minute: int
-    weight_by_zone: dict[ids.ZoneName, float]
-
-
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
     """
     One service and how its traffic is treated.
 
-    ``slots`` is what one upstream runs at once; ``typical_ms`` is the time
-    one request usually takes and seeds every estimate before there are
+    ``slots`` is what one upstream runs at once; ``typical_ms`` is the
+    typical latency of one request and seeds every estimate before there are
     measurements.
     """
 
@@ -55,7 +48,7 @@
     queue_limit: int
     eject_share: float
     operations: tuple[Operation, ...]
-    day: tuple[DayStep, ...]
+    day: tuple[schedule.DayStep, ...]
 
     def operation_for(self, method: str, path: str) -> Operation | None:
         """Return the operation with the longest matching prefix, if any."""
@@ -67,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerGrant:
-    """Which classes a caller may use; the first is its usual one."""
+    """Which classes a caller may use; the first is its default."""
 
     name: ids.CallerName
     key_sha256: str
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -1,10 +1,10 @@
 """
-The kernel's front: admission, selection, retries and hedges of one service.
+The front of the kernel: it decides on the calls of one service.
 
-State in, decision and reason out. Both daemons drive
-the very same object: they pass in calls, ends of calls and the instant, and
-carry out the grants it returns. Sits between the data path (above) and pool,
-queue and policies (below).
+Owns the queue, the budgets and the upstreams each call was sent to. The rules are
+in the modules beside it (``queueing``, ``retrying``, ``hedging``, the selection
+policies); what is known of the upstreams is in ``upstream_pool``. Both daemons pass in
+calls, ends of calls and the instant, and carry out the grants it returns.
 """
 
 import collections
@@ -13,28 +13,18 @@
 import random
 
 from spindlenotch import ids, selection
-from spindlenotch.bundles import bundle
+from spindlenotch.decisions import hedging, queueing, retrying
 from spindlenotch.kernel import (
-    budgets,
     outcomes,
     ownership,
-    pool as pools,
+    service_policy,
+    upstream_pool,
     upstreams,
     waiting,
 )
 
-#: Decisions kept for ``explain``.
+#: Decisions kept for ``explain``. Chosen, not measured.
 DECISIONS_KEPT = 2000
-#: An answer is overdue when a healthy upstream would be this unlikely to be
-#: silent for so long: exp(-4) is about 2 in 100.
-SILENCE_EXPONENT = 4.0
-#: A slowed upstream is worth a second copy once the first has taken this share
-#: of the usual time.
-SLOWED_SHARE = 0.6
-#: Looked at this often, as a share of the usual time, where paces are told.
-CHECK_SHARE = 0.5
-#: The soonest that a waiting caller is told to come back, in seconds.
-LEAST_RETRY_S = 0.05
 
 
 class Kind(enum.Enum):
@@ -48,11 +38,11 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
     """
-    Leave to send a call to one upstream now.
+    Permission to send a call to one upstream now.
 
-    ``slowdown`` is how many times as long as usual work was believed to take
-    there when it was granted, ``filled`` how many requests it was believed to
-    have then, this one included.
+    Both estimates are those of the moment it was granted: ``slowdown`` is how
+    many times its typical time work takes there, ``load`` the number of
+    requests in the upstream, this one included.
     """
 
     call: waiting.Call
@@ -60,7 +50,7 @@
     kind: Kind
     sent_at: ids.Instant
     slowdown: float = 1.0
-    filled: float = 1.0
+    load: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -107,50 +97,45 @@
 
     def __init__(
         self,
-        service: bundle.Service,
+        service: service_policy.ServicePolicy,
         local_member: ownership.Member,
         rng: random.Random,
-        now: ids.Instant,
     ) -> None:
         self.service = service
-        self.pool = pools.Pool(service, local_member, rng, now)
-        self.policy = selection.POLICIES.get(service.policy)()
+        self.pool = upstream_pool.Pool(service, local_member, rng)
+        self.policy = selection.POLICIES.get(service.selection)()
         self.queue = waiting.WaitQueue(service.queue_limit)
-        self.hedges: budgets.ExtraBudget = budgets.ShareBudget(service.hedge_share)
-        self.retries: budgets.ExtraBudget = budgets.ShareBudget(service.retry_share)
+        self.extra = service.extra.create()
+        self.retries = self.extra.retries
+        self.hedges = self.extra.hedges
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self.decisions: collections.deque[Decision] = collections.deque(
             maxlen=DECISIONS_KEPT
         )
 
-    def update_service(self, service: bundle.Service) -> None:
-        """Take in a new bundle's settings; beliefs and calls stay."""
-        if service.policy != self.service.policy:
-            self.policy = selection.POLICIES.get(service.policy)()
+    def update_service(self, service: service_policy.ServicePolicy) -> None:
+        """Put a changed policy into force; estimates and calls stay."""
+        if service.selection != self.service.selection:
+            self.policy = selection.POLICIES.get(service.selection)()
         self.service = service
         self.pool.service = service
         self.queue.limit = service.queue_limit
-        for budget, share in (
-            (self.hedges, service.hedge_share),
-            (self.retries, service.retry_share),
-        ):
-            if isinstance(budget, budgets.ShareBudget):
-                budget.share = share
+        service.extra.update(self.extra)
 
     def offer(
         self, call: waiting.Call, now: ids.Instant
     ) -> Grant | Waiting | outcomes.Refusal:
         """Decide on a new call."""
-        self.hedges.earn(now)
-        if self.retries is not self.hedges:
-            self.retries.earn(now)
+        self.extra.earn(now)
         if call.deadline <= now:
             return outcomes.not_run(outcomes.Reason.DEADLINE_PASSED)
-        if not self._anyone(now):
-            return outcomes.not_run(outcomes.Reason.NO_UPSTREAM, self.pool.soonest(now))
+        if not self._any_usable(now):
+            return outcomes.not_run(
+                outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
+            )
         verdict = self._place(call, now)
         refused = isinstance(verdict, outcomes.Refusal)
-        self.pool.refusing.add(1.0 if refused else 0.0)
+        self.pool.refused_share.add(1.0 if refused else 0.0)
         return verdict
 
     def finish(
@@ -160,33 +145,36 @@
         report: upstreams.LoadReport | None,
         now: ids.Instant,
     ) -> list[Settlement]:
-        """Note the end of a grant and hand the freed slot on."""
+        """Record the end of a grant and hand the freed slot on."""
         upstream = grant.upstream
-        usual = self.pool.typical_latency_s(grant.call.operation)
+        answered = result is upstreams.Result.ANSWERED
+        took_s = now - grant.sent_at
+        typical_s = self.pool.latencies.typical_s(grant.call.latency_key)
         if report is not None:
-            if result is upstreams.Result.ANSWERED:
-                self._note_crowding(grant, report, (now - grant.sent_at) / usual)
+            if answered:
+                self._learn_crowding(grant, report, took_s / typical_s)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
+        # The call ran at neither the first nor the last slowdown alone.
         slowdown = (grant.slowdown + upstream.slowdown(now)) / 2
-        upstream.ended(grant.call.id, result, usual * slowdown, now)
-        if result is upstreams.Result.ANSWERED:
-            times = (now - grant.sent_at) / (usual * slowdown)
-            self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, times))
-        self.pool.under_way -= 1
-        took = now - grant.sent_at
-        self.pool.note(upstream, grant.call.operation, result, took, now)
+        expected_s = typical_s * slowdown
+        upstream.ended(grant.call.id, result, expected_s, now)
+        if answered:
+            latency_ratio = took_s / expected_s
+            self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, latency_ratio))
+        self.pool.in_flight -= 1
+        self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
-    def _note_crowding(
-        self, grant: Grant, report: upstreams.LoadReport, times: float
+    def _learn_crowding(
+        self, grant: Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
         self.pool.crowding.add(
-            grant.upstream.slots,
-            grant.filled,
-            report.running + report.queued + 1,
-            max(grant.slowdown, report.slowdown),
-            times,
+            slots=grant.upstream.slots,
+            load_sent=grant.load,
+            load_answered=report.running + report.queued + 1,
+            slowdown=max(grant.slowdown, report.slowdown),
+            latency_ratio=latency_ratio,
         )
 
     def forget(self, call_id: ids.CallId) -> None:
@@ -194,41 +182,39 @@
         self.tried_by_call.pop(call_id, None)
 
     def settle(self, now: ids.Instant) -> list[Settlement]:
-        """Refuse what is too late, then place waiting calls while it goes."""
+        """Refuse what is too late, then place waiting calls while one finds room."""
         settled = [
             Settlement(call, outcomes.not_run(outcomes.Reason.DEADLINE_PASSED))
             for call in self.queue.expired(now)
         ]
-        while (call := self.queue.turn()) is not None:
+        while (call := self.queue.head()) is not None:
             grant = self._grant(call, Kind.FIRST, now)
             if grant is None:
                 break
             self.queue.take(call)
             settled.append(Settlement(call, grant))
-        if len(self.queue) and not self._anyone(now):
+        if len(self.queue) and not self._any_usable(now):
             settled.extend(self._refuse_all(now))
         return settled
 
     def give_up(self, now: ids.Instant) -> list[Settlement]:
         """
-        Refuse the waiting calls that can no longer make their deadlines.
+        Refuse the waiting calls that are not worth waiting for any longer.
 
         Called while calls wait. They get their final answer now rather than
-        at the deadline, with the time at which the queue will have passed.
+        at the deadline, with the instant from which to try again.
         """
-        hopeless = [
+        given_up = [
             call
             for ahead, call in enumerate(self.queue)
-            if now >= call.wait_until
-            or call.deadline - now
-            < self.expected_wait(ahead) + self.pool.typical_latency_s(call.operation)
+            if queueing.is_given_up(self.pool, call, ahead, now)
         ]
-        retry_at = self._retry_at(now)
-        for call in hopeless:
+        retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+        for call in given_up:
             self.queue.remove(call.id)
-            self.pool.refusing.add(1.0)
+            self.pool.refused_share.add(1.0)
         refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
-        return [Settlement(call, refusal) for call in hopeless]
+        return [Settlement(call, refusal) for call in given_up]
 
     def withdraw(self, call_id: ids.CallId) -> None:
         """Take a call out of the queue; its caller is gone."""
@@ -244,42 +230,35 @@
         said that this try has not run and never will.
         """
         call = grant.call
-        if call.deadline <= now or self._all_tries_used(call):
-            return None
-        if not known_not_run and (not call.repeatable or self.pool.in_trouble()):
-            return None
-        if not self.retries.available(now):
+        tries = len(self.tried_by_call.get(call.id, ()))
+        allowed = retrying.is_allowed(
+            self.pool, call, tries, now, known_not_run=known_not_run
+        )
+        if not allowed or not self.retries.available(now):
             return None
         retry = self._grant(call, Kind.RETRY, now)
         if retry is not None:
             self.retries.spend(now)
         return retry
 
-    def _all_tries_used(self, call: waiting.Call) -> bool:
-        return len(self.tried_by_call.get(call.id, ())) >= call.most_tries
-
     def next_check(self, grant: Grant, now: ids.Instant) -> ids.Instant:
         """Return when to look again whether the answer is overdue."""
-        usual = self.pool.typical_latency_s(grant.call.operation)
-        if grant.upstream.reports_slowdown:
-            usual *= CHECK_SHARE
-        return ids.later(now, max(0.001, usual))
+        interval_s = hedging.check_interval_s(
+            self.pool, grant.upstream, grant.call.latency_key
+        )
+        return ids.later(now, interval_s)
 
     def hedge(self, grant: Grant, now: ids.Instant) -> Grant | None:
-        """
-        Place a second copy of a call whose answer is overdue.
-
-        Overdue means: the upstream, not just this call, has been silent for
-        longer than chance explains, or the call is slower than 95 in 100.
-        """
+        """Place a second copy of a call whose answer is overdue, if it may have one."""
         self._eject_if_frozen(grant, now)
         call = grant.call
-        tried = self.tried_by_call.get(call.id, set())
-        if not call.repeatable or len(tried) != 1 or self.pool.in_trouble():
-            return None
-        if not self._overdue(grant, now) or len(self.queue):
+        tries = len(self.tried_by_call.get(call.id, ()))
+        if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
             return None
-        if self._all_tries_used(call) or not self.hedges.available(now):
+        overdue = hedging.is_overdue(
+            self.pool, grant.upstream, call.latency_key, grant.sent_at, now
+        )
+        if not overdue or not self.hedges.available(now):
             return None
         hedge = self._grant(call, Kind.HEDGE, now)
         if hedge is not None:
@@ -288,43 +267,29 @@
 
     def expected_wait(self, ahead: int) -> float:
         """Estimate the wait behind ``ahead`` calls, in seconds."""
-        return ahead * self.pool.typical_s.value / max(1.0, self.pool.owned_total)
+        return queueing.expected_wait_s(self.pool, ahead)
 
     def _place(
         self, call: waiting.Call, now: ids.Instant
     ) -> Grant | Waiting | outcomes.Refusal:
-        ahead = self.queue.ahead_of(call.rank)
+        ahead = self.queue.ahead_of(call.priority)
         if ahead == 0:
             grant = self._grant(call, Kind.FIRST, now)
             if grant is not None:
                 return grant
-        wait_s = self.expected_wait(ahead)
-        if call.deadline - now < wait_s + self.pool.typical_latency_s(call.operation):
-            return outcomes.not_run(
-                outcomes.Reason.DEADLINE_HOPELESS, self._retry_at(now)
-            )
+        if queueing.is_hopeless(self.pool, call, ahead, now):
+            retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+            return outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
         return self._enqueue(call, now)
 
-    def _overdue(self, grant: Grant, now: ids.Instant) -> bool:
-        upstream = grant.upstream
-        age = now - grant.sent_at
-        if age > self.pool.p95_latency_s(grant.call.operation):
-            return True
-        usual = self.pool.typical_latency_s(grant.call.operation)
-        slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
-        if slowed and age > SLOWED_SHARE * usual:
-            return True
-        answers_per_s = upstream.outstanding / self.pool.typical_s.value
-        return upstream.silent_s(now) * answers_per_s > SILENCE_EXPONENT
-
     def _eject_if_frozen(self, grant: Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
-        if self.pool.frozen(upstream, grant.call.operation, now):
+        if self.pool.frozen(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, "silent", now)
 
-    def _anyone(self, now: ids.Instant) -> bool:
+    def _any_usable(self, now: ids.Instant) -> bool:
         for upstream in self.pool.usable_order:
             upstream.tick(now)
             if upstream.state is not upstreams.State.EJECTED:
@@ -338,22 +303,29 @@
         if choice is None:
             return None
         upstream = choice.upstream
-        filled = self.pool.estimated_load(upstream, now) + 1
+        load = self.pool.estimated_load(upstream, now) + 1
         self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
         slowdown = upstream.slowdown(now)
-        self.pool.under_way += 1
+        self.pool.in_flight += 1
         self.decisions.append(
             Decision(
-                now,
-                call.id,
-                kind,
-                upstream.spec.id,
-                choice.rule.value,
-                choice.candidates,
+                at=now,
+                call=call.id,
+                kind=kind,
+                upstream=upstream.spec.id,
+                rule=choice.rule.value,
+                candidates=choice.candidates,
             )
         )
-        return Grant(call, upstream, kind, now, slowdown, filled)
+        return Grant(
+            call=call,
+            upstream=upstream,
+            kind=kind,
+            sent_at=now,
+            slowdown=slowdown,
+            load=load,
+        )
 
     def _enqueue(
         self, call: waiting.Call, now: ids.Instant
@@ -361,21 +333,20 @@
         if len(self.queue) < self.queue.limit:
             self.queue.push(call)
             return Waiting(call)
-        victim = self.queue.lowest()
-        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, self._retry_at(now))
-        if victim is None or victim.rank <= call.rank:
+        retry_at = queueing.retry_at(self.pool, len(self.queue), now)
+        refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, retry_at)
+        displaced = queueing.displaced_by(self.queue, call)
+        if displaced is None:
             return refusal
-        self.queue.remove(victim.id)
+        self.queue.remove(displaced.id)
         self.queue.push(call)
-        return Waiting(call, Settlement(victim, refusal))
+        return Waiting(call, Settlement(displaced, refusal))
 
     def _refuse_all(self, now: ids.Instant) -> list[Settlement]:
-        refusal = outcomes.not_run(outcomes.Reason.NO_UPSTREAM, self.pool.soonest(now))
+        refusal = outcomes.not_run(
+            outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
+        )
         waiting_calls = list(self.queue)
         for call in waiting_calls:
             self.queue.remove(call.id)
         return [Settlement(call, refusal) for call in waiting_calls]
-
-    def _retry_at(self, now: ids.Instant) -> ids.Instant:
-        wait = self.expected_wait(len(self.queue) + 1)
-        return ids.later(now, max(LEAST_RETRY_S, wait))
--- /dev/null
+++ b/spindlenotch/decisions/soonest.py
@@ -0,0 +1,155 @@
+"""
+The policy for upstreams that report slowdowns: the soonest expected end.
+
+Other load on its host can slow an upstream several times over for half a second.
+The expected latency at each upstream is estimated from its reported slowdown,
+load and zone, and the least is taken. An upstream without room gets nothing:
+calls wait here, by priority. They also wait while only slowed upstreams have
+room: work at a slowed one is late and holds its slot for many times as long.
+"""
+
+from spindlenotch import ids, selection
+from spindlenotch.decisions import silence
+from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
+
+NAME = "paced"
+#: How far the estimated load may lie above the slots for an upstream to have
+#: room: estimates of other processes' requests are fractions. That there is no
+#: more room than the slots is measured (MEASUREMENTS.md, "Room at an upstream");
+#: the margin is chosen.
+ROOM_MARGIN = 0.25
+#: Share of its slots in use from which an upstream is expected to be slower,
+#: rising to ``FULL_SLOWDOWN`` when all are in use. It weighs upstreams against
+#: each other; ``crowding.NEARLY_FULL`` is where slots stop being used. Chosen, not
+#: measured.
+SLOWER_FROM_SHARE = 0.7
+#: How much longer work takes when all slots are in use, as a share. Chosen, not
+#: measured.
+FULL_SLOWDOWN = 0.7
+#: How many times its typical time work takes in an upstream that is warming up.
+#: Chosen, not measured.
+COLD_FACTOR = 2.0
+#: Least latency ratio that counts. Chosen, not measured.
+MIN_LATENCY_RATIO = 0.7
+#: Answers with which an upstream's own latency ratio counts as much as that of
+#: all. Chosen, not measured; that few answers count little is (MEASUREMENTS.md,
+#: round 19).
+ANSWERS_TRUSTED = 10.0
+#: Costs within this share of the least are taken for equal. Chosen, not measured.
+NEAR_SHARE = 0.08
+#: Upstreams compared for one call; of more than that a sample is drawn. Chosen,
+#: not measured.
+MOST_COMPARED = 64
+
+
+@selection.POLICIES.register(NAME)
+class PacedPolicy:
+    """
+    Chooses the upstream with the soonest expected end.
+
+    Invariant: an upstream that is estimated to have no room is not chosen.
+    """
+
+    def choose(
+        self,
+        pool: upstream_pool.Pool,
+        call: waiting.Call,
+        now: ids.Instant,
+        exclude: selection.Exclusion,
+    ) -> selection.Choice | None:
+        """Take one of the nearly soonest at random, so that not all take the same."""
+        if len(pool.usable_order) > MOST_COMPARED:
+            options = selection.sample(pool, MOST_COMPARED, now, exclude)
+        else:
+            options = selection.eligible(pool, now, exclude)
+        if now < call.wait_until:
+            options = without_slowed(options, now)
+        typical_s = pool.latencies.typical_s(call.latency_key)
+        cost_by_id: dict[ids.UpstreamId, float] = {}
+        for upstream in options:
+            load = pool.estimated_load(upstream, now)
+            if has_room(upstream, load, pool.crowding):
+                cost = expected_s(pool, call, upstream, load, typical_s, now)
+                cost_by_id[upstream.spec.id] = cost
+        if not cost_by_id:
+            return None
+        limit = min(cost_by_id.values()) * (1.0 + NEAR_SHARE)
+        near = [name for name, cost in cost_by_id.items() if cost <= limit]
+        chosen = pool.upstream_by_id[pool.rng.choice(near)]
+        candidate = selection.Candidate(
+            chosen.spec.id,
+            cost_by_id[chosen.spec.id],
+            pool.estimated_load(chosen, now),
+            now - chosen.report_at,
+            0.0,
+        )
+        return selection.Choice(chosen, selection.Rule.SOONEST, (candidate,))
+
+    def reported(
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
+    ) -> None:
+        """Ignore the queue: no upstream gets more than its slots."""
+
+
+def without_slowed(
+    options: list[upstreams.Upstream], now: ids.Instant
+) -> list[upstreams.Upstream]:
+    """
+    Return those that are not slowed, or all where all are.
+
+    While one of the others may get room a call had better wait for it
+    (MEASUREMENTS.md, round 12).
+    """
+    others = [u for u in options if u.slowdown(now) <= upstreams.SLOWED_FACTOR]
+    return others or options
+
+
+def has_room(
+    upstream: upstreams.Upstream, load: float, crowded: crowding.Crowding
+) -> bool:
+    """Tell whether one more request would start there at once and slow no other."""
+    return load + 1 <= crowded.usable(upstream.slots) + ROOM_MARGIN
+
+
+def estimated_latency_ratio(
+    pool: upstream_pool.Pool, upstream: upstreams.Upstream
+) -> float:
+    """
+    Return its latency ratio; with few answers mostly that of all upstreams.
+
+    One that has answered less than the others would otherwise be passed over
+    for the mere reason that nothing is known of it.
+    """
+    trust = upstream.answers / (upstream.answers + ANSWERS_TRUSTED)
+    overall = pool.latency_ratio.value
+    return overall + trust * (upstream.latency_ratio.value - overall)
+
+
+def expected_s(
+    pool: upstream_pool.Pool,
+    call: waiting.Call,
+    upstream: upstreams.Upstream,
+    load: float,
+    typical_s: float,
+    now: ids.Instant,
+) -> float:
+    """
+    Estimate how long the call would take there, in seconds.
+
+    ``load`` is the estimated number of requests in the upstream, ``typical_s``
+    the typical latency of this kind of call in seconds.
+    """
+    slots = upstream.slots
+    work_s = typical_s * upstream.slowdown(now)
+    work_s *= max(MIN_LATENCY_RATIO, estimated_latency_ratio(pool, upstream))
+    if now < upstream.spec.warming_up_until:
+        work_s *= COLD_FACTOR
+    in_use = min(1.0, (load + 1) / slots)
+    if in_use > SLOWER_FROM_SHARE:
+        excess = FULL_SLOWDOWN * (in_use - SLOWER_FROM_SHARE)
+        work_s *= 1.0 + excess / (1.0 - SLOWER_FROM_SHARE)
+    ahead = max(0.0, load + 1 - slots)
+    work_s *= 1.0 + silence.overdue_cost(upstream, pool.latencies.overall.value, now)
+    local = upstream.spec.zone == pool.local_member.zone
+    crossing_s = 0.0 if local else call.cross_zone_s
+    return work_s * (1.0 + ahead / slots) + crossing_s
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from spindlenotch import ids
-from spindlenotch.decisions import balancer
+from spindlenotch import ids, selection
+from spindlenotch.decisions import balancer, queueing_cost
 from spindlenotch.entry import entry_state
-from spindlenotch.kernel import pool, upstreams
+from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import gossip
 
 Dump = dict[str, typing.Any]
@@ -68,7 +68,7 @@
     recent = list(found.decisions)[-10:]
     return {
         **_service(found, now),
-        "policy": found.service.policy,
+        "policy": found.service.selection,
         "recent": [_decision(decision, now) for decision in recent],
     }
 
@@ -99,8 +99,8 @@
     found = service.pool
     return {
         "waiting": len(service.queue),
-        "usual_ms": round(found.typical_s.value * 1000, 3),
-        "failing_share": round(found.failing.value, 4),
+        "usual_ms": round(found.latencies.overall.value * 1000, 3),
+        "failing_share": round(found.failed_share.value, 4),
         "zone_plan": found.plan,
         "zone_factor": found.zone_factor,
         "hedge_balance": round(service.hedges.balance, 2),
@@ -112,7 +112,11 @@
     }
 
 
-def _upstream(found: pool.Pool, upstream: upstreams.Upstream, now: ids.Instant) -> Dump:
+def _upstream(
+    found: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
+) -> Dump:
+    load = found.estimated_load(upstream, now)
+    cost = queueing_cost.estimate(found, upstream, load, now)
     return {
         "id": upstream.spec.id,
         "zone": upstream.spec.zone,
@@ -122,11 +126,11 @@
         "why": upstream.state_reason,
         "owned_slots": round(upstream.owned_slots, 3),
         "outstanding": upstream.outstanding,
-        "believed_running": round(found.estimated_load(upstream, now), 2),
+        "believed_running": round(load, 2),
         "belief_age_s": round(now - upstream.report_at, 4),
         "silent_s": round(upstream.silent_s(now), 4),
         "slowness": round(upstream.latency_ratio.value, 3),
-        "cost": round(found.cost(upstream, now), 3),
+        "cost": round(cost, 3),
     }
 
 
@@ -137,7 +141,17 @@
         "try": decision.kind.value,
         "upstream": decision.upstream,
         "why": decision.rule,
-        "candidates": [c._asdict() for c in decision.candidates],
+        "candidates": [_candidate(c) for c in decision.candidates],
+    }
+
+
+def _candidate(candidate: selection.Candidate) -> Dump:
+    return {
+        "upstream": candidate.upstream,
+        "cost": candidate.cost,
+        "believed_running": candidate.load,
+        "belief_age_s": candidate.report_age_s,
+        "owned_slots": candidate.owned_slots,
     }
 
 
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -12,8 +12,7 @@
 from collections import abc
 
 from spindlenotch import clock as clocks, events, ids, metrics
-from spindlenotch.bundles import bundle
-from spindlenotch.decisions import balancer, selection_paced
+from spindlenotch.decisions import balancer, soonest
 from spindlenotch.gateway import (
     demand as demands,
     entry_choice,
@@ -22,10 +21,10 @@
     settings,
     sources,
 )
-from spindlenotch.kernel import budgets, ownership, upstreams
+from spindlenotch.kernel import extra_budgets, ownership, service_policy, upstreams
 from spindlenotch.peers import gossip
 
-POLICY = selection_paced.NAME
+POLICY = soonest.NAME
 #: What a request is taken to need before any was measured, as a share of the
 #: time within which it should be answered.
 USUAL_OF_TARGET = 0.35
@@ -118,7 +117,7 @@
                 usual = USUAL_OF_TARGET * route.target_s
             for part in route.parts:
                 service = self.balancer_by_service[part.service]
-                service.pool.learn_operation(route.name, usual)
+                service.pool.latencies.learn(route.name, usual)
         self.metrics.bundle_version.set(configuration.version)
         events.emit(
             events.Event.CONFIGURATION_APPLIED,
@@ -236,13 +235,13 @@
             specs = specs_by_service.get(name, [])
             zones = {spec.zone for spec in specs} | {self.config.zone}
             if set(service.service.zones) != zones:
-                service.update_service(_service(name, tuple(sorted(zones))))
+                service.update_service(self._service(name, tuple(sorted(zones))))
             service.pool.set_listed(specs, now)
         self._report_changes()
 
     def _report_changes(self) -> None:
         for name, service in self.balancer_by_service.items():
-            for change in service.pool.take_changes():
+            for change in service.pool.changes.collect():
                 events.emit(
                     _EVENT_BY_STATE[change.state],
                     service=name,
@@ -257,16 +256,29 @@
             )
 
     def _new_balancer(self, name: ids.ServiceName) -> balancer.Balancer:
-        now = self.clock.now()
-        service = _service(name, (self.config.zone,))
-        made = balancer.Balancer(service, self.local_member, self.rng, now)
+        service = self._service(name, (self.config.zone,))
+        return balancer.Balancer(service, self.local_member, self.rng)
+
+    def _service(
+        self, name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]
+    ) -> service_policy.ServicePolicy:
+        """Return what the kernel needs to know of a service."""
         config = self.config
-        made.retries = made.hedges = budgets.SlidingShareBudget(
-            EXTRA_MARGIN * config.extra_share,
-            int(config.extra_reserve / RESERVE_PARTS),
-            config.extra_window_s,
+        return service_policy.ServicePolicy(
+            name=name,
+            zones=zones,
+            # Only where an upstream is listed without slots of its own.
+            slots=1,
+            typical_s=USUAL_UNKNOWN_S,
+            selection=POLICY,
+            extra=extra_budgets.SharedWindow(
+                share=EXTRA_MARGIN * config.extra_share,
+                reserve=int(config.extra_reserve / RESERVE_PARTS),
+                window_s=config.extra_window_s,
+            ),
+            queue_limit=QUEUE_LIMIT,
+            eject_share=EJECT_SHARE,
         )
-        return made
 
     def _own_record(self) -> gossip.MemberRecord:
         return gossip.MemberRecord(
@@ -293,21 +305,3 @@
     upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
     upstreams.State.PROBATION: events.Event.UPSTREAM_PROBATION,
 }
-
-
-def _service(name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]) -> bundle.Service:
-    """Return what the kernel needs to know of a service."""
-    return bundle.Service(
-        name=name,
-        zones=zones,
-        slots=1,
-        connections=1,
-        typical_ms=USUAL_UNKNOWN_S * 1000,
-        policy=POLICY,
-        hedge_share=0.0,
-        retry_share=0.0,
-        queue_limit=QUEUE_LIMIT,
-        eject_share=EJECT_SHARE,
-        operations=(),
-        day=(),
-    )
--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -11,6 +11,11 @@
 
 from spindlenotch import ids
 
+#: Most extra requests that a share budget saves up. Chosen, not measured.
+MOST_SAVED = 10.0
+#: Extra requests that it allows before anything was earned. Chosen, not measured.
+INITIAL_RESERVE = 1.0
+
 
 class ExtraBudget(typing.Protocol):
     """Bounds what is sent beyond the first try of each request."""
@@ -35,12 +40,12 @@
     Allows extra work as a share of ordinary work.
 
     Invariant: spent <= share * earned + the initial reserve of one. The
-    balance is capped so that a quiet day does not save up for a storm.
+    balance is capped so that a quiet day does not save up for a burst of retries.
     """
 
     share: float
-    cap: float = 10.0
-    balance: float = 1.0
+    cap: float = MOST_SAVED
+    balance: float = INITIAL_RESERVE
 
     def earn(self, now: ids.Instant) -> None:
         """Count one ordinary request."""
@@ -65,8 +70,7 @@
     Invariant: in any span of ``window_s`` seconds, the extra requests are at
     most ``share`` of the ordinary ones in a span of that length that ends
     with them, plus ``reserve``. The sums of several processes therefore keep
-    to the same share plus the sum of their reserves, whatever each believes
-    of the others.
+    to the same share plus the sum of their reserves, without any message.
     """
 
     def __init__(self, share: float, reserve: int, window_s: float) -> None:
@@ -137,7 +141,7 @@
 
     Invariant: up to any instant at most ``per_second`` uses for each second
     since the start, and in any span at most ``burst`` more than that.
-    ``tokens`` is negative while uses are promised for later.
+    ``tokens`` is negative while uses are reserved for later.
     """
 
     per_second: float
@@ -147,7 +151,7 @@
 
     def reserve(self, now: ids.Instant, longest_wait_s: float) -> ids.Instant | None:
         """
-        Promise one use and return when it is due, at the soonest now.
+        Reserve one use and return when it is due, not before now.
 
         None where that would be more than ``longest_wait_s`` seconds away.
         """
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -3,8 +3,8 @@
 
 A policy is registered by name; the bundle names the one a service uses. All
 are pure: pool, call, instant and the pool's seeded random numbers in, a
-decision with its reason out. The baselines here stay because a signed bundle
-may name them; the project recommends ``selection_owned``.
+decision with its reason out. The policies are in ``decisions``: ``owned_slots``
+(recommended for bundles), ``soonest`` (the gateway's) and ``baselines``.
 """
 
 import dataclasses
@@ -13,7 +13,11 @@
 from collections import abc
 
 from spindlenotch import ids, registry
-from spindlenotch.kernel import pool as pools, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, waiting
+
+#: Random draws per upstream of a sample: some hit one that is drawn already or
+#: that may not take the call. Chosen, not measured.
+DRAWS_PER_SAMPLE = 3
 
 
 class Rule(enum.Enum):
@@ -29,12 +33,17 @@
 
 
 class Candidate(typing.NamedTuple):
-    """One upstream that was considered, and what was believed of it."""
+    """
+    One upstream that was compared, and what was estimated of it.
+
+    ``cost`` is in the unit of the policy that compared; ``load`` is a number of
+    requests, ``report_age_s`` the age of its last load report in seconds.
+    """
 
     upstream: ids.UpstreamId
     cost: float
-    believed_running: float
-    belief_age_s: float
+    load: float
+    report_age_s: float
     owned_slots: float
 
 
@@ -55,7 +64,7 @@
 
     def choose(
         self,
-        pool: pools.Pool,
+        pool: upstream_pool.Pool,
         call: waiting.Call,
         now: ids.Instant,
         exclude: Exclusion,
@@ -63,16 +72,16 @@
         """Decide on one call."""
 
     def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
+        self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Take in what an upstream said of its queue."""
+        """Take in how many requests an upstream reports as queued."""
 
 
 POLICIES: registry.Registry[abc.Callable[[], Policy]] = registry.Registry("policy")
 
 
 def eligible(
-    pool: pools.Pool, now: ids.Instant, exclude: Exclusion
+    pool: upstream_pool.Pool, now: ids.Instant, exclude: Exclusion
 ) -> list[upstreams.Upstream]:
     """Return all upstreams that may take a call."""
     return [
@@ -81,121 +90,19 @@
 
 
 def sample(
-    pool: pools.Pool, count: int, now: ids.Instant, exclude: Exclusion
+    pool: upstream_pool.Pool, count: int, now: ids.Instant, exclude: Exclusion
 ) -> list[upstreams.Upstream]:
     """Return up to ``count`` random upstreams that may take a call."""
-    found: list[upstreams.Upstream] = []
+    sampled: list[upstreams.Upstream] = []
     order = pool.usable_order
     if not order:
-        return found
-    for _ in range(3 * count):
+        return sampled
+    for _ in range(DRAWS_PER_SAMPLE * count):
         upstream = order[int(pool.rng.random() * len(order))]
-        if upstream in found or upstream.spec.id in exclude:
+        if upstream in sampled or upstream.spec.id in exclude:
             continue
         if upstream.may_take(now):
-            found.append(upstream)
-            if len(found) == count:
+            sampled.append(upstream)
+            if len(sampled) == count:
                 break
-    return found
-
-
-def appraise(
-    pool: pools.Pool, upstream: upstreams.Upstream, now: ids.Instant
-) -> Candidate:
-    """Return what is believed of ``upstream`` and what it would cost."""
-    running = pool.estimated_load(upstream, now)
-    return Candidate(
-        upstream.spec.id,
-        pool.cost_of(upstream, running, now),
-        running,
-        now - upstream.report_at,
-        upstream.owned_slots,
-    )
-
-
-class _Heedless:
-    """A policy that makes nothing of reports."""
-
-    def reported(
-        self, pool: pools.Pool, upstream: upstreams.Upstream, queued: int
-    ) -> None:
-        """Do nothing."""
-
-
-@POLICIES.register("random")
-class RandomPolicy(_Heedless):
-    """Baseline: any upstream that may take work."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick one at random."""
-        options = eligible(pool, now, exclude)
-        return Choice(pool.rng.choice(options), Rule.RANDOM) if options else None
-
-
-@POLICIES.register("round-robin")
-class RoundRobinPolicy(_Heedless):
-    """Baseline: each upstream in turn, from a random start."""
-
-    def __init__(self) -> None:
-        self.turn: int | None = None
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick the next one."""
-        options = eligible(pool, now, exclude)
-        if not options:
-            return None
-        if self.turn is None:
-            self.turn = pool.rng.randrange(len(options))
-        self.turn += 1
-        return Choice(options[self.turn % len(options)], Rule.ROUND_ROBIN)
-
-
-@POLICIES.register("least-outstanding")
-class LeastOutstandingPolicy(_Heedless):
-    """Baseline: fewest own requests in flight, ties broken at random."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Pick the one with the fewest."""
-        options = eligible(pool, now, exclude)
-        if not options:
-            return None
-        least = min(u.outstanding for u in options)
-        best = [u for u in options if u.outstanding == least]
-        return Choice(pool.rng.choice(best), Rule.LEAST_OUTSTANDING)
-
-
-@POLICIES.register("two-choices")
-class TwoChoicesPolicy(_Heedless):
-    """Baseline: the better of two at random, by own requests in flight."""
-
-    def choose(
-        self,
-        pool: pools.Pool,
-        call: waiting.Call,
-        now: ids.Instant,
-        exclude: Exclusion,
-    ) -> Choice | None:
-        """Compare two."""
-        options = sample(pool, 2, now, exclude)
-        if not options:
-            return None
-        best = min(options, key=lambda u: u.outstanding)
-        return Choice(best, Rule.TWO_CHOICES)
+    return sampled
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -23,10 +23,12 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import once, plugins
 from spindlenotch.kernel import (
+    extra_budgets,
     hostlist,
     outcomes,
     ownership,
     rendezvous,
+    service_policy,
     upstreams,
     waiting,
 )
@@ -34,32 +36,25 @@
 from tools import measure_gossip, slopes
 
 
-def service(name: str) -> bundle.Service:
-    """Return a service of usual settings."""
-    operation = bundle.Operation(
-        "read", frozenset({"GET"}), "/", ids.ClassName("browse"), True
-    )
-    zones = tuple(ids.ZoneName(f"zone-{n}") for n in range(5))
-    return bundle.Service(
-        ids.ServiceName(name),
-        zones,
-        6,
-        250,
-        20.0,
-        "owned",
-        0.05,
-        0.05,
-        200,
-        0.3,
-        (operation,),
-        (),
+def service(name: str) -> service_policy.ServicePolicy:
+    """Return a service of typical settings."""
+    return service_policy.ServicePolicy(
+        name=ids.ServiceName(name),
+        zones=tuple(ids.ZoneName(f"zone-{n}") for n in range(5)),
+        slots=6,
+        typical_s=0.02,
+        selection="owned",
+        extra=extra_budgets.SeparateShares(retry_share=0.05, hedge_share=0.05),
+        queue_limit=200,
+        eject_share=0.3,
+        latency_keys=("read",),
     )
 
 
 def pool_of(size: int, entries: int) -> balancer.Balancer:
     """Return a balancer with a pool of ``size`` among ``entries``."""
     local_member = ownership.Member(ids.ZoneName("zone-0"), ids.HostId("entry-0000"))
-    made = balancer.Balancer(service("s"), local_member, random.Random(1), slopes.NOW)
+    made = balancer.Balancer(service("s"), local_member, random.Random(1))
     made.pool.set_members(
         ownership.Member(measure_gossip.member(n).zone, measure_gossip.member(n).host)
         for n in range(entries)
@@ -115,7 +110,12 @@
 
 def _call(name: str) -> waiting.Call:
     return waiting.Call(
-        ids.CallId(name), 1, True, ids.later(slopes.NOW, 5.0), "read", slopes.NOW
+        id=ids.CallId(name),
+        priority=1,
+        repeatable=True,
+        deadline=ids.later(slopes.NOW, 5.0),
+        latency_key="read",
+        arrived_at=slopes.NOW,
     )
 
 
