--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -31,7 +31,7 @@
     made = gossip.Gossip(member(number), random.Random(number))
     for other in range(fleet):
         if other != number:
-            made.known_by_host[member(other).host] = gossip.Known(
+            made.known_by_host[member(other).host] = gossip.Peer(
                 member(other), slopes.NOW
             )
     made.advertise(
@@ -103,7 +103,7 @@
             """Ask three, be asked by three: six messages out, six in."""
             g.sweep(slopes.NOW)
             g.targets([], slopes.NOW)
-            g.due_by_host.clear()
+            g.reply_due_by_host.clear()
             sealer.seal(peer_codec.encode_gossip(g.compose(wants_reply=True)))
             for _ in range(2 * gossip.FANOUT):
                 payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
