--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -431,11 +431,7 @@
         return own is None or offered.version > own.version
 
     def _members_to_send(self, wants_members: bool) -> tuple[MemberRecord, ...]:
-        picked = [
-            host
-            for host in list(self.repeats_by_host)[-MEMBERS_PER_MESSAGE:]
-            if host in self.known_by_host
-        ]
+        picked = list(self.repeats_by_host)[-MEMBERS_PER_MESSAGE:]
         for host in picked:
             self.repeats_by_host[host] -= 1
             if self.repeats_by_host[host] <= 0:
