--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -12,7 +12,6 @@
 
 import collections
 import dataclasses
-import enum
 import math
 import random
 from collections import abc
@@ -21,7 +20,7 @@
 
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
-from spindlenotch.peers import documents, workload
+from spindlenotch.peers import documents, messages, workload
 
 FANOUT = 3
 PERIOD_S = 1.0
@@ -29,11 +28,6 @@
 REPLY_S = 0.7
 #: A longer time between two sweeps means that this process stood still.
 STOOD_STILL_PERIODS = 3
-MEMBERS_PER_MESSAGE = 4
-#: An entry that knows less than the host list names is told more at a time.
-MEMBERS_WHEN_WANTED = 10
-DRAIN_NOTICES_PER_MESSAGE = 12
-SUSPICIONS_PER_MESSAGE = 4
 #: So many replies missed in a row raise a suspicion.
 MISSED_BEFORE_SUSPECT = 2
 #: A suspicion that is not refuted for this long, and this much longer for
@@ -47,8 +41,6 @@
 MAX_DRAIN_NOTICES = 4096
 MAX_MEMBERS = 4096
 MAX_TOMBSTONES = 4096
-DIGEST_DIGITS = 16
-LOADS_PER_MESSAGE = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,89 +57,14 @@
     suspect_s: float = SUSPECT_S
 
 
-class Status(enum.Enum):
-    """What an entry says of itself; the value is its number on the wire."""
-
-    STARTING = 0
-    READY = 1
-    LEAVING = 2
-
-
-class MemberRecord(
-    msgspec.Struct, frozen=True, rename={"configuration_version": "bundle_version"}
-):
-    """
-    What a member says of itself. Higher (epoch, heartbeat) is newer.
-
-    ``configuration_version`` is the one in force there: of the bundle in an entry,
-    of the routes in a gateway; both call it ``bundle_version`` on the wire.
-    ``capacity`` is what the host can carry, ``demand`` what callers ask of it.
-    """
-
-    host: ids.HostId
-    zone: ids.ZoneName
-    incarnation: ids.Incarnation
-    address: ids.Address
-    peer_address: ids.Address
-    epoch: int
-    heartbeat: int
-    status: Status
-    configuration_version: int
-    capacity: workload.Work = workload.NO_WORK
-    demand: workload.Work = workload.NO_WORK
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class DrainNotice:
-    """An upstream of this generation is leaving and gets no new work."""
-
-    service: ids.ServiceName
-    upstream: ids.UpstreamId
-    generation: int
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class DocumentVersion:
-    """Which version of a document the sender has in force."""
-
-    kind: documents.DocumentKind
-    version: int
-    digest: ids.Digest
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Suspicion:
-    """Somebody did not answer when its news was of this age."""
-
-    host: ids.HostId
-    epoch: int
-    heartbeat: int
-
-
-class Message(
-    msgspec.Struct,
-    frozen=True,
-    rename={"drain_notices": "marks", "wants_members": "hungry"},
-):
-    """
-    One datagram between members.
-
-    ``wants_reply`` asks for one back; ``wants_members`` says that the sender
-    knows fewer members than the host list names; ``reads_source`` that it reads
-    the source itself. On the wire ``drain_notices`` is called ``drain_notices`` and
-    ``wants_members`` ``hungry``.
-    """
-
-    sender: MemberRecord
-    sequence: int
-    documents: tuple[DocumentVersion, ...] = ()
-    members: tuple[MemberRecord, ...] = ()
-    drain_notices: tuple[DrainNotice, ...] = ()
-    wants_reply: bool = False
-    wants_members: bool = False
-    suspicions: tuple[Suspicion, ...] = ()
-    reads_source: bool = False
-    loads: tuple[workload.LoadRecord, ...] = ()
+# The names under which callers use the messages.
+Status = messages.Status
+MemberRecord = messages.MemberRecord
+DrainNotice = messages.DrainNotice
+DocumentVersion = messages.DocumentVersion
+Suspicion = messages.Suspicion
+Message = messages.Message
+LOADS_PER_MESSAGE = messages.LOADS_PER_MESSAGE
 
 
 @dataclasses.dataclass(slots=True)
@@ -230,7 +147,7 @@
 
     def advertise(self, version: DocumentVersion) -> None:
         """Tell peers from now on which version of a document is in force here."""
-        short = ids.Digest(version.digest[:DIGEST_DIGITS])
+        short = ids.Digest(version.digest[: messages.DIGEST_DIGITS])
         self.version_by_kind[version.kind] = dataclasses.replace(version, digest=short)
 
     def add_drain_notice(self, notice: DrainNotice) -> bool:
@@ -431,29 +348,29 @@
         return own is None or offered.version > own.version
 
     def _members_to_send(self, wants_members: bool) -> tuple[MemberRecord, ...]:
-        picked = list(self.repeats_by_host)[-MEMBERS_PER_MESSAGE:]
+        picked = list(self.repeats_by_host)[-messages.MEMBERS_PER_MESSAGE :]
         for host in picked:
             self.repeats_by_host[host] -= 1
             if self.repeats_by_host[host] <= 0:
                 del self.repeats_by_host[host]
         if wants_members:
             rest = list(self.known_by_host)
-            room = MEMBERS_WHEN_WANTED - len(picked)
+            room = messages.MAX_MEMBERS_PER_MESSAGE - len(picked)
             picked += self.rng.sample(rest, min(room, len(rest)))
         return tuple(self.known_by_host[h].record for h in dict.fromkeys(picked))
 
     def _suspicions_to_send(self) -> tuple[Suspicion, ...]:
-        picked = self._suspects()[-SUSPICIONS_PER_MESSAGE:]
+        picked = self._suspects()[-messages.SUSPICIONS_PER_MESSAGE :]
         found = [self.known_by_host[host].record for host in picked]
         return tuple(Suspicion(n.host, n.epoch, n.heartbeat) for n in found)
 
     def _drain_notices_to_send(self) -> tuple[DrainNotice, ...]:
         """Pick fresh marks first, then some of the rest for newcomers."""
         fresh = [m for m, left in self.repeats_by_drain_notice.items() if left > 0]
-        picked = fresh[-DRAIN_NOTICES_PER_MESSAGE:]
+        picked = fresh[-messages.DRAIN_NOTICES_PER_MESSAGE :]
         for notice in picked:
             self.repeats_by_drain_notice[notice] -= 1
-        room = DRAIN_NOTICES_PER_MESSAGE - len(picked)
+        room = messages.DRAIN_NOTICES_PER_MESSAGE - len(picked)
         if room and len(picked) < len(self.repeats_by_drain_notice):
             rest = [m for m, left in self.repeats_by_drain_notice.items() if left <= 0]
             picked += self.rng.sample(rest, min(room, len(rest)))
--- /dev/null
+++ b/spindlenotch/peers/messages.py
@@ -0,0 +1,158 @@
+"""
+What members send each other: the types of gossip messages and document frames.
+
+Types only; composing and handling is in ``gossip``, encoding in the codecs.
+MessagePack writes the field names of these types: a renamed field keeps its
+name on the wire through ``rename``, since old and new processes run side by
+side during a rolling restart. The limits here bound the size of a message
+whatever the size of the fleet; a receiver refuses a message that exceeds them.
+"""
+
+import dataclasses
+import enum
+import typing
+
+import msgspec
+
+from spindlenotch import ids
+from spindlenotch.peers import documents, workload
+
+#: Changed member records in a message. Chosen, not measured; with it gossip
+#: took 2.6 to 4.7 KB/s at 1% loss (docs/CAPACITY.md, "Slopes").
+MEMBERS_PER_MESSAGE = 4
+#: Member records in a reply to a sender that knows too few members, and the
+#: most that a receiver accepts. Chosen, not measured.
+MAX_MEMBERS_PER_MESSAGE = 10
+#: Chosen, not measured.
+DRAIN_NOTICES_PER_MESSAGE = 12
+#: Chosen, not measured.
+SUSPICIONS_PER_MESSAGE = 4
+#: Load records in a message. Chosen, not measured.
+LOADS_PER_MESSAGE = 64
+#: Hexadecimal digits of a document's digest that a message carries. Chosen,
+#: not measured: enough to tell two documents of one version apart.
+DIGEST_DIGITS = 16
+
+
+class Status(enum.Enum):
+    """A member's own state; the value is its number on the wire."""
+
+    STARTING = 0
+    READY = 1
+    LEAVING = 2
+
+
+class RecordVersion(typing.NamedTuple):
+    """
+    Orders the records of one member; the higher one is newer.
+
+    ``epoch`` grows with each start of the process, ``heartbeat`` with each
+    change of its record and each refuted suspicion.
+    """
+
+    epoch: int
+    heartbeat: int
+
+
+class MemberRecord(
+    msgspec.Struct, frozen=True, rename={"configuration_version": "bundle_version"}
+):
+    """
+    What a member publishes about itself.
+
+    ``configuration_version`` is the one in force there: of the bundle in an entry,
+    of the routes in a gateway; both call it ``bundle_version`` on the wire.
+    ``capacity`` is what the host can carry, ``demand`` what callers ask of it.
+    """
+
+    host: ids.HostId
+    zone: ids.ZoneName
+    incarnation: ids.Incarnation
+    address: ids.Address
+    peer_address: ids.Address
+    epoch: int
+    heartbeat: int
+    status: Status
+    configuration_version: int
+    capacity: workload.Work = workload.NO_WORK
+    demand: workload.Work = workload.NO_WORK
+
+    @property
+    def record_version(self) -> RecordVersion:
+        """Return what orders this among the records of its member."""
+        return RecordVersion(self.epoch, self.heartbeat)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class DrainNotice:
+    """The upstream is leaving in this generation and gets no new work."""
+
+    service: ids.ServiceName
+    upstream: ids.UpstreamId
+    generation: int
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class DocumentVersion:
+    """The version of a document that the sender has in force."""
+
+    kind: documents.DocumentKind
+    version: int
+    digest: ids.Digest
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Suspicion:
+    """
+    A member did not answer while its newest record was of this version.
+
+    The member refutes it by publishing a newer record.
+    """
+
+    host: ids.HostId
+    epoch: int
+    heartbeat: int
+
+    @property
+    def record_version(self) -> RecordVersion:
+        """Return the version of the record that the suspicion is about."""
+        return RecordVersion(self.epoch, self.heartbeat)
+
+
+class Message(
+    msgspec.Struct,
+    frozen=True,
+    rename={"drain_notices": "marks", "wants_members": "hungry"},
+):
+    """
+    One gossip datagram.
+
+    ``wants_reply`` asks for one back; ``wants_members`` says that the sender
+    knows fewer members than the host list names; ``reads_source`` that it reads
+    the source itself. On the wire ``drain_notices`` is called ``marks`` and
+    ``wants_members`` ``hungry``.
+    """
+
+    sender: MemberRecord
+    sequence: int
+    documents: tuple[DocumentVersion, ...] = ()
+    members: tuple[MemberRecord, ...] = ()
+    drain_notices: tuple[DrainNotice, ...] = ()
+    wants_reply: bool = False
+    wants_members: bool = False
+    suspicions: tuple[Suspicion, ...] = ()
+    reads_source: bool = False
+    loads: tuple[workload.LoadRecord, ...] = ()
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class DocumentFrame:
+    """
+    One document on a TCP connection, or a request for one (``wanted``).
+
+    An answer carries the ``correlation`` number of its request.
+    """
+
+    correlation: int
+    wanted: bool
+    document: documents.Document
--- a/spindlenotch/peers/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -12,7 +12,7 @@
 import capnp
 
 from spindlenotch import ids
-from spindlenotch.peers import documents, gossip, peer_seal, workload
+from spindlenotch.peers import documents, messages, peer_seal, workload
 
 TRAVERSAL_WORDS = peer_seal.MAX_FRAME
 NESTING = 8
@@ -22,7 +22,7 @@
 _schema: typing.Any = capnp.load(str(pathlib.Path(__file__).parent / "peer.capnp"))
 
 
-def encode_gossip(message: gossip.Message) -> bytes:
+def encode_gossip(message: messages.Message) -> bytes:
     """Return the wire form of a gossip message, without its code."""
     wire = _schema.Gossip.new_message()
     _write_member(wire.sender, message.sender)
@@ -58,7 +58,7 @@
     return typing.cast(bytes, wire.to_bytes_packed())
 
 
-def decode_gossip(payload: bytes) -> gossip.Message | peer_seal.CodecFault:
+def decode_gossip(payload: bytes) -> messages.Message | peer_seal.CodecFault:
     """Read the wire form of a gossip message."""
     try:
         wire = _schema.Gossip.from_bytes_packed(
@@ -71,7 +71,7 @@
         return peer_seal.CodecFault.GARBLED
 
 
-def encode_frame(frame: peer_seal.DocumentFrame) -> bytes:
+def encode_frame(frame: messages.DocumentFrame) -> bytes:
     """Return the wire form of a document frame, without its code."""
     wire = _schema.DocumentFrame.new_message(
         correlation=frame.correlation,
@@ -84,7 +84,7 @@
     return typing.cast(bytes, wire.to_bytes_packed())
 
 
-def decode_frame(payload: bytes) -> peer_seal.DocumentFrame | peer_seal.CodecFault:
+def decode_frame(payload: bytes) -> messages.DocumentFrame | peer_seal.CodecFault:
     """Read the wire form of a document frame."""
     try:
         wire = _schema.DocumentFrame.from_bytes_packed(
@@ -98,7 +98,7 @@
             ids.Digest(_text(wire.digest)),
             _inflate(bytes(wire.body)),
         )
-        return peer_seal.DocumentFrame(wire.correlation, bool(wire.wanted), document)
+        return messages.DocumentFrame(wire.correlation, bool(wire.wanted), document)
     except (capnp.KjException, ValueError, UnicodeDecodeError, zlib.error):
         return peer_seal.CodecFault.GARBLED
 
@@ -112,7 +112,7 @@
     return body
 
 
-def _write_member(slot: typing.Any, member: gossip.MemberRecord) -> None:
+def _write_member(slot: typing.Any, member: messages.MemberRecord) -> None:
     slot.host = member.host
     slot.zone = member.zone
     slot.incarnation = member.incarnation
@@ -131,18 +131,18 @@
     slot.bytesPerS = work.bytes_per_s
 
 
-def _read_gossip(wire: typing.Any) -> gossip.Message:
-    if len(wire.members) > gossip.MEMBERS_WHEN_WANTED:
+def _read_gossip(wire: typing.Any) -> messages.Message:
+    if len(wire.members) > messages.MAX_MEMBERS_PER_MESSAGE:
         raise ValueError("members")
-    if len(wire.suspicions) > gossip.SUSPICIONS_PER_MESSAGE:
+    if len(wire.suspicions) > messages.SUSPICIONS_PER_MESSAGE:
         raise ValueError("suspicions")
-    if len(wire.loads) > gossip.LOADS_PER_MESSAGE:
+    if len(wire.loads) > messages.LOADS_PER_MESSAGE:
         raise ValueError("loads")
-    if len(wire.marks) > gossip.DRAIN_NOTICES_PER_MESSAGE:
+    if len(wire.marks) > messages.DRAIN_NOTICES_PER_MESSAGE:
         raise ValueError("marks")
     if len(wire.documents) > len(documents.DocumentKind):
         raise ValueError("documents")
-    return gossip.Message(
+    return messages.Message(
         _read_member(wire.sender),
         wire.sequence,
         tuple(_read_document_version(n) for n in wire.documents),
@@ -156,8 +156,8 @@
     )
 
 
-def _read_member(wire: typing.Any) -> gossip.MemberRecord:
-    return gossip.MemberRecord(
+def _read_member(wire: typing.Any) -> messages.MemberRecord:
+    return messages.MemberRecord(
         ids.HostId(_text(wire.host)),
         ids.ZoneName(_text(wire.zone)),
         ids.Incarnation(_text(wire.incarnation)),
@@ -165,7 +165,7 @@
         ids.Address(_text(wire.peerAddress)),
         wire.epoch,
         wire.heartbeat,
-        gossip.Status(wire.status),
+        messages.Status(wire.status),
         wire.bundleVersion,
         _read_work(wire.capacity),
         _read_work(wire.demand),
@@ -176,14 +176,14 @@
     return workload.Work(wire.requestsPerS, wire.bytesPerS)
 
 
-def _read_document_version(wire: typing.Any) -> gossip.DocumentVersion:
-    return gossip.DocumentVersion(
+def _read_document_version(wire: typing.Any) -> messages.DocumentVersion:
+    return messages.DocumentVersion(
         documents.DocumentKind(wire.kind), wire.version, ids.Digest(_text(wire.digest))
     )
 
 
-def _read_drain_notice(wire: typing.Any) -> gossip.DrainNotice:
-    return gossip.DrainNotice(
+def _read_drain_notice(wire: typing.Any) -> messages.DrainNotice:
+    return messages.DrainNotice(
         ids.ServiceName(_text(wire.service)),
         ids.UpstreamId(_text(wire.upstream)),
         wire.generation,
@@ -200,8 +200,8 @@
     )
 
 
-def _read_suspicion(wire: typing.Any) -> gossip.Suspicion:
-    return gossip.Suspicion(ids.HostId(_text(wire.host)), wire.epoch, wire.heartbeat)
+def _read_suspicion(wire: typing.Any) -> messages.Suspicion:
+    return messages.Suspicion(ids.HostId(_text(wire.host)), wire.epoch, wire.heartbeat)
 
 
 def _text(value: str) -> str:
--- a/spindlenotch/peers/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from spindlenotch.peers import gossip, peer_seal
+from spindlenotch.peers import messages, peer_seal
 
-_gossip_decoder: msgspec.msgpack.Decoder[gossip.Message] = msgspec.msgpack.Decoder(
-    gossip.Message
+_gossip_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(
+    messages.Message
 )
-_frame_decoder: msgspec.msgpack.Decoder[peer_seal.DocumentFrame] = (
-    msgspec.msgpack.Decoder(peer_seal.DocumentFrame)
+_frame_decoder: msgspec.msgpack.Decoder[messages.DocumentFrame] = (
+    msgspec.msgpack.Decoder(messages.DocumentFrame)
 )
 
 
@@ -28,11 +28,11 @@
     into one message.
     """
 
-    def encode_gossip(self, message: gossip.Message) -> bytes:
+    def encode_gossip(self, message: messages.Message) -> bytes:
         """Return the wire form of a gossip message."""
         return zlib.compress(msgspec.msgpack.encode(message), 1)
 
-    def decode_gossip(self, payload: bytes) -> gossip.Message | peer_seal.CodecFault:
+    def decode_gossip(self, payload: bytes) -> messages.Message | peer_seal.CodecFault:
         """Read the wire form of a gossip message."""
         body = _inflate(payload)
         if isinstance(body, peer_seal.CodecFault):
@@ -42,20 +42,20 @@
         except (msgspec.MsgspecError, ValueError, RecursionError):
             return peer_seal.CodecFault.GARBLED
         crowded = (
-            len(message.members) > gossip.MEMBERS_WHEN_WANTED
-            or len(message.suspicions) > gossip.SUSPICIONS_PER_MESSAGE
-            or len(message.drain_notices) > gossip.DRAIN_NOTICES_PER_MESSAGE
-            or len(message.loads) > gossip.LOADS_PER_MESSAGE
+            len(message.members) > messages.MAX_MEMBERS_PER_MESSAGE
+            or len(message.suspicions) > messages.SUSPICIONS_PER_MESSAGE
+            or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
+            or len(message.loads) > messages.LOADS_PER_MESSAGE
         )
         return peer_seal.CodecFault.GARBLED if crowded else message
 
-    def encode_frame(self, frame: peer_seal.DocumentFrame) -> bytes:
+    def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
         """Return the wire form of a document frame."""
         return zlib.compress(msgspec.msgpack.encode(frame), 1)
 
     def decode_frame(
         self, payload: bytes
-    ) -> peer_seal.DocumentFrame | peer_seal.CodecFault:
+    ) -> messages.DocumentFrame | peer_seal.CodecFault:
         """Read the wire form of a document frame."""
         body = _inflate(payload)
         if isinstance(body, peer_seal.CodecFault):
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -13,7 +13,7 @@
 from collections import abc
 
 from spindlenotch import events, ids, metrics
-from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.peers import documents, messages, peer_seal
 
 LENGTH = struct.Struct("!I")
 CALL_TIMEOUT_S = 2.0
@@ -32,8 +32,8 @@
         self,
         sealer: peer_seal.Sealer,
         measured: metrics.Metrics,
-        on_gossip: abc.Callable[[gossip.Message], None],
-        on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document],
+        on_gossip: abc.Callable[[messages.Message], None],
+        on_frame: abc.Callable[[messages.DocumentFrame], documents.Document],
         codec: peer_seal.Codec,
     ) -> None:
         self.codec = codec
@@ -66,7 +66,7 @@
         if self._tcp is not None:
             self._tcp.close()
 
-    def tell(self, message: gossip.Message, targets: list[ids.Address]) -> None:
+    def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message to each target."""
         if self._udp is None:
             return
@@ -103,7 +103,7 @@
         self, target: ids.Address, document: documents.Document, *, wanted: bool
     ) -> documents.Document | None:
         self.correlation += 1
-        frame = peer_seal.DocumentFrame(self.correlation, wanted, document)
+        frame = messages.DocumentFrame(self.correlation, wanted, document)
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 answer = await self._exchange(target, frame)
@@ -117,8 +117,8 @@
         return answer.document
 
     async def _exchange(
-        self, target: ids.Address, frame: peer_seal.DocumentFrame
-    ) -> peer_seal.DocumentFrame | peer_seal.CodecFault:
+        self, target: ids.Address, frame: messages.DocumentFrame
+    ) -> messages.DocumentFrame | peer_seal.CodecFault:
         reader, writer = await asyncio.open_connection(*split(target))
         try:
             await self._write(writer, frame)
@@ -149,11 +149,11 @@
         if isinstance(frame, peer_seal.CodecFault):
             return self._drop(frame)
         document = self.on_frame(frame)
-        answer = peer_seal.DocumentFrame(frame.correlation, False, document)
+        answer = messages.DocumentFrame(frame.correlation, False, document)
         await self._write(writer, answer)
 
     async def _write(
-        self, writer: asyncio.StreamWriter, frame: peer_seal.DocumentFrame
+        self, writer: asyncio.StreamWriter, frame: messages.DocumentFrame
     ) -> None:
         data = self.sealer.seal(self.codec.encode_frame(frame))
         self._count("sent", len(data))
@@ -162,7 +162,7 @@
 
     async def _read(
         self, reader: asyncio.StreamReader
-    ) -> peer_seal.DocumentFrame | peer_seal.CodecFault:
+    ) -> messages.DocumentFrame | peer_seal.CodecFault:
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > peer_seal.MAX_FRAME:
             return peer_seal.CodecFault.TOO_LONG
--- a/spindlenotch/peers/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -6,13 +6,12 @@
 exception.
 """
 
-import dataclasses
 import enum
 import hashlib
 import hmac
 import typing
 
-from spindlenotch.peers import documents, gossip
+from spindlenotch.peers import messages
 
 MAC_BYTES = 16
 MAX_DATAGRAM = 8 * 1024
@@ -29,13 +28,8 @@
     GARBLED = "garbled"
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class DocumentFrame:
-    """A request for a document (``wanted``) or a document."""
-
-    correlation: int
-    wanted: bool
-    document: documents.Document
+# The name under which callers use the frame.
+DocumentFrame = messages.DocumentFrame
 
 
 class Sealer:
@@ -72,10 +66,10 @@
 class Codec(typing.Protocol):
     """Peer messages to bytes and back, without the authentication code."""
 
-    def encode_gossip(self, message: gossip.Message) -> bytes:
+    def encode_gossip(self, message: messages.Message) -> bytes:
         """Return the wire form of a gossip message."""
 
-    def decode_gossip(self, payload: bytes) -> gossip.Message | CodecFault:
+    def decode_gossip(self, payload: bytes) -> messages.Message | CodecFault:
         """Read the wire form of a gossip message."""
 
     def encode_frame(self, frame: DocumentFrame) -> bytes:
