--- a/spindlenotch/peers/documents.py
+++ b/spindlenotch/peers/documents.py
@@ -1,9 +1,10 @@
 """
-Versioned documents that all entries must hold: the bundle and the host list.
+Versioned documents that all members must hold, and the fence that replaces them.
 
-Whoever offers one (store, operator, peer), it takes effect only if its
-version is higher than the one in force. This fence is the single place where
-a document is replaced, so nothing ever goes back.
+Whoever offers a document (store, operator, peer), it takes effect only if its
+version is higher than the one in force: versions are fencing tokens. The fence
+is the only place where a document is replaced, so no member ever goes back to
+an older one.
 """
 
 import dataclasses
@@ -11,12 +12,20 @@
 
 from spindlenotch import ids
 
-#: Version of a document that has not been opened yet.
+#: Version of a document that a member does not hold.
+NO_VERSION = 0
+#: Version of a document whose envelope has not been opened yet.
 UNKNOWN_VERSION = 0
 
 
 class DocumentKind(enum.Enum):
-    """What a document is about; the value is its number on the wire."""
+    """
+    What a document carries; the value is its number on the wire.
+
+    ``BUNDLE``: in an entry the envelope of the signed bundle, in a gateway the
+    configuration of the routes. ``HOSTS``: in an entry the host list, in a
+    gateway the list of upstreams.
+    """
 
     BUNDLE = 0
     HOSTS = 1
@@ -24,7 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """A document as it travels. For a bundle the body is an envelope."""
+    """
+    A document as it travels between members.
+
+    ``digest`` tells two documents of one version apart; it is empty where the
+    version alone identifies the document.
+    """
 
     kind: DocumentKind
     version: int
@@ -32,8 +46,17 @@
     body: bytes
 
 
+def absent(kind: DocumentKind) -> Document:
+    """Return what stands for a document that a member does not hold."""
+    return Document(kind, NO_VERSION, ids.Digest(""), b"")
+
+
 class Offer(enum.Enum):
-    """What the fence said to an offered document."""
+    """
+    Result of offering a document to the fence.
+
+    ``FORKED``: another document of the same version is in force.
+    """
 
     APPLIED = "applied"
     SAME = "same"
@@ -47,20 +70,20 @@
 
     Invariant: the version of a kind only grows. Two documents of one version
     but different digests cannot both have been accepted by the store; the
-    later one to arrive is reported as ``FORKED``, and only the store's own
-    word (``authoritative``) replaces the one in force.
+    later one to arrive is reported as ``FORKED``, and it replaces the one in
+    force only if it comes from the store itself (``authoritative``).
     """
 
     def __init__(self) -> None:
         self.document_by_kind: dict[DocumentKind, Document] = {}
 
     def version(self, kind: DocumentKind) -> int:
-        """Return the version in force; zero where there is none."""
+        """Return the version in force, or ``NO_VERSION``."""
         document = self.document_by_kind.get(kind)
-        return document.version if document else 0
+        return document.version if document else NO_VERSION
 
     def judge(self, document: Document) -> Offer:
-        """Say what ``offer`` would say, and change nothing."""
+        """Return what ``offer`` would return, and change nothing."""
         current = self.document_by_kind.get(document.kind)
         if current is None or document.version > current.version:
             return Offer.APPLIED
@@ -71,11 +94,9 @@
         return Offer.FORKED
 
     def offer(self, document: Document, *, authoritative: bool = False) -> Offer:
-        """Put ``document`` in force if it is newer."""
-        verdict = self.judge(document)
-        replace = verdict is Offer.APPLIED
-        if verdict is Offer.FORKED and authoritative:
-            replace = True
-        if replace:
+        """Put ``document`` in force if it is newer; return how it compares."""
+        result = self.judge(document)
+        settles_fork = result is Offer.FORKED and authoritative
+        if result is Offer.APPLIED or settles_fork:
             self.document_by_kind[document.kind] = document
-        return verdict
+        return result
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -79,8 +79,7 @@
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
         """Fetch a peer's document; None where it has none or fails."""
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
-        return await self._call(target, nothing, wanted=True)
+        return await self._call(target, documents.absent(kind), wanted=True)
 
     async def push(
         self, target: ids.Address, document: documents.Document
--- a/spindlenotch/peers/workload.py
+++ b/spindlenotch/peers/workload.py
@@ -1,5 +1,8 @@
 """
-Amounts of work: what a host can carry, what callers ask, what an upstream has.
+Load as members report it to each other.
+
+``Work`` states what a host can carry and what callers ask of it; a
+``LoadRecord`` passes on what one upstream reported about itself.
 """
 
 import dataclasses
@@ -11,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """An amount of callers' work; bytes are those of bodies, one way."""
+    """A rate of callers' work; bytes are those of bodies, in one direction."""
 
     requests_per_s: float
     bytes_per_s: float
@@ -22,9 +25,10 @@
 
 class LoadRecord(msgspec.Struct, frozen=True, rename={"slowdown": "pace"}):
     """
-    What an upstream reported of its load, ``age_s`` before this was sent.
+    What an upstream reported of its load, ``age_s`` seconds before this was sent.
 
-    On the wire ``slowdown`` is called ``pace``.
+    ``running`` and ``queued`` count requests; ``slowdown`` is the ratio of its
+    latency now to its typical one, called ``pace`` on the wire.
     """
 
     upstream: ids.UpstreamId
