--- a/spindlenotch/peers/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -1,7 +1,7 @@
 """
 Peer messages to bytes and back in Cap'n Proto.
 
-The reader is bounded in traversal and nesting. See ``peer_seal`` for what all
+The reader is bounded in traversal and nesting. See ``wire_format`` for what all
 codecs share.
 """
 
@@ -12,9 +12,9 @@
 import capnp
 
 from spindlenotch import ids
-from spindlenotch.peers import documents, messages, peer_seal, workload
+from spindlenotch.peers import documents, messages, wire_format, workload
 
-TRAVERSAL_WORDS = peer_seal.MAX_FRAME
+TRAVERSAL_WORDS = wire_format.MAX_FRAME_BYTES
 NESTING = 8
 PERCENT = 100.0
 MS_PER_S = 1000.0
@@ -58,17 +58,17 @@
     return typing.cast(bytes, wire.to_bytes_packed())
 
 
-def decode_gossip(payload: bytes) -> messages.Message | peer_seal.CodecFault:
+def decode_gossip(payload: bytes) -> messages.Message | wire_format.CodecFault:
     """Read the wire form of a gossip message."""
     try:
         wire = _schema.Gossip.from_bytes_packed(
             payload,
-            traversal_limit_in_words=peer_seal.MAX_DATAGRAM,
+            traversal_limit_in_words=wire_format.MAX_DATAGRAM_BYTES,
             nesting_limit=NESTING,
         )
         return _read_gossip(wire)
     except (capnp.KjException, ValueError, UnicodeDecodeError):
-        return peer_seal.CodecFault.GARBLED
+        return wire_format.CodecFault.GARBLED
 
 
 def encode_frame(frame: messages.DocumentFrame) -> bytes:
@@ -84,7 +84,7 @@
     return typing.cast(bytes, wire.to_bytes_packed())
 
 
-def decode_frame(payload: bytes) -> messages.DocumentFrame | peer_seal.CodecFault:
+def decode_frame(payload: bytes) -> messages.DocumentFrame | wire_format.CodecFault:
     """Read the wire form of a document frame."""
     try:
         wire = _schema.DocumentFrame.from_bytes_packed(
@@ -100,13 +100,13 @@
         )
         return messages.DocumentFrame(wire.correlation, bool(wire.wanted), document)
     except (capnp.KjException, ValueError, UnicodeDecodeError, zlib.error):
-        return peer_seal.CodecFault.GARBLED
+        return wire_format.CodecFault.GARBLED
 
 
 def _inflate(data: bytes) -> bytes:
     """Decompress a body of bounded size."""
     stream = zlib.decompressobj()
-    body = stream.decompress(data, peer_seal.MAX_FRAME)
+    body = stream.decompress(data, wire_format.MAX_FRAME_BYTES)
     if stream.unconsumed_tail or not stream.eof:
         raise ValueError("body")
     return body
@@ -205,7 +205,7 @@
 
 
 def _text(value: str) -> str:
-    if len(value) > peer_seal.TEXT_LIMIT:
+    if len(value) > wire_format.MAX_TEXT_CHARACTERS:
         raise ValueError("text")
     return value
 
@@ -219,4 +219,4 @@
     decode_frame = staticmethod(decode_frame)
 
 
-CAPNP: peer_seal.Codec = CapnpCodec()
+CAPNP: wire_format.Codec = CapnpCodec()
--- a/spindlenotch/peers/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -2,7 +2,7 @@
 Peer messages to bytes and back in MessagePack.
 
 The codec of the gateway, whose price is its memory: Cap'n Proto with its
-schema takes 4 MB more in each process. See ``peer_seal`` for what all codecs
+schema takes 4 MB more in each process. See ``wire_format`` for what all codecs
 share.
 """
 
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from spindlenotch.peers import messages, peer_seal
+from spindlenotch.peers import messages, wire_format
 
 _gossip_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(
     messages.Message
@@ -32,22 +32,24 @@
         """Return the wire form of a gossip message."""
         return zlib.compress(msgspec.msgpack.encode(message), 1)
 
-    def decode_gossip(self, payload: bytes) -> messages.Message | peer_seal.CodecFault:
+    def decode_gossip(
+        self, payload: bytes
+    ) -> messages.Message | wire_format.CodecFault:
         """Read the wire form of a gossip message."""
         body = _inflate(payload)
-        if isinstance(body, peer_seal.CodecFault):
+        if isinstance(body, wire_format.CodecFault):
             return body
         try:
             message = _gossip_decoder.decode(body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return peer_seal.CodecFault.GARBLED
+            return wire_format.CodecFault.GARBLED
         crowded = (
             len(message.members) > messages.MAX_MEMBERS_PER_MESSAGE
             or len(message.suspicions) > messages.SUSPICIONS_PER_MESSAGE
             or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
             or len(message.loads) > messages.LOADS_PER_MESSAGE
         )
-        return peer_seal.CodecFault.GARBLED if crowded else message
+        return wire_format.CodecFault.GARBLED if crowded else message
 
     def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
         """Return the wire form of a document frame."""
@@ -55,27 +57,27 @@
 
     def decode_frame(
         self, payload: bytes
-    ) -> messages.DocumentFrame | peer_seal.CodecFault:
+    ) -> messages.DocumentFrame | wire_format.CodecFault:
         """Read the wire form of a document frame."""
         body = _inflate(payload)
-        if isinstance(body, peer_seal.CodecFault):
+        if isinstance(body, wire_format.CodecFault):
             return body
         try:
             return _frame_decoder.decode(body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return peer_seal.CodecFault.GARBLED
+            return wire_format.CodecFault.GARBLED
 
 
-def _inflate(payload: bytes) -> bytes | peer_seal.CodecFault:
+def _inflate(payload: bytes) -> bytes | wire_format.CodecFault:
     """Decompress a message of bounded size."""
     try:
         stream = zlib.decompressobj()
-        body = stream.decompress(payload, peer_seal.MAX_FRAME)
+        body = stream.decompress(payload, wire_format.MAX_FRAME_BYTES)
     except zlib.error:
-        return peer_seal.CodecFault.GARBLED
+        return wire_format.CodecFault.GARBLED
     if stream.unconsumed_tail or not stream.eof:
-        return peer_seal.CodecFault.TOO_LONG
+        return wire_format.CodecFault.TOO_LONG
     return body
 
 
-MSGPACK: peer_seal.Codec = MsgpackCodec()
+MSGPACK: wire_format.Codec = MsgpackCodec()
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -13,7 +13,7 @@
 from collections import abc
 
 from spindlenotch import events, ids, metrics
-from spindlenotch.peers import documents, messages, peer_seal
+from spindlenotch.peers import documents, messages, peer_seal, wire_format
 
 LENGTH = struct.Struct("!I")
 CALL_TIMEOUT_S = 2.0
@@ -34,7 +34,7 @@
         measured: metrics.Metrics,
         on_gossip: abc.Callable[[messages.Message], None],
         on_frame: abc.Callable[[messages.DocumentFrame], documents.Document],
-        codec: peer_seal.Codec,
+        codec: wire_format.Codec,
     ) -> None:
         self.codec = codec
         self.sealer = sealer
@@ -43,7 +43,7 @@
         self.on_frame = on_frame
         self.correlation = 0
         self.connections = 0
-        self.faults_logged: set[peer_seal.CodecFault] = set()
+        self.faults_logged: set[wire_format.CodecFault] = set()
         self._udp: asyncio.DatagramTransport | None = None
         self._tcp: asyncio.Server | None = None
 
@@ -90,11 +90,11 @@
     def datagram_received(self, data: bytes, addr: typing.Any) -> None:
         """Take in a datagram."""
         self._count("received", len(data))
-        payload = self.sealer.open(data, peer_seal.MAX_DATAGRAM)
-        if isinstance(payload, peer_seal.CodecFault):
+        payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
+        if isinstance(payload, wire_format.CodecFault):
             return self._drop(payload)
         message = self.codec.decode_gossip(payload)
-        if isinstance(message, peer_seal.CodecFault):
+        if isinstance(message, wire_format.CodecFault):
             return self._drop(message)
         return self.on_gossip(message)
 
@@ -108,7 +108,7 @@
                 answer = await self._exchange(target, frame)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return None
-        if isinstance(answer, peer_seal.CodecFault):
+        if isinstance(answer, wire_format.CodecFault):
             self._drop(answer)
             return None
         if answer.correlation != frame.correlation or not answer.document.version:
@@ -117,7 +117,7 @@
 
     async def _exchange(
         self, target: ids.Address, frame: messages.DocumentFrame
-    ) -> messages.DocumentFrame | peer_seal.CodecFault:
+    ) -> messages.DocumentFrame | wire_format.CodecFault:
         reader, writer = await asyncio.open_connection(*split(target))
         try:
             await self._write(writer, frame)
@@ -145,7 +145,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         frame = await self._read(reader)
-        if isinstance(frame, peer_seal.CodecFault):
+        if isinstance(frame, wire_format.CodecFault):
             return self._drop(frame)
         document = self.on_frame(frame)
         answer = messages.DocumentFrame(frame.correlation, False, document)
@@ -161,21 +161,21 @@
 
     async def _read(
         self, reader: asyncio.StreamReader
-    ) -> messages.DocumentFrame | peer_seal.CodecFault:
+    ) -> messages.DocumentFrame | wire_format.CodecFault:
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-        if length > peer_seal.MAX_FRAME:
-            return peer_seal.CodecFault.TOO_LONG
+        if length > wire_format.MAX_FRAME_BYTES:
+            return wire_format.CodecFault.TOO_LONG
         data = await reader.readexactly(length)
         self._count("received", length)
-        payload = self.sealer.open(data, peer_seal.MAX_FRAME)
-        if isinstance(payload, peer_seal.CodecFault):
+        payload = self.sealer.open(data, wire_format.MAX_FRAME_BYTES)
+        if isinstance(payload, wire_format.CodecFault):
             return payload
         return self.codec.decode_frame(payload)
 
     def _count(self, direction: str, size: int) -> None:
         self.metrics.peer_bytes.labels(direction).inc(size)
 
-    def _drop(self, fault: peer_seal.CodecFault) -> None:
+    def _drop(self, fault: wire_format.CodecFault) -> None:
         self.metrics.peer_drops.labels(fault.value).inc()
         # Logged once for each reason: the counter has the rest.
         if fault not in self.faults_logged:
