--- a/spindlenotch/peers/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -39,7 +39,7 @@
         return self._code(self.keys[0], payload) + payload
 
     def open(self, data: bytes, limit: int) -> bytes | wire_format.CodecFault:
-        """Return the payload of at most ``limit`` sealed bytes, or why it is refused."""
+        """Return the payload, or why the data (at most ``limit`` bytes) is refused."""
         if len(data) <= MAC_BYTES:
             return wire_format.CodecFault.TOO_SHORT
         if len(data) > limit:
