--- a/spindlenotch/peers/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -1,115 +1,109 @@
 """
-Peer messages to bytes and back in Cap'n Proto.
+Peer messages to bytes and back in Cap'n Proto: the codec of the entry daemon.
 
-The reader is bounded in traversal and nesting. See ``wire_format`` for what all
-codecs share.
+The schema is in ``peer.capnp``; its names are those of the wire and differ from
+the types in ``messages`` where those were renamed. The reader is bounded in
+traversal and nesting. See ``wire_format`` for what all codecs share.
 """
 
 import pathlib
 import typing
 import zlib
+from collections import abc
 
 import capnp
 
 from spindlenotch import ids
 from spindlenotch.peers import documents, messages, wire_format, workload
 
-TRAVERSAL_WORDS = wire_format.MAX_FRAME_BYTES
-NESTING = 8
+#: Cap'n Proto counts what it traverses in words of 8 bytes: a packed message may
+#: unpack to eight times the bytes that it may have. Chosen, not measured.
+GOSSIP_TRAVERSAL_WORDS = wire_format.MAX_DATAGRAM_BYTES
+FRAME_TRAVERSAL_WORDS = wire_format.MAX_FRAME_BYTES
+#: Levels of structures within structures, more than the schema has. Chosen, not
+#: measured.
+MAX_NESTING = 8
+#: The schema carries ratios as whole percent and ages as whole milliseconds.
 PERCENT = 100.0
 MS_PER_S = 1000.0
 
+T = typing.TypeVar("T")
+
 _schema: typing.Any = capnp.load(str(pathlib.Path(__file__).parent / "peer.capnp"))
 
 
-def encode_gossip(message: messages.Message) -> bytes:
-    """Return the wire form of a gossip message, without its code."""
-    wire = _schema.Gossip.new_message()
+class CapnpCodec:
+    """Implements ``wire_format.Codec`` with the schema of ``peer.capnp``."""
+
+    def encode_gossip(self, message: messages.Message) -> bytes:
+        """Return the wire form of a gossip message, without its code."""
+        wire = _schema.Gossip.new_message()
+        _write_message(wire, message)
+        return typing.cast(bytes, wire.to_bytes_packed())
+
+    def decode_gossip(
+        self, payload: bytes
+    ) -> messages.Message | wire_format.CodecFault:
+        """Read the wire form of a gossip message."""
+        try:
+            wire = _schema.Gossip.from_bytes_packed(
+                payload,
+                traversal_limit_in_words=GOSSIP_TRAVERSAL_WORDS,
+                nesting_limit=MAX_NESTING,
+            )
+            return _read_message(wire)
+        except (capnp.KjException, ValueError, UnicodeDecodeError):
+            return wire_format.CodecFault.GARBLED
+
+    def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
+        """Return the wire form of a document frame, without its code."""
+        wire = _schema.DocumentFrame.new_message(
+            correlation=frame.correlation,
+            wanted=frame.wanted,
+            kind=frame.document.kind.value,
+            version=frame.document.version,
+            digest=frame.document.digest,
+            body=zlib.compress(frame.document.body),
+        )
+        return typing.cast(bytes, wire.to_bytes_packed())
+
+    def decode_frame(
+        self, payload: bytes
+    ) -> messages.DocumentFrame | wire_format.CodecFault:
+        """Read the wire form of a document frame."""
+        try:
+            wire = _schema.DocumentFrame.from_bytes_packed(
+                payload,
+                traversal_limit_in_words=FRAME_TRAVERSAL_WORDS,
+                nesting_limit=MAX_NESTING,
+            )
+            return _read_frame(wire)
+        except (capnp.KjException, ValueError, UnicodeDecodeError, zlib.error):
+            return wire_format.CodecFault.GARBLED
+
+
+def _write_message(wire: typing.Any, message: messages.Message) -> None:
     _write_member(wire.sender, message.sender)
     wire.sequence = message.sequence
     wire.wantsReply = message.wants_reply
     wire.hungry = message.wants_members
     wire.readsSource = message.reads_source
-    loads = wire.init("loads", len(message.loads))
-    for slot, load in zip(loads, message.loads, strict=True):
-        slot.upstream = load.upstream
-        slot.running = load.running
-        slot.queued = load.queued
-        slot.pacePercent = int(load.slowdown * PERCENT)
-        slot.ageMs = int(load.age_s * MS_PER_S)
-    news = wire.init("documents", len(message.documents))
-    for slot, document in zip(news, message.documents, strict=True):
-        slot.kind = document.kind.value
-        slot.version = document.version
-        slot.digest = document.digest
-    members = wire.init("members", len(message.members))
-    for slot, member in zip(members, message.members, strict=True):
-        _write_member(slot, member)
-    marks = wire.init("marks", len(message.drain_notices))
-    for slot, mark in zip(marks, message.drain_notices, strict=True):
-        slot.service = mark.service
-        slot.upstream = mark.upstream
-        slot.generation = mark.generation
-    suspicions = wire.init("suspicions", len(message.suspicions))
-    for slot, suspicion in zip(suspicions, message.suspicions, strict=True):
-        slot.host = suspicion.host
-        slot.epoch = suspicion.epoch
-        slot.heartbeat = suspicion.heartbeat
-    return typing.cast(bytes, wire.to_bytes_packed())
-
-
-def decode_gossip(payload: bytes) -> messages.Message | wire_format.CodecFault:
-    """Read the wire form of a gossip message."""
-    try:
-        wire = _schema.Gossip.from_bytes_packed(
-            payload,
-            traversal_limit_in_words=wire_format.MAX_DATAGRAM_BYTES,
-            nesting_limit=NESTING,
-        )
-        return _read_gossip(wire)
-    except (capnp.KjException, ValueError, UnicodeDecodeError):
-        return wire_format.CodecFault.GARBLED
-
-
-def encode_frame(frame: messages.DocumentFrame) -> bytes:
-    """Return the wire form of a document frame, without its code."""
-    wire = _schema.DocumentFrame.new_message(
-        correlation=frame.correlation,
-        wanted=frame.wanted,
-        kind=frame.document.kind.value,
-        version=frame.document.version,
-        digest=frame.document.digest,
-        body=zlib.compress(frame.document.body),
-    )
-    return typing.cast(bytes, wire.to_bytes_packed())
-
-
-def decode_frame(payload: bytes) -> messages.DocumentFrame | wire_format.CodecFault:
-    """Read the wire form of a document frame."""
-    try:
-        wire = _schema.DocumentFrame.from_bytes_packed(
-            payload,
-            traversal_limit_in_words=TRAVERSAL_WORDS,
-            nesting_limit=NESTING,
-        )
-        document = documents.Document(
-            documents.DocumentKind(wire.kind),
-            wire.version,
-            ids.Digest(_text(wire.digest)),
-            _inflate(bytes(wire.body)),
-        )
-        return messages.DocumentFrame(wire.correlation, bool(wire.wanted), document)
-    except (capnp.KjException, ValueError, UnicodeDecodeError, zlib.error):
-        return wire_format.CodecFault.GARBLED
+    _write_list(wire, "loads", message.loads, _write_load)
+    _write_list(wire, "documents", message.documents, _write_document_version)
+    _write_list(wire, "members", message.members, _write_member)
+    _write_list(wire, "marks", message.drain_notices, _write_drain_notice)
+    _write_list(wire, "suspicions", message.suspicions, _write_suspicion)
 
 
-def _inflate(data: bytes) -> bytes:
-    """Decompress a body of bounded size."""
-    stream = zlib.decompressobj()
-    body = stream.decompress(data, wire_format.MAX_FRAME_BYTES)
-    if stream.unconsumed_tail or not stream.eof:
-        raise ValueError("body")
-    return body
+def _write_list(
+    wire: typing.Any,
+    field: str,
+    items: tuple[T, ...],
+    write: abc.Callable[[typing.Any, T], None],
+) -> None:
+    slots = wire.init(field, len(items))
+    for slot, item in zip(slots, items, strict=True):
+        write(slot, item)
 
 
 def _write_member(slot: typing.Any, member: messages.MemberRecord) -> None:
@@ -131,44 +125,87 @@
     slot.bytesPerS = work.bytes_per_s
 
 
-def _read_gossip(wire: typing.Any) -> messages.Message:
-    if len(wire.members) > messages.MAX_MEMBERS_PER_MESSAGE:
-        raise ValueError("members")
-    if len(wire.suspicions) > messages.SUSPICIONS_PER_MESSAGE:
-        raise ValueError("suspicions")
-    if len(wire.loads) > messages.LOADS_PER_MESSAGE:
-        raise ValueError("loads")
-    if len(wire.marks) > messages.DRAIN_NOTICES_PER_MESSAGE:
-        raise ValueError("marks")
-    if len(wire.documents) > len(documents.DocumentKind):
-        raise ValueError("documents")
+def _write_load(slot: typing.Any, load: workload.LoadRecord) -> None:
+    slot.upstream = load.upstream
+    slot.running = load.running
+    slot.queued = load.queued
+    slot.pacePercent = int(load.slowdown * PERCENT)
+    slot.ageMs = int(load.age_s * MS_PER_S)
+
+
+def _write_document_version(
+    slot: typing.Any, version: messages.DocumentVersion
+) -> None:
+    slot.kind = version.kind.value
+    slot.version = version.version
+    slot.digest = version.digest
+
+
+def _write_drain_notice(slot: typing.Any, notice: messages.DrainNotice) -> None:
+    slot.service = notice.service
+    slot.upstream = notice.upstream
+    slot.generation = notice.generation
+
+
+def _write_suspicion(slot: typing.Any, suspicion: messages.Suspicion) -> None:
+    slot.host = suspicion.host
+    slot.epoch = suspicion.epoch
+    slot.heartbeat = suspicion.heartbeat
+
+
+def _read_message(wire: typing.Any) -> messages.Message:
+    _require_limits(wire)
     return messages.Message(
-        _read_member(wire.sender),
-        wire.sequence,
-        tuple(_read_document_version(n) for n in wire.documents),
-        tuple(_read_member(m) for m in wire.members),
-        tuple(_read_drain_notice(m) for m in wire.marks),
-        bool(wire.wantsReply),
-        bool(wire.hungry),
-        tuple(_read_suspicion(s) for s in wire.suspicions),
-        bool(wire.readsSource),
-        tuple(_read_load(load) for load in wire.loads),
+        sender=_read_member(wire.sender),
+        sequence=wire.sequence,
+        documents=tuple(_read_document_version(v) for v in wire.documents),
+        members=tuple(_read_member(m) for m in wire.members),
+        drain_notices=tuple(_read_drain_notice(n) for n in wire.marks),
+        wants_reply=bool(wire.wantsReply),
+        wants_members=bool(wire.hungry),
+        suspicions=tuple(_read_suspicion(s) for s in wire.suspicions),
+        reads_source=bool(wire.readsSource),
+        loads=tuple(_read_load(load) for load in wire.loads),
+    )
+
+
+def _require_limits(wire: typing.Any) -> None:
+    """Raise ValueError where a list is longer than a sender may make it."""
+    _require_length(wire.members, "members", messages.MAX_MEMBERS_PER_MESSAGE)
+    _require_length(wire.suspicions, "suspicions", messages.SUSPICIONS_PER_MESSAGE)
+    _require_length(wire.loads, "loads", messages.LOADS_PER_MESSAGE)
+    _require_length(wire.marks, "marks", messages.DRAIN_NOTICES_PER_MESSAGE)
+    _require_length(wire.documents, "documents", len(documents.DocumentKind))
+
+
+def _require_length(items: typing.Any, field: str, most: int) -> None:
+    if len(items) > most:
+        raise ValueError(f"{field}: {len(items)} items, at most {most} are allowed")
+
+
+def _read_frame(wire: typing.Any) -> messages.DocumentFrame:
+    document = documents.Document(
+        documents.DocumentKind(wire.kind),
+        wire.version,
+        ids.Digest(_text(wire.digest)),
+        _decompress(bytes(wire.body)),
     )
+    return messages.DocumentFrame(wire.correlation, bool(wire.wanted), document)
 
 
 def _read_member(wire: typing.Any) -> messages.MemberRecord:
     return messages.MemberRecord(
-        ids.HostId(_text(wire.host)),
-        ids.ZoneName(_text(wire.zone)),
-        ids.Incarnation(_text(wire.incarnation)),
-        ids.Address(_text(wire.address)),
-        ids.Address(_text(wire.peerAddress)),
-        wire.epoch,
-        wire.heartbeat,
-        messages.Status(wire.status),
-        wire.bundleVersion,
-        _read_work(wire.capacity),
-        _read_work(wire.demand),
+        host=ids.HostId(_text(wire.host)),
+        zone=ids.ZoneName(_text(wire.zone)),
+        incarnation=ids.Incarnation(_text(wire.incarnation)),
+        address=ids.Address(_text(wire.address)),
+        peer_address=ids.Address(_text(wire.peerAddress)),
+        epoch=wire.epoch,
+        heartbeat=wire.heartbeat,
+        status=messages.Status(wire.status),
+        configuration_version=wire.bundleVersion,
+        capacity=_read_work(wire.capacity),
+        demand=_read_work(wire.demand),
     )
 
 
@@ -192,11 +229,11 @@
 
 def _read_load(wire: typing.Any) -> workload.LoadRecord:
     return workload.LoadRecord(
-        ids.UpstreamId(_text(wire.upstream)),
-        wire.running,
-        wire.queued,
-        wire.pacePercent / PERCENT,
-        wire.ageMs / MS_PER_S,
+        upstream=ids.UpstreamId(_text(wire.upstream)),
+        running=wire.running,
+        queued=wire.queued,
+        slowdown=wire.pacePercent / PERCENT,
+        age_s=wire.ageMs / MS_PER_S,
     )
 
 
@@ -205,18 +242,25 @@
 
 
 def _text(value: str) -> str:
-    if len(value) > wire_format.MAX_TEXT_CHARACTERS:
-        raise ValueError("text")
+    most = wire_format.MAX_TEXT_CHARACTERS
+    if len(value) > most:
+        raise ValueError(f"text: {len(value)} characters, at most {most} are allowed")
     return value
 
 
-class CapnpCodec:
-    """The codec of the entry daemon."""
-
-    encode_gossip = staticmethod(encode_gossip)
-    decode_gossip = staticmethod(decode_gossip)
-    encode_frame = staticmethod(encode_frame)
-    decode_frame = staticmethod(decode_frame)
+def _decompress(data: bytes) -> bytes:
+    """Decompress a body; raise ValueError where it is cut or over the limit."""
+    stream = zlib.decompressobj()
+    body = stream.decompress(data, wire_format.MAX_FRAME_BYTES)
+    if stream.unconsumed_tail or not stream.eof:
+        raise ValueError("body: incomplete, or over the limit when decompressed")
+    return body
 
 
 CAPNP: wire_format.Codec = CapnpCodec()
+
+# The names under which callers use the codec.
+encode_gossip = CAPNP.encode_gossip
+decode_gossip = CAPNP.decode_gossip
+encode_frame = CAPNP.encode_frame
+decode_frame = CAPNP.decode_frame
--- a/spindlenotch/peers/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -1,9 +1,9 @@
 """
-Peer messages to bytes and back in MessagePack.
+Peer messages to bytes and back in MessagePack: the codec of the gateway.
 
-The codec of the gateway, whose price is its memory: Cap'n Proto with its
-schema takes 4 MB more in each process. See ``wire_format`` for what all codecs
-share.
+The gateway's memory is priced, and Cap'n Proto with its schema takes 4 MB more
+in each process. Field names on the wire are those of the types in ``messages``.
+See ``wire_format`` for what all codecs share.
 """
 
 import zlib
@@ -12,6 +12,10 @@
 
 from spindlenotch.peers import messages, wire_format
 
+#: zlib's fastest: messages are small and sent several times a second. Chosen,
+#: not measured.
+COMPRESSION_LEVEL = 1
+
 _gossip_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(
     messages.Message
 )
@@ -24,42 +28,37 @@
     """
     Writes each message as one MessagePack map, compressed.
 
-    Invariant: what is decoded has at most as many parts as a sender may put
-    into one message.
+    Invariant: a message that is decoded is within the limits of ``messages``.
     """
 
     def encode_gossip(self, message: messages.Message) -> bytes:
         """Return the wire form of a gossip message."""
-        return zlib.compress(msgspec.msgpack.encode(message), 1)
+        return zlib.compress(msgspec.msgpack.encode(message), COMPRESSION_LEVEL)
 
     def decode_gossip(
         self, payload: bytes
     ) -> messages.Message | wire_format.CodecFault:
         """Read the wire form of a gossip message."""
-        body = _inflate(payload)
+        body = _decompress(payload)
         if isinstance(body, wire_format.CodecFault):
             return body
         try:
             message = _gossip_decoder.decode(body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             return wire_format.CodecFault.GARBLED
-        crowded = (
-            len(message.members) > messages.MAX_MEMBERS_PER_MESSAGE
-            or len(message.suspicions) > messages.SUSPICIONS_PER_MESSAGE
-            or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
-            or len(message.loads) > messages.LOADS_PER_MESSAGE
-        )
-        return wire_format.CodecFault.GARBLED if crowded else message
+        if _exceeds_limits(message):
+            return wire_format.CodecFault.GARBLED
+        return message
 
     def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
         """Return the wire form of a document frame."""
-        return zlib.compress(msgspec.msgpack.encode(frame), 1)
+        return zlib.compress(msgspec.msgpack.encode(frame), COMPRESSION_LEVEL)
 
     def decode_frame(
         self, payload: bytes
     ) -> messages.DocumentFrame | wire_format.CodecFault:
         """Read the wire form of a document frame."""
-        body = _inflate(payload)
+        body = _decompress(payload)
         if isinstance(body, wire_format.CodecFault):
             return body
         try:
@@ -68,8 +67,17 @@
             return wire_format.CodecFault.GARBLED
 
 
-def _inflate(payload: bytes) -> bytes | wire_format.CodecFault:
-    """Decompress a message of bounded size."""
+def _exceeds_limits(message: messages.Message) -> bool:
+    return (
+        len(message.members) > messages.MAX_MEMBERS_PER_MESSAGE
+        or len(message.suspicions) > messages.SUSPICIONS_PER_MESSAGE
+        or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
+        or len(message.loads) > messages.LOADS_PER_MESSAGE
+    )
+
+
+def _decompress(payload: bytes) -> bytes | wire_format.CodecFault:
+    """Decompress a message; refuse one that is cut or over the limit."""
     try:
         stream = zlib.decompressobj()
         body = stream.decompress(payload, wire_format.MAX_FRAME_BYTES)
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -244,7 +244,7 @@
         documents.DocumentKind.BUNDLE, 1, ids.Digest("a" * 64), body
     )
     frame = peer_seal.DocumentFrame(1, False, document)
-    return len(peer_codec.encode_frame(frame)) + peer_seal.MAC_BYTES
+    return len(peer_codec.CAPNP.encode_frame(frame)) + peer_seal.MAC_BYTES
 
 
 def memory() -> None:
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -71,7 +71,7 @@
                 self._send(message, self.by_address[target])
 
     def _send(self, message: gossip.Message, target: gossip.Gossip) -> None:
-        self.bytes += len(peer_codec.encode_gossip(message)) + OVERHEAD
+        self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD
         self.messages += 1
         if target in self.dead or self.rng.random() < self.lost:
             return
@@ -97,22 +97,22 @@
         drops.append(float(len(everyone.drops)))
         one = everyone.everyone[0]
         message = everyone.everyone[1].compose(wants_reply=True)
-        data = sealer.seal(peer_codec.encode_gossip(message))
+        data = sealer.seal(peer_codec.CAPNP.encode_gossip(message))
 
         def period(g: gossip.Gossip = one, d: bytes = data) -> None:
             """Ask three, be asked by three: six messages out, six in."""
             g.sweep(slopes.NOW)
             g.targets([], slopes.NOW)
             g.probes.cancel()
-            sealer.seal(peer_codec.encode_gossip(g.compose(wants_reply=True)))
+            sealer.seal(peer_codec.CAPNP.encode_gossip(g.compose(wants_reply=True)))
             for _ in range(2 * gossip.FANOUT):
                 payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
                 assert isinstance(payload, bytes)
-                heard = peer_codec.decode_gossip(payload)
+                heard = peer_codec.CAPNP.decode_gossip(payload)
                 assert isinstance(heard, gossip.Message)
                 reply = g.handle(heard, slopes.NOW).reply
                 assert reply is not None
-                sealer.seal(peer_codec.encode_gossip(reply))
+                sealer.seal(peer_codec.CAPNP.encode_gossip(reply))
             g.ready_members()
 
         cpu.append(slopes.timed(period, 200) * 1e6)
