--- a/spindlenotch/peers/peer_codec_msgpack.py
+++ b/spindlenotch/peers/peer_codec_msgpack.py
@@ -28,7 +28,8 @@
     """
     Writes each message as one MessagePack map, compressed.
 
-    Invariant: a message that is decoded is within the limits of ``messages``.
+    Invariant: what is decoded has at most as many members, suspicions, drain
+    notices and loads as a sender may put into one message.
     """
 
     def encode_gossip(self, message: messages.Message) -> bytes:
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -1,49 +1,67 @@
 """
-The link between entries: gossip over UDP, documents over TCP.
+The link between members: gossip over UDP, documents over TCP.
 
-Both listen on the same port number. Whatever is garbled, too large or not
-authenticated is counted and dropped; it never grows any state. A document
-connection carries one question and one answer, each with a correlation
-number that must match.
+Both listen on the same port number. A document connection carries one request
+and one answer: a length prefix, then a sealed frame whose correlation number
+must match. Messages that cannot be read are dropped in ``sealed_codec``, so
+that hostile bytes never grow any state here.
 """
 
 import asyncio
 import struct
 import typing
-from collections import abc
 
-from spindlenotch import events, ids, metrics
-from spindlenotch.peers import documents, messages, peer_seal, wire_format
+from spindlenotch import ids, metrics
+from spindlenotch.peers import (
+    documents,
+    messages,
+    peer_seal,
+    sealed_codec,
+    wire_format,
+)
 
+#: Length of a sealed frame in front of it on a document connection, in bytes.
 LENGTH = struct.Struct("!I")
+#: Seconds for a document request and its answer, on both sides. Chosen, not
+#: measured.
 CALL_TIMEOUT_S = 2.0
+#: Document connections that are served at a time. Chosen, not measured.
 MAX_CONNECTIONS = 64
 
+#: What ends a document connection: unreachable, too slow, or closed early.
+CONNECTION_FAULTS = (OSError, TimeoutError, asyncio.IncompleteReadError)
 
-class PeerLink(asyncio.DatagramProtocol):
-    """
-    Sends and receives peer messages.
 
-    ``on_gossip`` gets each authentic message; ``on_frame`` gets each authentic
-    frame and returns the answer to send back.
-    """
+class GossipListener(typing.Protocol):
+    """Takes in each authentic gossip message."""
+
+    def __call__(self, message: messages.Message, /) -> None:
+        """Handle a message."""
+
+
+class FrameListener(typing.Protocol):
+    """Takes in each authentic document frame."""
+
+    def __call__(self, frame: messages.DocumentFrame, /) -> documents.Document:
+        """Return the document to answer with."""
+
+
+class PeerLink(asyncio.DatagramProtocol):
+    """Sends and receives peer messages; ``start`` opens its ports."""
 
     def __init__(
         self,
         sealer: peer_seal.Sealer,
         measured: metrics.Metrics,
-        on_gossip: abc.Callable[[messages.Message], None],
-        on_frame: abc.Callable[[messages.DocumentFrame], documents.Document],
+        on_gossip: GossipListener,
+        on_frame: FrameListener,
         codec: wire_format.Codec,
     ) -> None:
-        self.codec = codec
-        self.sealer = sealer
-        self.metrics = measured
         self.on_gossip = on_gossip
         self.on_frame = on_frame
         self.correlation = 0
         self.connections = 0
-        self.faults_logged: set[wire_format.CodecFault] = set()
+        self._wire = sealed_codec.SealedCodec(sealer, codec, measured)
         self._udp: asyncio.DatagramTransport | None = None
         self._tcp: asyncio.Server | None = None
 
@@ -66,15 +84,25 @@
         if self._tcp is not None:
             self._tcp.close()
 
+    # Gossip
+
     def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
-        """Send a gossip message to each target."""
+        """Send a gossip message to each target; does nothing before ``start``."""
         if self._udp is None:
             return
-        data = self.sealer.seal(self.codec.encode_gossip(message))
+        data = self._wire.write_gossip(message)
         for target in targets:
-            self._count("sent", len(data))
+            self._wire.count_sent(len(data))
             self._udp.sendto(data, split(target))
 
+    def datagram_received(self, data: bytes, addr: typing.Any) -> None:
+        """Take in a datagram."""
+        message = self._wire.read_gossip(data)
+        if message is not None:
+            self.on_gossip(message)
+
+    # Documents: the asking side
+
     async def ask(
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
@@ -87,44 +115,35 @@
         """Offer a document; the answer is the one in force there."""
         return await self._call(target, document, wanted=False)
 
-    def datagram_received(self, data: bytes, addr: typing.Any) -> None:
-        """Take in a datagram."""
-        self._count("received", len(data))
-        payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
-        if isinstance(payload, wire_format.CodecFault):
-            return self._drop(payload)
-        message = self.codec.decode_gossip(payload)
-        if isinstance(message, wire_format.CodecFault):
-            return self._drop(message)
-        return self.on_gossip(message)
-
     async def _call(
         self, target: ids.Address, document: documents.Document, *, wanted: bool
     ) -> documents.Document | None:
         self.correlation += 1
-        frame = messages.DocumentFrame(self.correlation, wanted, document)
+        request = messages.DocumentFrame(self.correlation, wanted, document)
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
-                answer = await self._exchange(target, frame)
-        except (OSError, TimeoutError, asyncio.IncompleteReadError):
+                answer = await self._exchange(target, request)
+        except CONNECTION_FAULTS:
+            # A peer that is away is normal; the caller asks another or again.
             return None
-        if isinstance(answer, wire_format.CodecFault):
-            self._drop(answer)
+        if answer is None or answer.correlation != request.correlation:
             return None
-        if answer.correlation != frame.correlation or not answer.document.version:
+        if answer.document.version == documents.NO_VERSION:
             return None
         return answer.document
 
     async def _exchange(
-        self, target: ids.Address, frame: messages.DocumentFrame
-    ) -> messages.DocumentFrame | wire_format.CodecFault:
+        self, target: ids.Address, request: messages.DocumentFrame
+    ) -> messages.DocumentFrame | None:
         reader, writer = await asyncio.open_connection(*split(target))
         try:
-            await self._write(writer, frame)
+            await self._write(writer, request)
             return await self._read(reader)
         finally:
             writer.close()
 
+    # Documents: the answering side
+
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -135,7 +154,8 @@
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 await self._answer(reader, writer)
-        except (OSError, TimeoutError, asyncio.IncompleteReadError):
+        except CONNECTION_FAULTS:
+            # The peer sees no answer and asks another member or again.
             pass
         finally:
             self.connections -= 1
@@ -144,43 +164,32 @@
     async def _answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        frame = await self._read(reader)
-        if isinstance(frame, wire_format.CodecFault):
-            return self._drop(frame)
-        document = self.on_frame(frame)
-        answer = messages.DocumentFrame(frame.correlation, False, document)
+        request = await self._read(reader)
+        if request is None:
+            return
+        document = self.on_frame(request)
+        answer = messages.DocumentFrame(request.correlation, False, document)
         await self._write(writer, answer)
 
+    # Frames on a connection
+
     async def _write(
         self, writer: asyncio.StreamWriter, frame: messages.DocumentFrame
     ) -> None:
-        data = self.sealer.seal(self.codec.encode_frame(frame))
-        self._count("sent", len(data))
+        data = self._wire.write_frame(frame)
+        self._wire.count_sent(len(data))
         writer.write(LENGTH.pack(len(data)) + data)
         await writer.drain()
 
     async def _read(
         self, reader: asyncio.StreamReader
-    ) -> messages.DocumentFrame | wire_format.CodecFault:
+    ) -> messages.DocumentFrame | None:
+        """Read a frame; None if it was dropped."""
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > wire_format.MAX_FRAME_BYTES:
-            return wire_format.CodecFault.TOO_LONG
-        data = await reader.readexactly(length)
-        self._count("received", length)
-        payload = self.sealer.open(data, wire_format.MAX_FRAME_BYTES)
-        if isinstance(payload, wire_format.CodecFault):
-            return payload
-        return self.codec.decode_frame(payload)
-
-    def _count(self, direction: str, size: int) -> None:
-        self.metrics.peer_bytes.labels(direction).inc(size)
-
-    def _drop(self, fault: wire_format.CodecFault) -> None:
-        self.metrics.peer_drops.labels(fault.value).inc()
-        # Logged once for each reason: the counter has the rest.
-        if fault not in self.faults_logged:
-            self.faults_logged.add(fault)
-            events.emit(events.Event.PEER_DROPPED, reason=fault.value)
+            self._wire.drop(wire_format.CodecFault.TOO_LONG)
+            return None
+        return self._wire.read_frame(await reader.readexactly(length))
 
 
 def split(address: ids.Address) -> tuple[str, int]:
