--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -11,6 +11,8 @@
 import struct
 import typing
 
+import loguru
+
 from spindlenotch import ids, metrics
 from spindlenotch.peers import (
     documents,
@@ -123,8 +125,9 @@
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 answer = await self._exchange(target, request)
-        except CONNECTION_FAULTS:
+        except CONNECTION_FAULTS as fault:
             # A peer that is away is normal; the caller asks another or again.
+            loguru.logger.debug("no document from {}: {!r}", target, fault)
             return None
         if answer is None or answer.correlation != request.correlation:
             return None
@@ -148,15 +151,16 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.connections >= MAX_CONNECTIONS:
+            loguru.logger.debug("document connection refused: {} open", MAX_CONNECTIONS)
             writer.close()
             return
         self.connections += 1
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 await self._answer(reader, writer)
-        except CONNECTION_FAULTS:
+        except CONNECTION_FAULTS as fault:
             # The peer sees no answer and asks another member or again.
-            pass
+            loguru.logger.debug("document connection ended early: {!r}", fault)
         finally:
             self.connections -= 1
             writer.close()
