--- a/spindlenotch/peers/peer.capnp
+++ b/spindlenotch/peers/peer.capnp
@@ -1,13 +1,14 @@
 @0xc1f4a1d27b5ae9d3;
-# Messages between entries. Every frame and datagram carries one of these,
-# followed by an authentication code (see peer_codec.py).
+# Messages between members. Every frame and datagram carries one of these behind
+# an authentication code (see peer_seal.py). Only the numbers of the fields are on
+# the wire; field names that differ from those in messages.py say so.
 
 struct Work {
   requestsPerS @0 :Float64;
   bytesPerS @1 :Float64;
 }
 
-struct MemberNews {
+struct MemberRecord {
   host @0 :Text;
   zone @1 :Text;
   incarnation @2 :Text;
@@ -16,18 +17,18 @@
   epoch @5 :UInt64;
   heartbeat @6 :UInt64;
   status @7 :UInt8;
-  bundleVersion @8 :UInt64;
+  bundleVersion @8 :UInt64;  # configuration_version
   capacity @9 :Work;
   demand @10 :Work;
 }
 
-struct DocumentNews {
+struct DocumentVersion {
   kind @0 :UInt8;
   version @1 :UInt64;
   digest @2 :Text;
 }
 
-struct Mark {
+struct DrainNotice {
   service @0 :Text;
   upstream @1 :Text;
   generation @2 :UInt64;
@@ -39,30 +40,30 @@
   heartbeat @2 :UInt64;
 }
 
-# What an upstream said of its load, ageMs before this was sent.
+# What an upstream reported of its load, ageMs before this was sent.
 struct Load {
   upstream @0 :Text;
   running @1 :UInt32;
   queued @2 :UInt32;
-  pacePercent @3 :UInt32;
+  pacePercent @3 :UInt32;  # slowdown
   ageMs @4 :UInt32;
 }
 
 struct Gossip {
-  sender @0 :MemberNews;
+  sender @0 :MemberRecord;
   sequence @1 :UInt64;
-  documents @2 :List(DocumentNews);
-  members @3 :List(MemberNews);
-  marks @4 :List(Mark);
+  documents @2 :List(DocumentVersion);
+  members @3 :List(MemberRecord);
+  marks @4 :List(DrainNotice);  # drain_notices
   wantsReply @5 :Bool;
-  hungry @6 :Bool;
+  hungry @6 :Bool;  # wants_members
   suspicions @7 :List(Suspicion);
   readsSource @8 :Bool;
   loads @9 :List(Load);
 }
 
-# Over TCP: ask for a document, or offer one. The answer is a document too;
-# version zero where the asked peer has none.
+# Over TCP: request a document (wanted), or offer one. The answer is a document
+# too; its version is zero where the peer has none.
 struct DocumentFrame {
   correlation @0 :UInt64;
   wanted @1 :Bool;
