--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -2,9 +2,8 @@
 Measure the slopes behind ``docs/CAPACITY.md``.
 
 Peers are simulated as messages at the interface; everything measured is the
-product's own code in this process. Each row is a size, then the cost; the
-last line of a table is the straight line through it. Run with
-``make measure-capacity``.
+product's own code in this process. Each row has the costs by size and the
+straight line through them. Run with ``make measure-capacity``.
 """
 
 import gc
@@ -35,7 +34,7 @@
 
 
 def service(name: str) -> bundle.Service:
-    """Return a service of usual settings."""
+    """Return a service with typical settings."""
     operation = bundle.Operation(
         "read", frozenset({"GET"}), "/", ids.ClassName("browse"), True
     )
@@ -82,7 +81,7 @@
 
 
 def decisions() -> None:
-    """Processor time of one decision, in the cheap case and the dear one."""
+    """Show the processor time of a decision, with own slots free and busy."""
     for title, taken in (("own slot free", 0), ("own slots busy", 40)):
         for entries in (18, 450):
             costs = []
@@ -133,7 +132,7 @@
 
 
 def cuts() -> None:
-    """Processor time when a member comes or goes, and a host list arrives."""
+    """Show the processor time when members change and when a host list arrives."""
     costs = []
     for size in slopes.POOLS:
         made = pool_of(size, 450)
@@ -178,7 +177,7 @@
 
 
 def bundle_text(services: int) -> str:
-    """Return a bundle with so many services of usual size."""
+    """Return the text of a bundle with ``services`` services of typical size."""
     parts = [
         'format = 1\nversion = 1\ndeployment = "big"\n[classes]\nurgent = 0\nbrowse = 1'
     ]
@@ -206,7 +205,7 @@
 
 
 def bundles() -> None:
-    """Bytes of a bundle and the time to check and open it."""
+    """Show the bytes of a bundle and the time to check and open it."""
     private, public = bundle_seal.generate_key()
     sizes, cpu = [], []
     for count in slopes.SERVICES:
@@ -248,7 +247,7 @@
 
 
 def memory() -> None:
-    """Bytes of state per remembered id, upstream and member."""
+    """Show the bytes of state per remembered id, upstream and member."""
     per_id = []
     for count in slopes.RECORDS:
         table = once.OnceTable(count + 1)
@@ -304,7 +303,7 @@
 
 
 def store_calls() -> None:
-    """Readers of the store, from the duty as every entry reckons it."""
+    """Show how many entries watch the store, as each of them computes it."""
     counts = []
     for fleet in slopes.FLEETS:
         members = [
@@ -313,12 +312,12 @@
             )
             for n in range(fleet)
         ]
-        holders = {
+        readers = {
             host
             for zone in {m.zone for m in members}
             for host in rendezvous.chosen(members, zone, "store", 2)
         }
-        counts.append(float(len(holders)))
+        counts.append(float(len(readers)))
     slopes.show("entries that watch the store, 5 zones", "", slopes.FLEETS, counts)
 
 
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -1,7 +1,8 @@
 """
-Measure gossip: bytes, processor time, spread, and how a death is noticed.
+Measure gossip: bytes, processor time, spread, and how a failure is detected.
 
-A whole fleet of the product's own gossip state machines, period by period.
+Simulates a whole fleet of the product's own gossip state machines, period by
+period, with lost messages. ``measure_capacity`` runs it for docs/CAPACITY.md.
 """
 
 import random
@@ -10,9 +11,16 @@
 from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 from tools import slopes
 
+#: Bytes around a message: authentication code, UDP and IP headers.
+OVERHEAD_BYTES = peer_seal.MAC_BYTES + 28
+#: Share of messages that get lost. Chosen, not measured.
+LOST_SHARE = 0.01
+#: Periods of a fleet without failures.
+STEADY_PERIODS = 30
+
 
 def member(number: int) -> gossip.MemberRecord:
-    """Return a member as its news would look."""
+    """Return the record of a member."""
     return gossip.MemberRecord(
         ids.HostId(f"entry-{number:04}"),
         ids.ZoneName(f"zone-{number % 5}"),
@@ -27,30 +35,30 @@
 
 
 def gossiper(fleet: int, number: int = 0) -> gossip.Gossip:
-    """Return an entry's gossip that knows the whole fleet."""
-    made = gossip.Gossip(member(number), random.Random(number))
+    """Return the gossip of one member that knows the whole fleet."""
+    state = gossip.Gossip(member(number), random.Random(number))
     for other in range(fleet):
         if other != number:
-            made.known_by_host[member(other).host] = gossip.Peer(
+            state.known_by_host[member(other).host] = gossip.Peer(
                 member(other), slopes.NOW
             )
-    made.advertise(
+    state.advertise(
         gossip.DocumentVersion(documents.DocumentKind.BUNDLE, 12, ids.Digest("a" * 64))
     )
-    made.advertise(
+    state.advertise(
         gossip.DocumentVersion(documents.DocumentKind.HOSTS, 99, ids.Digest(""))
     )
-    return made
+    return state
 
 
 class Fleet:
     """Gossip of a whole fleet, period by period, with lost messages."""
 
-    def __init__(self, size: int, lost: float = 0.01) -> None:
+    def __init__(self, size: int, lost: float = LOST_SHARE) -> None:
         self.rng = random.Random(size)
         self.lost = lost
-        self.everyone = [gossiper(size, n) for n in range(size)]
-        self.by_address = {g.local.peer_address: g for g in self.everyone}
+        self.gossips = [gossiper(size, n) for n in range(size)]
+        self.by_address = {g.local.peer_address: g for g in self.gossips}
         self.dead: set[gossip.Gossip] = set()
         self.now = slopes.NOW
         self.bytes = 0
@@ -58,49 +66,45 @@
         self.drops: list[tuple[float, ids.HostId]] = []
 
     def period(self) -> None:
-        """Let every living entry ask around and everybody answer."""
+        """Let every living member probe, and those that are probed reply."""
         self.now = ids.later(self.now, gossip.PERIOD_S)
-        for one in self.everyone:
-            if one in self.dead:
+        for sender in self.gossips:
+            if sender in self.dead:
                 continue
-            for news in one.sweep(self.now):
-                self.drops.append((self.now, news.host))
-            targets = one.targets([], self.now)
-            message = one.compose(wants_reply=True)
+            for record in sender.sweep(self.now):
+                self.drops.append((self.now, record.host))
+            targets = sender.targets([], self.now)
+            message = sender.compose(wants_reply=True)
             for target in targets:
                 self._send(message, self.by_address[target])
 
     def _send(self, message: gossip.Message, target: gossip.Gossip) -> None:
-        self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD
+        self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD_BYTES
         self.messages += 1
         if target in self.dead or self.rng.random() < self.lost:
             return
-        taken = target.handle(message, self.now)
-        if taken.reply is not None:
-            self._send(taken.reply, self.by_address[message.sender.peer_address])
-
-
-#: Authentication code, UDP and IP headers.
-OVERHEAD = 16 + 28
+        handled = target.handle(message, self.now)
+        if handled.reply is not None:
+            self._send(handled.reply, self.by_address[message.sender.peer_address])
 
 
 def gossip_costs() -> None:
-    """Bytes and processor time of gossip per second and node."""
+    """Show bytes and processor time of gossip per second and member."""
     sealer = peer_seal.Sealer((slopes.KEY,))
     sizes, cpu, drops = [], [], []
     for fleet in slopes.FLEETS:
-        everyone = Fleet(fleet)
-        for _ in range(30):
-            everyone.period()
-        # Each byte is sent by one node and received by another.
-        sizes.append(2 * everyone.bytes / fleet / 30)
-        drops.append(float(len(everyone.drops)))
-        one = everyone.everyone[0]
-        message = everyone.everyone[1].compose(wants_reply=True)
+        simulated = Fleet(fleet)
+        for _ in range(STEADY_PERIODS):
+            simulated.period()
+        # Each byte is sent by one member and received by another.
+        sizes.append(2 * simulated.bytes / fleet / STEADY_PERIODS)
+        drops.append(float(len(simulated.drops)))
+        prober = simulated.gossips[0]
+        message = simulated.gossips[1].compose(wants_reply=True)
         data = sealer.seal(peer_codec.CAPNP.encode_gossip(message))
 
-        def period(g: gossip.Gossip = one, d: bytes = data) -> None:
-            """Ask three, be asked by three: six messages out, six in."""
+        def period(g: gossip.Gossip = prober, d: bytes = data) -> None:
+            """Probe three, be probed by three: six messages out, six in."""
             g.sweep(slopes.NOW)
             g.targets([], slopes.NOW)
             g.probes.cancel()
@@ -108,52 +112,58 @@
             for _ in range(2 * gossip.FANOUT):
                 payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
                 assert isinstance(payload, bytes)
-                heard = peer_codec.CAPNP.decode_gossip(payload)
-                assert isinstance(heard, gossip.Message)
-                reply = g.handle(heard, slopes.NOW).reply
+                received = peer_codec.CAPNP.decode_gossip(payload)
+                assert isinstance(received, gossip.Message)
+                reply = g.handle(received, slopes.NOW).reply
                 assert reply is not None
                 sealer.seal(peer_codec.CAPNP.encode_gossip(reply))
             g.ready_members()
 
         cpu.append(slopes.timed(period, 200) * 1e6)
     slopes.show(
-        "gossip at rest, sent and received, B/s per node", "B/s", slopes.FLEETS, sizes
+        "gossip at rest, sent and received, B/s per member", "B/s", slopes.FLEETS, sizes
     )
-    slopes.show("gossip, processor time us/s per node", "us/s", slopes.FLEETS, cpu)
+    slopes.show("gossip, processor time us/s per member", "us/s", slopes.FLEETS, cpu)
     slopes.show(
-        "living members dropped in 30 periods, 1% lost", "", slopes.FLEETS, drops
+        f"living members dropped in {STEADY_PERIODS} periods, {LOST_SHARE:.0%} lost",
+        "",
+        slopes.FLEETS,
+        drops,
     )
 
 
 def spread() -> None:
-    """Periods until news has reached a whole fleet, by the real state machine."""
-    rounds, gone, loud = [], [], []
+    """Show the periods until a drain notice or a failure is known everywhere."""
+    spread_periods, drop_periods, drop_bytes = [], [], []
     for fleet in slopes.FLEETS:
-        everyone = Fleet(fleet)
+        simulated = Fleet(fleet)
         notice = gossip.DrainNotice(ids.ServiceName("s"), ids.UpstreamId("u"), 1)
-        everyone.everyone[0].add_drain_notice(notice)
+        simulated.gossips[0].add_drain_notice(notice)
         steps = 0
-        # The worst case: only the periodic messages, none of the eager ones.
-        while not all(notice in g.repeats_by_drain_notice for g in everyone.everyone):
+        # The worst case: only periodic messages, none of those sent at once.
+        while not all(notice in g.repeats_by_drain_notice for g in simulated.gossips):
             steps += 1
-            everyone.period()
-        rounds.append(float(steps))
-        victim = everyone.everyone[-1]
-        everyone.dead.add(victim)
-        steps, before = 0, everyone.bytes
-        living = [g for g in everyone.everyone if g is not victim]
+            simulated.period()
+        spread_periods.append(float(steps))
+        victim = simulated.gossips[-1]
+        simulated.dead.add(victim)
+        steps, before = 0, simulated.bytes
+        living = [g for g in simulated.gossips if g is not victim]
         while any(victim.local.host in g.known_by_host for g in living):
             steps += 1
-            everyone.period()
-        gone.append(float(steps))
-        loud.append(2 * (everyone.bytes - before) / fleet / steps)
+            simulated.period()
+        drop_periods.append(float(steps))
+        drop_bytes.append(2 * (simulated.bytes - before) / fleet / steps)
     slopes.show(
-        "periods of 1 s until a mark is everywhere, no eager sends",
+        "periods of 1 s until a drain notice is everywhere, periodic messages only",
         "",
         slopes.FLEETS,
-        rounds,
+        spread_periods,
     )
     slopes.show(
-        "seconds until a killed entry is dropped everywhere", "s", slopes.FLEETS, gone
+        "seconds until a killed entry is dropped everywhere",
+        "s",
+        slopes.FLEETS,
+        drop_periods,
     )
-    slopes.show("gossip meanwhile, B/s per node", "B/s", slopes.FLEETS, loud)
+    slopes.show("gossip meanwhile, B/s per member", "B/s", slopes.FLEETS, drop_bytes)
