--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -62,7 +62,6 @@
         self.dead: set[gossip.Gossip] = set()
         self.now = slopes.NOW
         self.bytes = 0
-        self.messages = 0
         self.drops: list[tuple[float, ids.HostId]] = []
 
     def period(self) -> None:
@@ -80,7 +79,6 @@
 
     def _send(self, message: gossip.Message, target: gossip.Gossip) -> None:
         self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD_BYTES
-        self.messages += 1
         if target in self.dead or self.rng.random() < self.lost:
             return
         handled = target.handle(message, self.now)
