--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -4,7 +4,7 @@
 A pure state machine without input, output or clock. ``membership`` decides who
 is alive, ``probing`` whom to ask, ``drain_notices`` which upstreams leave; this
 module joins them into messages of bounded size and tells the caller what a
-message changed. News spreads in a number of periods that grows with the
+message changed. A change spreads in a number of periods that grows with the
 logarithm of the fleet.
 """
 
