--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -5,14 +5,14 @@
 from features.steps import kernel
 from features.support import hostile as hostile_bytes
 from spindlenotch import ids
-from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
+from spindlenotch.peers import documents, messages, peer_codec, peer_seal
 
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
 
-def news(number: int) -> gossip.MemberRecord:
+def news(number: int) -> messages.MemberRecord:
     """Return a member's news."""
-    return gossip.MemberRecord(
+    return messages.MemberRecord(
         ids.HostId(f"e{number}"),
         ids.ZoneName("z1"),
         ids.Incarnation("a" * 16),
@@ -20,7 +20,7 @@
         ids.Address("127.0.0.1:2"),
         1,
         number,
-        gossip.Status.READY,
+        messages.Status.READY,
         1,
     )
 
@@ -30,7 +30,7 @@
     document = documents.Document(
         documents.DocumentKind.BUNDLE, 1, ids.Digest("d"), b"placeholder"
     )
-    good = peer_codec.encode_frame(peer_seal.DocumentFrame(1, False, document))
+    good = peer_codec.encode_frame(messages.DocumentFrame(1, False, document))
     wire = peer_codec._schema.DocumentFrame.from_bytes_packed(good).as_builder()
     wire.body = body
     return bytes(wire.to_bytes_packed())
@@ -38,11 +38,11 @@
 
 @kernel.PROPERTIES.register("hostile peer bytes are refused and bounded")
 def hostile() -> None:
-    message = gossip.Message(news(0), 1, (), tuple(news(n) for n in range(4)))
+    message = messages.Message(news(0), 1, (), tuple(news(n) for n in range(4)))
     good = peer_codec.encode_gossip(message)
 
     hostile_bytes.check(peer_codec.CAPNP, good)
-    many = gossip.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
+    many = messages.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
     crowd = peer_codec.encode_gossip(many)
     assert peer_codec.decode_gossip(crowd) is peer_seal.CodecFault.GARBLED
     bomb = zlib.compress(b"0" * (8 * peer_seal.MAX_FRAME))
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -13,7 +13,7 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import gossip, peer_codec_msgpack, peer_seal, workload
+from spindlenotch.peers import messages, peer_codec_msgpack, peer_seal, workload
 from spindlenotch_platform import documents, speech
 
 NOW = kernel.NOW
@@ -37,9 +37,9 @@
     )
 
 
-def news(number: int) -> gossip.MemberRecord:
+def news(number: int) -> messages.MemberRecord:
     """Return a member's news."""
-    return gossip.MemberRecord(
+    return messages.MemberRecord(
         ids.HostId(f"g{number}"),
         ZONE,
         ids.Incarnation("a" * 16),
@@ -47,7 +47,7 @@
         ids.Address("127.0.0.1:2"),
         1,
         number,
-        gossip.Status.READY,
+        messages.Status.READY,
         1,
     )
 
@@ -184,15 +184,15 @@
         assert asking == 1
 
 
-def message() -> gossip.Message:
+def message() -> messages.Message:
     """Return a message with something in every field."""
     load = workload.LoadRecord(ids.UpstreamId("u"), 1, 2, 1.5, 0.25)
-    return gossip.Message(
+    return messages.Message(
         news(0),
         1,
         members=tuple(news(n) for n in range(4)),
         wants_reply=True,
-        suspicions=(gossip.Suspicion(ids.HostId("h"), 1, 2),),
+        suspicions=(messages.Suspicion(ids.HostId("h"), 1, 2),),
         reads_source=True,
         loads=(load,),
     )
@@ -204,7 +204,7 @@
     good = wire.encode_gossip(message())
 
     hostile_bytes.check(wire, good)
-    crowd = gossip.Message(news(0), 1, (), tuple(map(news, range(50))))
+    crowd = messages.Message(news(0), 1, (), tuple(map(news, range(50))))
     read = wire.decode_gossip(wire.encode_gossip(crowd))
     assert read is peer_seal.CodecFault.GARBLED
 
--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -7,7 +7,7 @@
 from features.steps import kernel
 from spindlenotch import clock, ids
 from spindlenotch.gateway import fleet as fleets, relay, settings, state as states
-from spindlenotch.peers import documents, gossip
+from spindlenotch.peers import documents, messages
 
 ME = "127.0.0.1:9001"
 SEED = "127.0.0.1:9002"
@@ -32,7 +32,7 @@
     return state, relay.Relay(state, fleets.Fleet(state))
 
 
-def peer(state: states.GatewayState, name: str, status: gossip.Status) -> None:
+def peer(state: states.GatewayState, name: str, status: messages.Status) -> None:
     """Let the gateway hear of a peer of its zone."""
     news = msgspec.structs.replace(
         state.gossip.local,
@@ -40,7 +40,7 @@
         peer_address=ids.Address(SEED),
         status=status,
     )
-    state.gossip.handle(gossip.Message(news, 1), state.clock.now())
+    state.gossip.handle(messages.Message(news, 1), state.clock.now())
 
 
 @kernel.PROPERTIES.register("one that starts gives a peer time to spare it the reading")
@@ -61,14 +61,14 @@
     assert isinstance(state.clock, clock.ManualClock)
     state.clock.advance(relay.FIRST_PEER_S + 0.01)
     for number in range(9):
-        peer(state, f"p{number}", gossip.Status.STARTING)
+        peer(state, f"p{number}", messages.Status.STARTING)
     readers = state.gossip.known_by_host.keys() | {state.config.host}
     chosen = passing._reading_host()
     assert chosen in readers
     if chosen != state.config.host:
         passing.reader_heard_at = state.clock.now()
         assert not passing.must_read()
-    peer(state, "ready", gossip.Status.READY)
+    peer(state, "ready", messages.Status.READY)
     state.clock.advance(relay.CHOSEN_S + 0.01)
     assert passing._reading_host() == "ready"
 
@@ -77,7 +77,7 @@
 def eager() -> None:
     for reads in (True, False):
         state, passing = gateway(SEED)
-        peer(state, "p", gossip.Status.READY)
+        peer(state, "p", messages.Status.READY)
         told: list[ids.Address] = []
         passing.fleet.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
             targets
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -14,7 +14,7 @@
 
 from features.support import world as worlds
 from spindlenotch import ids, metrics, ports
-from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
+from spindlenotch.peers import documents, messages, peer_codec, peer_seal
 
 STORE_TIMEOUT_S = 1.5
 WAY_S = 0.001
@@ -233,8 +233,8 @@
         self,
         sealer: peer_seal.Sealer,
         measured: metrics.Metrics,
-        on_gossip: abc.Callable[[gossip.Message], None],
-        on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document],
+        on_gossip: abc.Callable[[messages.Message], None],
+        on_frame: abc.Callable[[messages.DocumentFrame], documents.Document],
         *,
         network: Network,
         loop: worlds.WorldLoop,
@@ -256,7 +256,7 @@
         """Be gone."""
         self.network.link_by_address.pop(self.address, None)
 
-    def tell(self, message: gossip.Message, targets: list[ids.Address]) -> None:
+    def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message; some may get lost."""
         data = self.sealer.seal(peer_codec.encode_gossip(message))
         for target in targets:
@@ -275,16 +275,16 @@
     ) -> documents.Document | None:
         """Fetch a peer's document."""
         nothing = documents.Document(kind, 0, ids.Digest(""), b"")
-        return await self._call(target, peer_seal.DocumentFrame(1, True, nothing))
+        return await self._call(target, messages.DocumentFrame(1, True, nothing))
 
     async def push(
         self, target: ids.Address, document: documents.Document
     ) -> documents.Document | None:
         """Offer a document."""
-        return await self._call(target, peer_seal.DocumentFrame(1, False, document))
+        return await self._call(target, messages.DocumentFrame(1, False, document))
 
     async def _call(
-        self, target: ids.Address, frame: peer_seal.DocumentFrame
+        self, target: ids.Address, frame: messages.DocumentFrame
     ) -> documents.Document | None:
         world = self.network.world
         other = self.network.link_by_address.get(target)
@@ -303,7 +303,7 @@
         payload = self.sealer.open(data, peer_seal.MAX_DATAGRAM)
         assert isinstance(payload, bytes)
         message = peer_codec.decode_gossip(payload)
-        assert isinstance(message, gossip.Message)
+        assert isinstance(message, messages.Message)
         self.on_gossip(message)
 
     def _reaches(self, target: str) -> bool:
--- a/features/support/hostile.py
+++ b/features/support/hostile.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from spindlenotch.peers import gossip, peer_seal
+from spindlenotch.peers import messages, peer_seal
 
 SETTINGS = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=100
@@ -25,8 +25,8 @@
         flipped = good[:place] + bytes([value]) + good[place + 1 :]
         for data in (garbage, flipped, good[:place]):
             read = codec.decode_gossip(data)
-            assert isinstance(read, (gossip.Message, peer_seal.CodecFault))
+            assert isinstance(read, (messages.Message, peer_seal.CodecFault))
             whole = codec.decode_frame(data)
-            assert isinstance(whole, (peer_seal.DocumentFrame, peer_seal.CodecFault))
+            assert isinstance(whole, (messages.DocumentFrame, peer_seal.CodecFault))
 
     feed()
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -37,12 +37,12 @@
     state as states,
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
-from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.peers import documents, messages, peer_seal
 from spindlenotch_platform import boot, speech
 
 #: Numbers on the wire whose names are in log lines and in the state.
 NUMBERED = {
-    "statuses of members": gossip.Status,
+    "statuses of members": messages.Status,
     "kinds of documents": documents.DocumentKind,
 }
 
@@ -312,8 +312,8 @@
     snapshot = sources.Snapshot(5, recorded_samples.configuration(), by_id, bad)
     state.on_change = lambda revision, *, swept=False: None
     state.apply_snapshot(snapshot)
-    news = recorded_samples.member(2, gossip.Status.READY)
-    state.gossip.handle(gossip.Message(news, 1), state.clock.now())
+    news = recorded_samples.member(2, messages.Status.READY)
+    state.gossip.handle(messages.Message(news, 1), state.clock.now())
     return state, passing
 
 
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -30,7 +30,7 @@
 )
 from spindlenotch.peers import (
     documents,
-    gossip,
+    messages,
     peer_codec,
     peer_codec_msgpack,
     peer_link,
@@ -52,9 +52,9 @@
 OTHER = ids.Address("127.0.0.2:9001")
 
 
-def member(number: int, status: gossip.Status) -> gossip.MemberRecord:
+def member(number: int, status: messages.Status) -> messages.MemberRecord:
     """Return the news of one member."""
-    return gossip.MemberRecord(
+    return messages.MemberRecord(
         host=ids.HostId(f"host-{number}"),
         zone=ids.ZoneName(f"zone-{number}"),
         incarnation=ids.Incarnation(f"{number:016x}"),
@@ -69,24 +69,27 @@
     )
 
 
-def message() -> gossip.Message:
+def message() -> messages.Message:
     """Return a gossip message that has everything."""
-    return gossip.Message(
-        sender=member(1, gossip.Status.READY),
+    return messages.Message(
+        sender=member(1, messages.Status.READY),
         sequence=4711,
         documents=(
-            gossip.DocumentVersion(
+            messages.DocumentVersion(
                 documents.DocumentKind.BUNDLE, 12, ids.Digest("ab12")
             ),
-            gossip.DocumentVersion(
+            messages.DocumentVersion(
                 kind=documents.DocumentKind.HOSTS,
                 version=25_600,
                 digest=ids.Digest("cd34"),
             ),
         ),
-        members=(member(2, gossip.Status.STARTING), member(3, gossip.Status.LEAVING)),
+        members=(
+            member(2, messages.Status.STARTING),
+            member(3, messages.Status.LEAVING),
+        ),
         drain_notices=(
-            gossip.DrainNotice(
+            messages.DrainNotice(
                 service=ids.ServiceName("core"),
                 upstream=ids.UpstreamId("up-7"),
                 generation=3,
@@ -95,7 +98,7 @@
         wants_reply=True,
         wants_members=True,
         suspicions=(
-            gossip.Suspicion(
+            messages.Suspicion(
                 host=ids.HostId("host-9"), epoch=1_700_000_000_009, heartbeat=49
             ),
         ),
@@ -112,9 +115,9 @@
     )
 
 
-def bare_message() -> gossip.Message:
+def bare_message() -> messages.Message:
     """Return what a message with the required fields alone is read as."""
-    sender = gossip.MemberRecord(
+    sender = messages.MemberRecord(
         host=ids.HostId("h"),
         zone=ids.ZoneName("z"),
         incarnation=ids.Incarnation("i"),
@@ -122,12 +125,12 @@
         peer_address=ids.Address("p"),
         epoch=1,
         heartbeat=2,
-        status=gossip.Status.READY,
+        status=messages.Status.READY,
         configuration_version=3,
         capacity=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
         demand=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
     )
-    return gossip.Message(
+    return messages.Message(
         sender=sender,
         sequence=5,
         documents=(),
@@ -141,9 +144,9 @@
     )
 
 
-def frame(kind: documents.DocumentKind, body: bytes) -> peer_seal.DocumentFrame:
+def frame(kind: documents.DocumentKind, body: bytes) -> messages.DocumentFrame:
     """Return a document frame."""
-    return peer_seal.DocumentFrame(
+    return messages.DocumentFrame(
         correlation=815,
         wanted=True,
         document=documents.Document(
@@ -381,7 +384,7 @@
 
 def open_datagram(data: bytes) -> object:
     """Return what a link that knows the key hears in a datagram."""
-    heard: list[gossip.Message] = []
+    heard: list[messages.Message] = []
     link(heard.append).datagram_received(data, None)
     return heard[0] if heard else None
 
@@ -398,7 +401,7 @@
     return run(read())
 
 
-def link(on_gossip: abc.Callable[[gossip.Message], None]) -> peer_link.PeerLink:
+def link(on_gossip: abc.Callable[[messages.Message], None]) -> peer_link.PeerLink:
     """Return a link whose first key is another one, without any socket."""
     return peer_link.PeerLink(
         peer_seal.Sealer((b"a newer key in front", KEY)),
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -30,7 +30,7 @@
 )
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes
-from spindlenotch.peers import documents, peer_seal
+from spindlenotch.peers import documents, messages
 
 PEER_KEY = b"a key for the peers"
 ZONES = ("z1", "z2", "z3")
@@ -249,7 +249,7 @@
             envelope, frozenset({SEED_KEYS[1]}), selection.POLICIES.names()
         )
         assert isinstance(opened, bundle_seal.Opened)
-        frame = peer_seal.DocumentFrame(1, False, entry_state.document_of(opened))
+        frame = messages.DocumentFrame(1, False, entry_state.document_of(opened))
         self.world.deliver(
             entry.loop, fakes.WAY_S, lambda: entry.control._on_frame(frame) and None
         )
--- a/spindlenotch/entry/caller_port.py
+++ b/spindlenotch/entry/caller_port.py
@@ -18,7 +18,7 @@
 from spindlenotch.entry import admit, entry_state, front, once, once_path, texts
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes, upstreams
-from spindlenotch.peers import gossip
+from spindlenotch.peers import messages
 
 #: Bodies up to this size are read whole, so that they can be sent again.
 WHOLE_BODY = 64 * 1024
@@ -104,7 +104,7 @@
         ready = [
             api.NamedEntry(k.record.address, k.record.zone)
             for k in state.gossip.known_by_host.values()
-            if k.record.status is gossip.Status.READY and not k.suspected
+            if k.record.status is messages.Status.READY and not k.suspected
         ]
         if state.readiness.handed_out or not ready:
             ready.append(api.NamedEntry(state.gossip.local.address, state.config.zone))
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -13,7 +13,14 @@
 from spindlenotch import events, ids, ports
 from spindlenotch.entry import entry_state, readiness
 from spindlenotch.kernel import backoff as backoffs, hostlist, rendezvous
-from spindlenotch.peers import documents, gossip, peer_codec, peer_link, peer_seal
+from spindlenotch.peers import (
+    documents,
+    gossip,
+    messages,
+    peer_codec,
+    peer_link,
+    peer_seal,
+)
 
 BUNDLE_KEY = "bundle"
 READERS_PER_ZONE = 2
@@ -150,7 +157,7 @@
         targets = self.state.gossip.random_targets(gossip.FANOUT)
         self.link.tell(self.state.gossip.compose(), targets)
 
-    def _on_gossip(self, message: gossip.Message) -> None:
+    def _on_gossip(self, message: messages.Message) -> None:
         state = self.state
         handled = state.gossip.handle(message, state.clock.now())
         if handled.reply is not None:
@@ -179,7 +186,7 @@
         if document is not None and document.kind is kind:
             self._offer(document)
 
-    def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
+    def _on_frame(self, frame: messages.DocumentFrame) -> documents.Document:
         kind = frame.document.kind
         if not frame.wanted:
             self._offer(frame.document)
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -17,7 +17,7 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import once, readiness, settings
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
-from spindlenotch.peers import documents, gossip
+from spindlenotch.peers import documents, gossip, messages
 
 _EVENT_BY_STATE = {
     upstreams.State.ACTIVE: events.Event.UPSTREAM_BACK,
@@ -82,13 +82,13 @@
             return self._offer_bundle(document, authoritative)
         return self._offer_hosts(document)
 
-    def add_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> bool:
+    def add_drain_notice(self, notice: messages.DrainNotice, reason: str) -> bool:
         """Give an upstream no new work; tell whether that was news."""
         fresh = self.gossip.add_drain_notice(notice)
         self.apply_drain_notice(notice, reason)
         return fresh
 
-    def apply_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> None:
+    def apply_drain_notice(self, notice: messages.DrainNotice, reason: str) -> None:
         """Let the service's pool heed a mark that gossip already holds."""
         service = self.balancer_by_service.get(notice.service)
         if service is not None:
@@ -134,11 +134,11 @@
 
     def publish_status(self) -> None:
         """Put phase and bundle version into what peers are told."""
-        status = gossip.Status.STARTING
+        status = messages.Status.STARTING
         if self.readiness.phase is readiness.Phase.READY:
-            status = gossip.Status.READY
+            status = messages.Status.READY
         elif self.readiness.phase is readiness.Phase.LEAVING:
-            status = gossip.Status.LEAVING
+            status = messages.Status.LEAVING
         version = self.fence.version(documents.DocumentKind.BUNDLE)
         self.gossip.set_status(status, version)
 
@@ -221,8 +221,8 @@
             self.apply_drain_notice(notice, "marked earlier")
         self.gossip.forget_drain_notices(stale)
 
-    def _own_record(self) -> gossip.MemberRecord:
-        return gossip.MemberRecord(
+    def _own_record(self) -> messages.MemberRecord:
+        return messages.MemberRecord(
             host=self.config.host,
             zone=self.config.zone,
             incarnation=self.incarnation,
@@ -230,7 +230,7 @@
             peer_address=self.config.peer_listen,
             epoch=int(self.clock.unix_s() * 1000),
             heartbeat=1,
-            status=gossip.Status.STARTING,
+            status=messages.Status.STARTING,
             configuration_version=0,
         )
 
@@ -245,7 +245,7 @@
     ) -> bool:
         """Mark an upstream that says itself that it is leaving."""
         return self.add_drain_notice(
-            gossip.DrainNotice(service, spec.id, spec.generation), reason
+            messages.DrainNotice(service, spec.id, spec.generation), reason
         )
 
 
@@ -259,5 +259,5 @@
     )
 
 
-def _records_of(document: documents.Document) -> gossip.DocumentVersion:
-    return gossip.DocumentVersion(document.kind, document.version, document.digest)
+def _records_of(document: documents.Document) -> messages.DocumentVersion:
+    return messages.DocumentVersion(document.kind, document.version, document.digest)
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -15,6 +15,7 @@
 from spindlenotch.peers import (
     documents,
     gossip,
+    messages,
     peer_codec_msgpack,
     peer_link,
     peer_seal,
@@ -36,9 +37,11 @@
         self.state = state
         self._entries_key: tuple[int, states.Phase, int] | None = None
         self._entry_zones: dict[ids.HostId, ids.ZoneName] = {}
-        self.on_message: abc.Callable[[gossip.Message, gossip.Handled], None] = _ignore
-        self.on_loads: abc.Callable[[gossip.Message], None] = _no_loads
-        self.on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document] = (
+        self.on_message: abc.Callable[[messages.Message, gossip.Handled], None] = (
+            _ignore
+        )
+        self.on_loads: abc.Callable[[messages.Message], None] = _no_loads
+        self.on_frame: abc.Callable[[messages.DocumentFrame], documents.Document] = (
             _nothing_held
         )
         self.link = peer_link.PeerLink(
@@ -136,7 +139,7 @@
         since a fleet that starts is not ready before somebody has read.
         """
         starting: dict[ids.ZoneName, list[ids.HostId]] = {}
-        for one in self._records_of(gossip.Status.STARTING):
+        for one in self._records_of(messages.Status.STARTING):
             starting.setdefault(one.zone, []).append(one.host)
         return {**starting, **self.standing_by()}
 
@@ -164,11 +167,11 @@
             one.peer_address for one in introductions if one.peer_address not in met
         ]
 
-    def _ready_records(self) -> list[gossip.MemberRecord]:
+    def _ready_records(self) -> list[messages.MemberRecord]:
         """Return the news of the gateways that are believed to serve."""
-        return self._records_of(gossip.Status.READY)
+        return self._records_of(messages.Status.READY)
 
-    def _records_of(self, status: gossip.Status) -> list[gossip.MemberRecord]:
+    def _records_of(self, status: messages.Status) -> list[messages.MemberRecord]:
         """Return the news of the gateways that are believed to be in ``status``."""
         state = self.state
         found = [
@@ -184,7 +187,7 @@
             else found
         )
 
-    def _on_gossip(self, message: gossip.Message) -> None:
+    def _on_gossip(self, message: messages.Message) -> None:
         handled = self.state.gossip.handle(message, self.state.clock.now())
         if handled.reply is not None:
             self.link.tell(handled.reply, [message.sender.peer_address])
@@ -199,14 +202,14 @@
             )
 
 
-def _ignore(message: gossip.Message, handled: gossip.Handled) -> None:
+def _ignore(message: messages.Message, handled: gossip.Handled) -> None:
     """Stand in for a listener that is not set."""
 
 
-def _no_loads(message: gossip.Message) -> None:
+def _no_loads(message: messages.Message) -> None:
     """Stand in for a listener that is not set."""
 
 
-def _nothing_held(frame: peer_seal.DocumentFrame) -> documents.Document:
+def _nothing_held(frame: messages.DocumentFrame) -> documents.Document:
     """Stand in for a holder of documents that is not set."""
     return documents.Document(frame.document.kind, 0, ids.Digest(""), b"")
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -15,7 +15,7 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.gateway import fleet as fleets, state as states
 from spindlenotch.kernel import ownership, rendezvous, upstreams
-from spindlenotch.peers import gossip, workload
+from spindlenotch.peers import messages, workload
 
 PROBE_TIMEOUT_S = 0.3
 IDLE_S = 0.25
@@ -67,7 +67,7 @@
                 # Neither probes nor is told: most of a large fleet.
                 await asyncio.sleep(IDLE_S)
 
-    def take(self, message: gossip.Message) -> None:
+    def take(self, message: messages.Message) -> None:
         """Take in what another entry heard."""
         now = self.state.clock.now()
         for load in message.loads:
@@ -89,9 +89,9 @@
             for upstream in service.pool.usable_order:
                 if self._speaks_for(upstream, zone_by_host):
                     self._add_news(news, upstream, now)
-        for start in range(0, len(news), gossip.LOADS_PER_MESSAGE):
-            loads = tuple(news[start : start + gossip.LOADS_PER_MESSAGE])
-            message = gossip.Message(
+        for start in range(0, len(news), messages.LOADS_PER_MESSAGE):
+            loads = tuple(news[start : start + messages.LOADS_PER_MESSAGE])
+            message = messages.Message(
                 self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -20,7 +20,7 @@
     state as states,
 )
 from spindlenotch.kernel import ownership, rendezvous
-from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.peers import documents, gossip, messages
 
 DUTY = "source"
 #: A follower asks its reader this often, and reads for itself when it has
@@ -109,7 +109,7 @@
             version = self.fence.version(kind) + 1
         self._offer_own(kind, version, state.listing.listed(state.clock.now()))
 
-    def _reader(self) -> gossip.MemberRecord | None:
+    def _reader(self) -> messages.MemberRecord | None:
         """Return the reader of this zone, or None where it is this gateway."""
         host = self._reading_host()
         if host is None or host == self.state.config.host:
@@ -142,7 +142,7 @@
         if self.fence.offer(document) is not documents.Offer.APPLIED:
             return
         self.state.gossip.advertise(
-            gossip.DocumentVersion(document.kind, document.version, document.digest)
+            messages.DocumentVersion(document.kind, document.version, document.digest)
         )
         self._spawn(self._spread())
 
@@ -169,7 +169,7 @@
             if known.record.zone == self.state.config.zone
         ]
 
-    def _on_message(self, message: gossip.Message, handled: gossip.Handled) -> None:
+    def _on_message(self, message: messages.Message, handled: gossip.Handled) -> None:
         sender = message.sender
         if message.reads_source and sender.zone == self.state.config.zone:
             reader = self._reader()
@@ -210,7 +210,7 @@
             return
         self._offer(document)
 
-    def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
+    def _on_frame(self, frame: messages.DocumentFrame) -> documents.Document:
         kind = frame.document.kind
         nothing = documents.Document(kind, 0, ids.Digest(""), b"")
         return self.fence.document_by_kind.get(kind, nothing)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -23,7 +23,7 @@
     sources,
 )
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import gossip
+from spindlenotch.peers import gossip, messages
 
 POLICY = selection_paced.NAME
 #: What a request is taken to need before any was measured, as a share of the
@@ -207,9 +207,9 @@
     def publish_status(self) -> None:
         """Put this gateway's phase and version into its news for peers."""
         status = {
-            Phase.STARTING: gossip.Status.STARTING,
-            Phase.SERVING: gossip.Status.READY,
-            Phase.LEAVING: gossip.Status.LEAVING,
+            Phase.STARTING: messages.Status.STARTING,
+            Phase.SERVING: messages.Status.READY,
+            Phase.LEAVING: messages.Status.LEAVING,
         }[self.phase]
         self.gossip.set_status(status, self.version)
 
@@ -268,8 +268,8 @@
         )
         return made
 
-    def _own_record(self) -> gossip.MemberRecord:
-        return gossip.MemberRecord(
+    def _own_record(self) -> messages.MemberRecord:
+        return messages.MemberRecord(
             self.config.host,
             self.config.zone,
             ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
@@ -277,7 +277,7 @@
             self.config.peer_listen,
             int(self.clock.unix_s() * 1000),
             0,
-            gossip.Status.STARTING,
+            messages.Status.STARTING,
             0,
             entry_choice.capacity_of(self.config.cores, self.config.link_mbps),
         )
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -29,7 +29,7 @@
     upstreams,
     waiting,
 )
-from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
+from spindlenotch.peers import documents, gossip, messages, peer_codec, peer_seal
 from tools import measure_gossip, slopes
 
 
@@ -242,7 +242,7 @@
     document = documents.Document(
         documents.DocumentKind.BUNDLE, 1, ids.Digest("a" * 64), body
     )
-    frame = peer_seal.DocumentFrame(1, False, document)
+    frame = messages.DocumentFrame(1, False, document)
     return len(peer_codec.CAPNP.encode_frame(frame)) + peer_seal.MAC_BYTES
 
 
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -8,7 +8,7 @@
 import random
 
 from spindlenotch import ids
-from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
+from spindlenotch.peers import documents, gossip, messages, peer_codec, peer_seal
 from tools import slopes
 
 #: Bytes around a message: authentication code, UDP and IP headers.
@@ -19,9 +19,9 @@
 STEADY_PERIODS = 30
 
 
-def member(number: int) -> gossip.MemberRecord:
+def member(number: int) -> messages.MemberRecord:
     """Return the record of a member."""
-    return gossip.MemberRecord(
+    return messages.MemberRecord(
         ids.HostId(f"entry-{number:04}"),
         ids.ZoneName(f"zone-{number % 5}"),
         ids.Incarnation(f"{number:016x}"),
@@ -29,7 +29,7 @@
         ids.Address(f"10.0.{number // 250}.{number % 250}:8081"),
         1_700_000_000_000,
         1000 + number,
-        gossip.Status.READY,
+        messages.Status.READY,
         12,
     )
 
@@ -43,10 +43,12 @@
                 member(other), slopes.NOW
             )
     state.advertise(
-        gossip.DocumentVersion(documents.DocumentKind.BUNDLE, 12, ids.Digest("a" * 64))
+        messages.DocumentVersion(
+            documents.DocumentKind.BUNDLE, 12, ids.Digest("a" * 64)
+        )
     )
     state.advertise(
-        gossip.DocumentVersion(documents.DocumentKind.HOSTS, 99, ids.Digest(""))
+        messages.DocumentVersion(documents.DocumentKind.HOSTS, 99, ids.Digest(""))
     )
     return state
 
@@ -77,7 +79,7 @@
             for target in targets:
                 self._send(message, self.by_address[target])
 
-    def _send(self, message: gossip.Message, target: gossip.Gossip) -> None:
+    def _send(self, message: messages.Message, target: gossip.Gossip) -> None:
         self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD_BYTES
         if target in self.dead or self.rng.random() < self.lost:
             return
@@ -111,7 +113,7 @@
                 payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
                 assert isinstance(payload, bytes)
                 received = peer_codec.CAPNP.decode_gossip(payload)
-                assert isinstance(received, gossip.Message)
+                assert isinstance(received, messages.Message)
                 reply = g.handle(received, slopes.NOW).reply
                 assert reply is not None
                 sealer.seal(peer_codec.CAPNP.encode_gossip(reply))
@@ -135,7 +137,7 @@
     spread_periods, drop_periods, drop_bytes = [], [], []
     for fleet in slopes.FLEETS:
         simulated = Fleet(fleet)
-        notice = gossip.DrainNotice(ids.ServiceName("s"), ids.UpstreamId("u"), 1)
+        notice = messages.DrainNotice(ids.ServiceName("s"), ids.UpstreamId("u"), 1)
         simulated.gossips[0].add_drain_notice(notice)
         steps = 0
         # The worst case: only periodic messages, none of those sent at once.
