--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -33,14 +33,7 @@
 # The names under which callers use what has moved to other modules.
 FANOUT = probing.FANOUT
 PERIOD_S = timing.PERIOD_S
-LOADS_PER_MESSAGE = messages.LOADS_PER_MESSAGE
 Timing = timing.Timing
-Status = messages.Status
-MemberRecord = messages.MemberRecord
-DrainNotice = messages.DrainNotice
-DocumentVersion = messages.DocumentVersion
-Suspicion = messages.Suspicion
-Message = messages.Message
 Peer = membership.Peer
 
 
--- a/spindlenotch/peers/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -9,14 +9,13 @@
 import hashlib
 import hmac
 
-from spindlenotch.peers import messages, wire_format
+from spindlenotch.peers import wire_format
 
 #: Bytes of the authentication code: half of HMAC-SHA-256, the least that
 #: RFC 2104, section 5, recommends.
 MAC_BYTES = 16
 
 # The names under which callers use what has moved to other modules.
-DocumentFrame = messages.DocumentFrame
 CodecFault = wire_format.CodecFault
 Codec = wire_format.Codec
 MAX_DATAGRAM = wire_format.MAX_DATAGRAM_BYTES
