--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -15,11 +15,12 @@
 from spindlenotch.kernel import backoff as backoffs, hostlist, rendezvous
 from spindlenotch.peers import (
     documents,
-    gossip,
     messages,
     peer_codec,
     peer_link,
     peer_seal,
+    probing,
+    timing,
 )
 
 BUNDLE_KEY = "bundle"
@@ -127,7 +128,7 @@
                 state.members_changed()
             state.follow_day()
             state.once.sweep(state.clock.now())
-            await asyncio.sleep(gossip.PERIOD_S * state.rng.uniform(0.9, 1.1))
+            await asyncio.sleep(timing.PERIOD_S * state.rng.uniform(0.9, 1.1))
 
     async def _observe(self) -> None:
         while True:
@@ -154,7 +155,7 @@
 
     def _tell(self) -> None:
         """Pass urgent news to a few members at once."""
-        targets = self.state.gossip.random_targets(gossip.FANOUT)
+        targets = self.state.gossip.random_targets(probing.FANOUT)
         self.link.tell(self.state.gossip.compose(), targets)
 
     def _on_gossip(self, message: messages.Message) -> None:
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -13,7 +13,7 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import entry_state
 from spindlenotch.kernel import pool, upstreams
-from spindlenotch.peers import gossip
+from spindlenotch.peers import membership
 
 Dump = dict[str, typing.Any]
 
@@ -84,7 +84,7 @@
     }
 
 
-def _peer(known: gossip.Peer, now: ids.Instant) -> Dump:
+def _peer(known: membership.Peer, now: ids.Instant) -> Dump:
     return {
         "host": known.record.host,
         "zone": known.record.zone,
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -20,7 +20,7 @@
     state as states,
 )
 from spindlenotch.kernel import ownership, rendezvous
-from spindlenotch.peers import documents, gossip, messages
+from spindlenotch.peers import documents, gossip, messages, probing
 
 DUTY = "source"
 #: A follower asks its reader this often, and reads for itself when it has
@@ -157,7 +157,7 @@
         for _ in range(EAGER_ROUNDS):
             if not state.reads_source:
                 return
-            targets = set(state.gossip.random_targets(gossip.FANOUT))
+            targets = set(state.gossip.random_targets(probing.FANOUT))
             targets.update(self._zone_addresses())
             self.fleet.link.tell(state.gossip.compose(), sorted(targets))
             await asyncio.sleep(EAGER_PAUSE_S)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -23,7 +23,7 @@
     sources,
 )
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import gossip, messages
+from spindlenotch.peers import gossip, messages, timing
 
 POLICY = selection_paced.NAME
 #: What a request is taken to need before any was measured, as a share of the
@@ -39,7 +39,7 @@
 
 
 #: Callers fail over by themselves within a second; the fleet is a bit slower.
-GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
+GOSSIP_TIMING = timing.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
 
 class Phase(enum.Enum):
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -30,12 +30,6 @@
 #: still. Chosen, not measured.
 STOOD_STILL_PERIODS = 3
 
-# The names under which callers use what has moved to other modules.
-FANOUT = probing.FANOUT
-PERIOD_S = timing.PERIOD_S
-Timing = timing.Timing
-Peer = membership.Peer
-
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Handled:
@@ -145,7 +139,7 @@
         known = self.known_by_host
         hosts = self.probes.next_hosts(known, now)
         addresses = [known[host].record.peer_address for host in hosts]
-        if len(known) < max(FANOUT, self.expected_members):
+        if len(known) < max(probing.FANOUT, self.expected_members):
             excluded = (*addresses, self.local.peer_address)
             unused = [seed for seed in seeds if seed not in excluded]
             addresses += self.rng.sample(unused, min(1, len(unused)))
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -8,7 +8,16 @@
 import random
 
 from spindlenotch import ids
-from spindlenotch.peers import documents, gossip, messages, peer_codec, peer_seal
+from spindlenotch.peers import (
+    documents,
+    gossip,
+    membership,
+    messages,
+    peer_codec,
+    peer_seal,
+    probing,
+    timing,
+)
 from tools import slopes
 
 #: Bytes around a message: authentication code, UDP and IP headers.
@@ -39,7 +48,7 @@
     state = gossip.Gossip(member(number), random.Random(number))
     for other in range(fleet):
         if other != number:
-            state.known_by_host[member(other).host] = gossip.Peer(
+            state.known_by_host[member(other).host] = membership.Peer(
                 member(other), slopes.NOW
             )
     state.advertise(
@@ -68,7 +77,7 @@
 
     def period(self) -> None:
         """Let every living member probe, and those that are probed reply."""
-        self.now = ids.later(self.now, gossip.PERIOD_S)
+        self.now = ids.later(self.now, timing.PERIOD_S)
         for sender in self.gossips:
             if sender in self.dead:
                 continue
@@ -109,7 +118,7 @@
             g.targets([], slopes.NOW)
             g.probes.cancel()
             sealer.seal(peer_codec.CAPNP.encode_gossip(g.compose(wants_reply=True)))
-            for _ in range(2 * gossip.FANOUT):
+            for _ in range(2 * probing.FANOUT):
                 payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
                 assert isinstance(payload, bytes)
                 received = peer_codec.CAPNP.decode_gossip(payload)
