--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -5,7 +5,7 @@
 from features.steps import kernel
 from features.support import hostile as hostile_bytes
 from spindlenotch import ids
-from spindlenotch.peers import documents, messages, peer_codec, peer_seal
+from spindlenotch.peers import documents, messages, peer_codec, peer_seal, wire_format
 
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
@@ -44,12 +44,12 @@
     hostile_bytes.check(peer_codec.CAPNP, good)
     many = messages.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
     crowd = peer_codec.encode_gossip(many)
-    assert peer_codec.decode_gossip(crowd) is peer_seal.CodecFault.GARBLED
-    bomb = zlib.compress(b"0" * (8 * peer_seal.MAX_FRAME))
+    assert peer_codec.decode_gossip(crowd) is wire_format.CodecFault.GARBLED
+    bomb = zlib.compress(b"0" * (8 * wire_format.MAX_FRAME_BYTES))
     assert len(bomb) < 100_000
-    assert peer_codec.decode_frame(frame(bomb)) is peer_seal.CodecFault.GARBLED
+    assert peer_codec.decode_frame(frame(bomb)) is wire_format.CodecFault.GARBLED
     cut = zlib.compress(b"a body")[:-3]
-    assert peer_codec.decode_frame(frame(cut)) is peer_seal.CodecFault.GARBLED
+    assert peer_codec.decode_frame(frame(cut)) is wire_format.CodecFault.GARBLED
 
 
 @kernel.PROPERTIES.register("peer keys can be rotated")
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -13,7 +13,7 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import messages, peer_codec_msgpack, peer_seal, workload
+from spindlenotch.peers import messages, peer_codec_msgpack, wire_format, workload
 from spindlenotch_platform import documents, speech
 
 NOW = kernel.NOW
@@ -206,7 +206,7 @@
     hostile_bytes.check(wire, good)
     crowd = messages.Message(news(0), 1, (), tuple(map(news, range(50))))
     read = wire.decode_gossip(wire.encode_gossip(crowd))
-    assert read is peer_seal.CodecFault.GARBLED
+    assert read is wire_format.CodecFault.GARBLED
 
 
 @kernel.PROPERTIES.register("peer messages come out as they went in")
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -14,7 +14,7 @@
 
 from features.support import world as worlds
 from spindlenotch import ids, metrics, ports
-from spindlenotch.peers import documents, messages, peer_codec, peer_seal
+from spindlenotch.peers import documents, messages, peer_codec, peer_seal, wire_format
 
 STORE_TIMEOUT_S = 1.5
 WAY_S = 0.001
@@ -300,7 +300,7 @@
         return document if document.version else None
 
     def _heard(self, data: bytes) -> None:
-        payload = self.sealer.open(data, peer_seal.MAX_DATAGRAM)
+        payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
         assert isinstance(payload, bytes)
         message = peer_codec.decode_gossip(payload)
         assert isinstance(message, messages.Message)
--- a/features/support/hostile.py
+++ b/features/support/hostile.py
@@ -5,14 +5,14 @@
 import hypothesis
 from hypothesis import strategies
 
-from spindlenotch.peers import messages, peer_seal
+from spindlenotch.peers import messages, wire_format
 
 SETTINGS = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=100
 )
 
 
-def check(codec: peer_seal.Codec, good: bytes) -> None:
+def check(codec: wire_format.Codec, good: bytes) -> None:
     """Feed garbage, and ``good`` with a byte changed or cut off, to ``codec``."""
 
     @SETTINGS
@@ -25,8 +25,8 @@
         flipped = good[:place] + bytes([value]) + good[place + 1 :]
         for data in (garbage, flipped, good[:place]):
             read = codec.decode_gossip(data)
-            assert isinstance(read, (messages.Message, peer_seal.CodecFault))
+            assert isinstance(read, (messages.Message, wire_format.CodecFault))
             whole = codec.decode_frame(data)
-            assert isinstance(whole, (messages.DocumentFrame, peer_seal.CodecFault))
+            assert isinstance(whole, (messages.DocumentFrame, wire_format.CodecFault))
 
     feed()
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -37,7 +37,7 @@
     state as states,
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
-from spindlenotch.peers import documents, messages, peer_seal
+from spindlenotch.peers import documents, messages, wire_format
 from spindlenotch_platform import boot, speech
 
 #: Numbers on the wire whose names are in log lines and in the state.
@@ -453,7 +453,7 @@
         "phases of an entry": readiness.Phase,
         "phases of a gateway": states.Phase,
         "offers of documents": documents.Offer,
-        "faults of peers' bytes": peer_seal.CodecFault,
+        "faults of peers' bytes": wire_format.CodecFault,
         "faults of envelopes": bundle_seal.SealFault,
         "verdicts of publishing": publishing.Verdict,
         "faults of claims": claims.ClaimFault,
--- a/spindlenotch/peers/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -15,12 +15,6 @@
 #: RFC 2104, section 5, recommends.
 MAC_BYTES = 16
 
-# The names under which callers use what has moved to other modules.
-CodecFault = wire_format.CodecFault
-Codec = wire_format.Codec
-MAX_DATAGRAM = wire_format.MAX_DATAGRAM_BYTES
-MAX_FRAME = wire_format.MAX_FRAME_BYTES
-
 
 class Sealer:
     """
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -17,6 +17,7 @@
     peer_seal,
     probing,
     timing,
+    wire_format,
 )
 from tools import slopes
 
@@ -119,7 +120,7 @@
             g.probes.cancel()
             sealer.seal(peer_codec.CAPNP.encode_gossip(g.compose(wants_reply=True)))
             for _ in range(2 * probing.FANOUT):
-                payload = sealer.open(d, peer_seal.MAX_DATAGRAM)
+                payload = sealer.open(d, wire_format.MAX_DATAGRAM_BYTES)
                 assert isinstance(payload, bytes)
                 received = peer_codec.CAPNP.decode_gossip(payload)
                 assert isinstance(received, messages.Message)
