--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -258,7 +258,7 @@
 
     def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message; some may get lost."""
-        data = self.sealer.seal(peer_codec.encode_gossip(message))
+        data = self.sealer.seal(peer_codec.CAPNP.encode_gossip(message))
         for target in targets:
             other = self.network.link_by_address.get(target)
             lost = self.network.world.rng.random() < self.network.lose_share
@@ -302,7 +302,7 @@
     def _heard(self, data: bytes) -> None:
         payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
         assert isinstance(payload, bytes)
-        message = peer_codec.decode_gossip(payload)
+        message = peer_codec.CAPNP.decode_gossip(payload)
         assert isinstance(message, messages.Message)
         self.on_gossip(message)
 
--- a/spindlenotch/peers/peer_codec.py
+++ b/spindlenotch/peers/peer_codec.py
@@ -258,9 +258,3 @@
 
 
 CAPNP: wire_format.Codec = CapnpCodec()
-
-# The names under which callers use the codec.
-encode_gossip = CAPNP.encode_gossip
-decode_gossip = CAPNP.decode_gossip
-encode_frame = CAPNP.encode_frame
-decode_frame = CAPNP.decode_frame
