--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -5,7 +5,7 @@
 from features.steps import kernel
 from features.support import hostile as hostile_bytes
 from spindlenotch import ids
-from spindlenotch.peers import documents, messages, peer_codec, peer_seal, wire_format
+from spindlenotch.peers import capnp_codec, documents, messages, peer_seal, wire_format
 
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
@@ -30,8 +30,8 @@
     document = documents.Document(
         documents.DocumentKind.BUNDLE, 1, ids.Digest("d"), b"placeholder"
     )
-    good = peer_codec.CAPNP.encode_frame(messages.DocumentFrame(1, False, document))
-    wire = peer_codec._schema.DocumentFrame.from_bytes_packed(good).as_builder()
+    good = capnp_codec.CAPNP.encode_frame(messages.DocumentFrame(1, False, document))
+    wire = capnp_codec._schema.DocumentFrame.from_bytes_packed(good).as_builder()
     wire.body = body
     return bytes(wire.to_bytes_packed())
 
@@ -39,17 +39,17 @@
 @kernel.PROPERTIES.register("hostile peer bytes are refused and bounded")
 def hostile() -> None:
     message = messages.Message(news(0), 1, (), tuple(news(n) for n in range(4)))
-    good = peer_codec.CAPNP.encode_gossip(message)
+    good = capnp_codec.CAPNP.encode_gossip(message)
 
-    hostile_bytes.check(peer_codec.CAPNP, good)
+    hostile_bytes.check(capnp_codec.CAPNP, good)
     many = messages.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
-    crowd = peer_codec.CAPNP.encode_gossip(many)
-    assert peer_codec.CAPNP.decode_gossip(crowd) is wire_format.CodecFault.GARBLED
+    crowd = capnp_codec.CAPNP.encode_gossip(many)
+    assert capnp_codec.CAPNP.decode_gossip(crowd) is wire_format.CodecFault.GARBLED
     bomb = zlib.compress(b"0" * (8 * wire_format.MAX_FRAME_BYTES))
     assert len(bomb) < 100_000
-    assert peer_codec.CAPNP.decode_frame(frame(bomb)) is wire_format.CodecFault.GARBLED
+    assert capnp_codec.CAPNP.decode_frame(frame(bomb)) is wire_format.CodecFault.GARBLED
     cut = zlib.compress(b"a body")[:-3]
-    assert peer_codec.CAPNP.decode_frame(frame(cut)) is wire_format.CodecFault.GARBLED
+    assert capnp_codec.CAPNP.decode_frame(frame(cut)) is wire_format.CodecFault.GARBLED
 
 
 @kernel.PROPERTIES.register("peer keys can be rotated")
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -13,7 +13,7 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import messages, peer_codec_msgpack, wire_format, workload
+from spindlenotch.peers import messages, msgpack_codec, wire_format, workload
 from spindlenotch_platform import documents, speech
 
 NOW = kernel.NOW
@@ -200,7 +200,7 @@
 
 @kernel.PROPERTIES.register("hostile bytes of gateways are refused and bounded")
 def hostile() -> None:
-    wire = peer_codec_msgpack.MSGPACK
+    wire = msgpack_codec.MSGPACK
     good = wire.encode_gossip(message())
 
     hostile_bytes.check(wire, good)
@@ -211,7 +211,7 @@
 
 @kernel.PROPERTIES.register("peer messages come out as they went in")
 def round_trip() -> None:
-    wire = peer_codec_msgpack.MSGPACK
+    wire = msgpack_codec.MSGPACK
     assert wire.decode_gossip(wire.encode_gossip(message())) == message()
 
 
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -14,7 +14,7 @@
 
 from features.support import world as worlds
 from spindlenotch import ids, metrics, ports
-from spindlenotch.peers import documents, messages, peer_codec, peer_seal, wire_format
+from spindlenotch.peers import capnp_codec, documents, messages, peer_seal, wire_format
 
 STORE_TIMEOUT_S = 1.5
 WAY_S = 0.001
@@ -258,7 +258,7 @@
 
     def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message; some may get lost."""
-        data = self.sealer.seal(peer_codec.CAPNP.encode_gossip(message))
+        data = self.sealer.seal(capnp_codec.CAPNP.encode_gossip(message))
         for target in targets:
             other = self.network.link_by_address.get(target)
             lost = self.network.world.rng.random() < self.network.lose_share
@@ -302,7 +302,7 @@
     def _heard(self, data: bytes) -> None:
         payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
         assert isinstance(payload, bytes)
-        message = peer_codec.CAPNP.decode_gossip(payload)
+        message = capnp_codec.CAPNP.decode_gossip(payload)
         assert isinstance(message, messages.Message)
         self.on_gossip(message)
 
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -29,10 +29,10 @@
     state as states,
 )
 from spindlenotch.peers import (
+    capnp_codec,
     documents,
     messages,
-    peer_codec,
-    peer_codec_msgpack,
+    msgpack_codec,
     peer_link,
     peer_seal,
     workload,
@@ -275,7 +275,7 @@
 
 def peer_samples() -> list[Sample]:
     """Return the samples of what gateways and entries tell each other."""
-    codec = peer_codec_msgpack.MSGPACK
+    codec = msgpack_codec.MSGPACK
     bundle_kind, hosts_kind = documents.DocumentKind
     body = b'{"the body of a document":"as it is"}'
     hosts = frame(hosts_kind, body)
@@ -321,16 +321,16 @@
             "gossip.capnp.hex",
             "capnp",
             message(),
-            lambda: peer_codec.CAPNP.encode_gossip(message()),
-            peer_codec.CAPNP.decode_gossip,
+            lambda: capnp_codec.CAPNP.encode_gossip(message()),
+            capnp_codec.CAPNP.decode_gossip,
             look_gossip,
         ),
         Sample(
             "frame.capnp.hex",
             "capnp",
             SHORT,
-            lambda: peer_codec.CAPNP.encode_frame(SHORT),
-            peer_codec.CAPNP.decode_frame,
+            lambda: capnp_codec.CAPNP.encode_frame(SHORT),
+            capnp_codec.CAPNP.decode_frame,
             look_frame,
         ),
         Sample(
@@ -408,18 +408,18 @@
         metrics.Metrics(),
         on_gossip,
         lambda frame: frame.document,
-        peer_codec_msgpack.MSGPACK,
+        msgpack_codec.MSGPACK,
     )
 
 
 def look_gossip(data: bytes) -> object:
     """Return a Cap'n Proto message as maps by the schema's names."""
-    return peer_codec._schema.Gossip.from_bytes_packed(data).to_dict()
+    return capnp_codec._schema.Gossip.from_bytes_packed(data).to_dict()
 
 
 def look_frame(data: bytes) -> object:
     """Return a Cap'n Proto frame as maps by the schema's names."""
-    return peer_codec._schema.DocumentFrame.from_bytes_packed(data).to_dict()
+    return capnp_codec._schema.DocumentFrame.from_bytes_packed(data).to_dict()
 
 
 POLICIES = ("owned", "other")
--- a/spindlenotch/cli/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -18,7 +18,7 @@
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
 from spindlenotch.cli import publishing
 from spindlenotch.entry import entry_state, plugins
-from spindlenotch.peers import documents, peer_codec, peer_link, peer_seal
+from spindlenotch.peers import capnp_codec, documents, peer_link, peer_seal
 
 app = cyclopts.App(help="Check, sign, publish and look at bundles.")
 
@@ -180,7 +180,7 @@
         metrics.Metrics(),
         lambda message: None,
         lambda frame: frame.document,
-        peer_codec.CAPNP,
+        capnp_codec.CAPNP,
     )
     document = entry_state.document_of(order.opened)
     targets = [ids.Address(peer) for peer in order.peers.split(",") if peer]
@@ -275,7 +275,7 @@
         metrics.Metrics(),
         lambda message: None,
         lambda frame: frame.document,
-        peer_codec.CAPNP,
+        capnp_codec.CAPNP,
     )
     targets = [ids.Address(peer) for peer in peers.split(",") if peer]
     kind = documents.DocumentKind.BUNDLE
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -14,9 +14,9 @@
 from spindlenotch.entry import entry_state, readiness
 from spindlenotch.kernel import backoff as backoffs, hostlist, rendezvous
 from spindlenotch.peers import (
+    capnp_codec,
     documents,
     messages,
-    peer_codec,
     peer_link,
     peer_seal,
     probing,
@@ -37,7 +37,7 @@
 
 
 #: The link that entries of the daemon speak over.
-CAPNP_LINK = functools.partial(peer_link.PeerLink, codec=peer_codec.CAPNP)
+CAPNP_LINK = functools.partial(peer_link.PeerLink, codec=capnp_codec.CAPNP)
 
 
 class Control:
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -16,7 +16,7 @@
     documents,
     gossip,
     messages,
-    peer_codec_msgpack,
+    msgpack_codec,
     peer_link,
     peer_seal,
     workload,
@@ -49,7 +49,7 @@
             state.metrics,
             self._on_gossip,
             lambda frame: self.on_frame(frame),
-            peer_codec_msgpack.MSGPACK,
+            msgpack_codec.MSGPACK,
         )
 
     async def start(self) -> None:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -29,7 +29,7 @@
     upstreams,
     waiting,
 )
-from spindlenotch.peers import documents, gossip, messages, peer_codec, peer_seal
+from spindlenotch.peers import capnp_codec, documents, gossip, messages, peer_seal
 from tools import measure_gossip, slopes
 
 
@@ -243,7 +243,7 @@
         documents.DocumentKind.BUNDLE, 1, ids.Digest("a" * 64), body
     )
     frame = messages.DocumentFrame(1, False, document)
-    return len(peer_codec.CAPNP.encode_frame(frame)) + peer_seal.MAC_BYTES
+    return len(capnp_codec.CAPNP.encode_frame(frame)) + peer_seal.MAC_BYTES
 
 
 def memory() -> None:
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -9,11 +9,11 @@
 
 from spindlenotch import ids
 from spindlenotch.peers import (
+    capnp_codec,
     documents,
     gossip,
     membership,
     messages,
-    peer_codec,
     peer_seal,
     probing,
     timing,
@@ -90,7 +90,7 @@
                 self._send(message, self.by_address[target])
 
     def _send(self, message: messages.Message, target: gossip.Gossip) -> None:
-        self.bytes += len(peer_codec.CAPNP.encode_gossip(message)) + OVERHEAD_BYTES
+        self.bytes += len(capnp_codec.CAPNP.encode_gossip(message)) + OVERHEAD_BYTES
         if target in self.dead or self.rng.random() < self.lost:
             return
         handled = target.handle(message, self.now)
@@ -111,22 +111,22 @@
         drops.append(float(len(simulated.drops)))
         prober = simulated.gossips[0]
         message = simulated.gossips[1].compose(wants_reply=True)
-        data = sealer.seal(peer_codec.CAPNP.encode_gossip(message))
+        data = sealer.seal(capnp_codec.CAPNP.encode_gossip(message))
 
         def period(g: gossip.Gossip = prober, d: bytes = data) -> None:
             """Probe three, be probed by three: six messages out, six in."""
             g.sweep(slopes.NOW)
             g.targets([], slopes.NOW)
             g.probes.cancel()
-            sealer.seal(peer_codec.CAPNP.encode_gossip(g.compose(wants_reply=True)))
+            sealer.seal(capnp_codec.CAPNP.encode_gossip(g.compose(wants_reply=True)))
             for _ in range(2 * probing.FANOUT):
                 payload = sealer.open(d, wire_format.MAX_DATAGRAM_BYTES)
                 assert isinstance(payload, bytes)
-                received = peer_codec.CAPNP.decode_gossip(payload)
+                received = capnp_codec.CAPNP.decode_gossip(payload)
                 assert isinstance(received, messages.Message)
                 reply = g.handle(received, slopes.NOW).reply
                 assert reply is not None
-                sealer.seal(peer_codec.CAPNP.encode_gossip(reply))
+                sealer.seal(capnp_codec.CAPNP.encode_gossip(reply))
             g.ready_members()
 
         cpu.append(slopes.timed(period, 200) * 1e6)
