--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -37,12 +37,12 @@
     state as states,
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
-from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.peers import documents, messages, wire_format
 from spindlenotch_platform import boot, speech
 
 #: Numbers on the wire whose names are in log lines and in the state.
 NUMBERED = {
-    "statuses of members": gossip.Status,
+    "statuses of members": messages.Status,
     "kinds of documents": documents.DocumentKind,
 }
 
@@ -312,8 +312,8 @@
     snapshot = sources.Snapshot(5, recorded_samples.configuration(), by_id, bad)
     state.on_change = lambda revision, *, swept=False: None
     state.apply_snapshot(snapshot)
-    news = recorded_samples.member(2, gossip.Status.READY)
-    state.gossip.handle(gossip.Message(news, 1), state.clock.now())
+    news = recorded_samples.member(2, messages.Status.READY)
+    state.gossip.handle(messages.Message(news, 1), state.clock.now())
     return state, passing
 
 
@@ -458,7 +458,7 @@
         "phases of an entry": readiness.Phase,
         "phases of a gateway": states.Phase,
         "offers of documents": documents.Offer,
-        "faults of peers' bytes": peer_seal.CodecFault,
+        "faults of peers' bytes": wire_format.CodecFault,
         "faults of envelopes": bundle_seal.SealFault,
         "verdicts of publishing": publishing.Verdict,
         "faults of claims": claims.ClaimFault,
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -30,10 +30,10 @@
 )
 from spindlenotch.kernel import schedule
 from spindlenotch.peers import (
+    capnp_codec,
     documents,
-    gossip,
-    peer_codec,
-    peer_codec_msgpack,
+    messages,
+    msgpack_codec,
     peer_link,
     peer_seal,
     workload,
@@ -53,9 +53,9 @@
 OTHER = ids.Address("127.0.0.2:9001")
 
 
-def member(number: int, status: gossip.Status) -> gossip.MemberRecord:
+def member(number: int, status: messages.Status) -> messages.MemberRecord:
     """Return the news of one member."""
-    return gossip.MemberRecord(
+    return messages.MemberRecord(
         host=ids.HostId(f"host-{number}"),
         zone=ids.ZoneName(f"zone-{number}"),
         incarnation=ids.Incarnation(f"{number:016x}"),
@@ -70,24 +70,27 @@
     )
 
 
-def message() -> gossip.Message:
+def message() -> messages.Message:
     """Return a gossip message that has everything."""
-    return gossip.Message(
-        sender=member(1, gossip.Status.READY),
+    return messages.Message(
+        sender=member(1, messages.Status.READY),
         sequence=4711,
         documents=(
-            gossip.DocumentVersion(
+            messages.DocumentVersion(
                 documents.DocumentKind.BUNDLE, 12, ids.Digest("ab12")
             ),
-            gossip.DocumentVersion(
+            messages.DocumentVersion(
                 kind=documents.DocumentKind.HOSTS,
                 version=25_600,
                 digest=ids.Digest("cd34"),
             ),
         ),
-        members=(member(2, gossip.Status.STARTING), member(3, gossip.Status.LEAVING)),
+        members=(
+            member(2, messages.Status.STARTING),
+            member(3, messages.Status.LEAVING),
+        ),
         drain_notices=(
-            gossip.DrainNotice(
+            messages.DrainNotice(
                 service=ids.ServiceName("core"),
                 upstream=ids.UpstreamId("up-7"),
                 generation=3,
@@ -96,7 +99,7 @@
         wants_reply=True,
         wants_members=True,
         suspicions=(
-            gossip.Suspicion(
+            messages.Suspicion(
                 host=ids.HostId("host-9"), epoch=1_700_000_000_009, heartbeat=49
             ),
         ),
@@ -113,9 +116,9 @@
     )
 
 
-def bare_message() -> gossip.Message:
+def bare_message() -> messages.Message:
     """Return what a message with the required fields alone is read as."""
-    sender = gossip.MemberRecord(
+    sender = messages.MemberRecord(
         host=ids.HostId("h"),
         zone=ids.ZoneName("z"),
         incarnation=ids.Incarnation("i"),
@@ -123,12 +126,12 @@
         peer_address=ids.Address("p"),
         epoch=1,
         heartbeat=2,
-        status=gossip.Status.READY,
+        status=messages.Status.READY,
         configuration_version=3,
         capacity=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
         demand=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
     )
-    return gossip.Message(
+    return messages.Message(
         sender=sender,
         sequence=5,
         documents=(),
@@ -142,9 +145,9 @@
     )
 
 
-def frame(kind: documents.DocumentKind, body: bytes) -> peer_seal.DocumentFrame:
+def frame(kind: documents.DocumentKind, body: bytes) -> messages.DocumentFrame:
     """Return a document frame."""
-    return peer_seal.DocumentFrame(
+    return messages.DocumentFrame(
         correlation=815,
         wanted=True,
         document=documents.Document(
@@ -273,7 +276,7 @@
 
 def peer_samples() -> list[Sample]:
     """Return the samples of what gateways and entries tell each other."""
-    codec = peer_codec_msgpack.MSGPACK
+    codec = msgpack_codec.MSGPACK
     bundle_kind, hosts_kind = documents.DocumentKind
     body = b'{"the body of a document":"as it is"}'
     hosts = frame(hosts_kind, body)
@@ -319,16 +322,16 @@
             "gossip.capnp.hex",
             "capnp",
             message(),
-            lambda: peer_codec.CAPNP.encode_gossip(message()),
-            peer_codec.CAPNP.decode_gossip,
+            lambda: capnp_codec.CAPNP.encode_gossip(message()),
+            capnp_codec.CAPNP.decode_gossip,
             look_gossip,
         ),
         Sample(
             "frame.capnp.hex",
             "capnp",
             SHORT,
-            lambda: peer_codec.CAPNP.encode_frame(SHORT),
-            peer_codec.CAPNP.decode_frame,
+            lambda: capnp_codec.CAPNP.encode_frame(SHORT),
+            capnp_codec.CAPNP.decode_frame,
             look_frame,
         ),
         Sample(
@@ -382,7 +385,7 @@
 
 def open_datagram(data: bytes) -> object:
     """Return what a link that knows the key hears in a datagram."""
-    heard: list[gossip.Message] = []
+    heard: list[messages.Message] = []
     link(heard.append).datagram_received(data, None)
     return heard[0] if heard else None
 
@@ -399,25 +402,25 @@
     return run(read())
 
 
-def link(on_gossip: abc.Callable[[gossip.Message], None]) -> peer_link.PeerLink:
+def link(on_gossip: abc.Callable[[messages.Message], None]) -> peer_link.PeerLink:
     """Return a link whose first key is another one, without any socket."""
     return peer_link.PeerLink(
         peer_seal.Sealer((b"a newer key in front", KEY)),
         metrics.Metrics(),
         on_gossip,
         lambda frame: frame.document,
-        peer_codec_msgpack.MSGPACK,
+        msgpack_codec.MSGPACK,
     )
 
 
 def look_gossip(data: bytes) -> object:
     """Return a Cap'n Proto message as maps by the schema's names."""
-    return peer_codec._schema.Gossip.from_bytes_packed(data).to_dict()
+    return capnp_codec._schema.Gossip.from_bytes_packed(data).to_dict()
 
 
 def look_frame(data: bytes) -> object:
     """Return a Cap'n Proto frame as maps by the schema's names."""
-    return peer_codec._schema.DocumentFrame.from_bytes_packed(data).to_dict()
+    return capnp_codec._schema.DocumentFrame.from_bytes_packed(data).to_dict()
 
 
 POLICIES = ("owned", "other")
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -13,7 +13,15 @@
 from spindlenotch import events, ids, ports
 from spindlenotch.entry import entry_state, readiness
 from spindlenotch.kernel import backoff as backoffs, hostlist, rendezvous
-from spindlenotch.peers import documents, gossip, peer_codec, peer_link, peer_seal
+from spindlenotch.peers import (
+    capnp_codec,
+    documents,
+    messages,
+    peer_link,
+    peer_seal,
+    probing,
+    timing,
+)
 
 BUNDLE_KEY = "bundle"
 READERS_PER_ZONE = 2
@@ -29,7 +37,7 @@
 
 
 #: The link that entries of the daemon speak over.
-CAPNP_LINK = functools.partial(peer_link.PeerLink, codec=peer_codec.CAPNP)
+CAPNP_LINK = functools.partial(peer_link.PeerLink, codec=capnp_codec.CAPNP)
 
 
 class Control:
@@ -120,7 +128,7 @@
                 state.members_changed()
             state.follow_day()
             state.once.sweep(state.clock.now())
-            await asyncio.sleep(gossip.PERIOD_S * state.rng.uniform(0.9, 1.1))
+            await asyncio.sleep(timing.PERIOD_S * state.rng.uniform(0.9, 1.1))
 
     async def _observe(self) -> None:
         while True:
@@ -147,10 +155,10 @@
 
     def _tell(self) -> None:
         """Pass urgent news to a few members at once."""
-        targets = self.state.gossip.random_targets(gossip.FANOUT)
+        targets = self.state.gossip.random_targets(probing.FANOUT)
         self.link.tell(self.state.gossip.compose(), targets)
 
-    def _on_gossip(self, message: gossip.Message) -> None:
+    def _on_gossip(self, message: messages.Message) -> None:
         state = self.state
         handled = state.gossip.handle(message, state.clock.now())
         if handled.reply is not None:
@@ -179,7 +187,7 @@
         if document is not None and document.kind is kind:
             self._offer(document)
 
-    def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
+    def _on_frame(self, frame: messages.DocumentFrame) -> documents.Document:
         kind = frame.document.kind
         if not frame.wanted:
             self._offer(frame.document)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -21,8 +21,13 @@
     settings,
     sources,
 )
-from spindlenotch.kernel import extra_budgets, ownership, service_policy, upstreams
-from spindlenotch.peers import gossip
+from spindlenotch.kernel import (
+    extra_budgets,
+    ownership,
+    service_policy,
+    upstreams,
+)
+from spindlenotch.peers import gossip, messages, timing
 
 POLICY = soonest.NAME
 #: What a request is taken to need before any was measured, as a share of the
@@ -38,7 +43,7 @@
 
 
 #: Callers fail over by themselves within a second; the fleet is a bit slower.
-GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
+GOSSIP_TIMING = timing.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
 
 class Phase(enum.Enum):
@@ -206,9 +211,9 @@
     def publish_status(self) -> None:
         """Put this gateway's phase and version into its news for peers."""
         status = {
-            Phase.STARTING: gossip.Status.STARTING,
-            Phase.SERVING: gossip.Status.READY,
-            Phase.LEAVING: gossip.Status.LEAVING,
+            Phase.STARTING: messages.Status.STARTING,
+            Phase.SERVING: messages.Status.READY,
+            Phase.LEAVING: messages.Status.LEAVING,
         }[self.phase]
         self.gossip.set_status(status, self.version)
 
@@ -280,8 +285,8 @@
             eject_share=EJECT_SHARE,
         )
 
-    def _own_record(self) -> gossip.MemberRecord:
-        return gossip.MemberRecord(
+    def _own_record(self) -> messages.MemberRecord:
+        return messages.MemberRecord(
             self.config.host,
             self.config.zone,
             ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
@@ -289,7 +294,7 @@
             self.config.peer_listen,
             int(self.clock.unix_s() * 1000),
             0,
-            gossip.Status.STARTING,
+            messages.Status.STARTING,
             0,
             entry_choice.capacity_of(self.config.cores, self.config.link_mbps),
         )
--- /dev/null
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -0,0 +1,92 @@
+"""
+Peer messages to bytes and back in MessagePack: the codec of the gateway.
+
+The gateway's memory is priced, and Cap'n Proto with its schema takes 4 MB more
+in each process. Field names on the wire are those of the types in ``messages``.
+See ``wire_format`` for what all codecs share.
+"""
+
+import zlib
+
+import msgspec
+
+from spindlenotch.peers import messages, wire_format
+
+#: zlib's fastest: messages are small and sent several times a second. Chosen,
+#: not measured.
+COMPRESSION_LEVEL = 1
+
+_gossip_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(
+    messages.Message
+)
+_frame_decoder: msgspec.msgpack.Decoder[messages.DocumentFrame] = (
+    msgspec.msgpack.Decoder(messages.DocumentFrame)
+)
+
+
+class MsgpackCodec:
+    """
+    Writes each message as one MessagePack map, compressed.
+
+    Invariant: what is decoded has at most as many members, suspicions, drain
+    notices and loads as a sender may put into one message.
+    """
+
+    def encode_gossip(self, message: messages.Message) -> bytes:
+        """Return the wire form of a gossip message."""
+        return zlib.compress(msgspec.msgpack.encode(message), COMPRESSION_LEVEL)
+
+    def decode_gossip(
+        self, payload: bytes
+    ) -> messages.Message | wire_format.CodecFault:
+        """Read the wire form of a gossip message."""
+        body = _decompress(payload)
+        if isinstance(body, wire_format.CodecFault):
+            return body
+        try:
+            message = _gossip_decoder.decode(body)
+        except (msgspec.MsgspecError, ValueError, RecursionError):
+            return wire_format.CodecFault.GARBLED
+        if _exceeds_limits(message):
+            return wire_format.CodecFault.GARBLED
+        return message
+
+    def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
+        """Return the wire form of a document frame."""
+        return zlib.compress(msgspec.msgpack.encode(frame), COMPRESSION_LEVEL)
+
+    def decode_frame(
+        self, payload: bytes
+    ) -> messages.DocumentFrame | wire_format.CodecFault:
+        """Read the wire form of a document frame."""
+        body = _decompress(payload)
+        if isinstance(body, wire_format.CodecFault):
+            return body
+        try:
+            return _frame_decoder.decode(body)
+        except (msgspec.MsgspecError, ValueError, RecursionError):
+            return wire_format.CodecFault.GARBLED
+
+
+def _exceeds_limits(message: messages.Message) -> bool:
+    return (
+        len(message.members) > messages.MAX_MEMBERS_PER_MESSAGE
+        or len(message.suspicions) > messages.SUSPICIONS_PER_MESSAGE
+        or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
+        or len(message.loads) > messages.LOADS_PER_MESSAGE
+    )
+
+
+def _decompress(payload: bytes) -> bytes | wire_format.CodecFault:
+    """Decompress a message; refuse one that is cut or over the limit."""
+    try:
+        stream = zlib.decompressobj()
+        body = stream.decompress(payload, wire_format.MAX_FRAME_BYTES)
+    except zlib.error:
+        return wire_format.CodecFault.GARBLED
+    if stream.unconsumed_tail or not stream.eof:
+        return wire_format.CodecFault.TOO_LONG
+    return body
+
+
+MSGPACK: wire_format.Codec = MsgpackCodec()
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -372,7 +372,7 @@
     Rule(
         question="How long a vanished upstream still gets work",
         functions=("gateway/listing.Listing.remove",),
-        inputs="when the store last failed (instant), share of the service that vanished"
+        inputs="when the store last failed (instant), the share that vanished"
         " at once, state in the list.",
         reason="Leases that expire together right after the store was out of reach more"
         " likely expired in its outage than by a stop of the upstreams.",
@@ -396,7 +396,7 @@
             "gateway/lifecycle.stop_schedule",
             "gateway/gateway.Gateway.stop",
         ),
-        inputs="whether configuration and upstreams are known, settings `hand_out_s` and"
+        inputs="whether both documents are known, settings `hand_out_s` and"
         " `stop_limit_s` (s).",
         reason="Ready with both documents. When stopping it serves on while callers"
         " may keep its address, then refuses, and ends when what it took has ended.",
