--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -237,7 +237,7 @@
     worker = {"service": "s", "address": "a:1", "zone": "z", "state": "ready"}
     for slots, word in ((0, "slots"), ("x", "slots")):
         body = json.dumps({**worker, "slots": slots}).encode()
-        bad_worker = documents.read_worker("servers/i", body)
+        bad_worker = documents.read_upstream("servers/i", body)
         assert isinstance(bad_worker, sources.BadItem) and word in bad_worker.reason
 
 
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -729,7 +729,7 @@
             "platform-worker.json",
             "json",
             listed()[1],
-            read=lambda data: platform_documents.read_worker("servers/up-2", data),
+            read=lambda data: platform_documents.read_upstream("servers/up-2", data),
             strangers="passed over",
         ),
     ]
