--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -29,6 +29,7 @@
       | hostile bytes of gateways are refused and bounded          |
       | peer messages come out as they went in                     |
       | bad documents of the platform are named                    |
+      | items of the platform that are not base64 are named        |
       | all mistakes in the gateway's settings are told at once    |
       | a load header is read whatever it holds                    |
       | a story has a bounded length whatever the logs hold        |
--- /dev/null
+++ b/features/steps/platform_properties.py
@@ -0,0 +1,33 @@
+"""Properties of the adapter to the users' platform that need no process."""
+
+import asyncio
+import json
+import typing
+
+from features.steps import kernel
+from features.support import recorded, recorded_samples
+from spindlenotch.gateway import sources
+
+
+def follow(*answers: recorded.Answer) -> sources.Changes | sources.SourceFault:
+    """Return what the platform's source reads from these answers of its store."""
+    source, session = recorded_samples.platform_source(b"")
+    session.answers = list(answers)
+    return typing.cast(
+        "sources.Changes | sources.SourceFault", asyncio.run(source.follow(1, 0.1))
+    )
+
+
+@kernel.PROPERTIES.register("items of the platform that are not base64 are named")
+def not_base64() -> None:
+    keys = ("op/config", "servers/i-1", "gateways/z1", "elsewhere")
+    for value in ("!", "abc", "e30", "größe"):
+        items = [{"key": key, "revision": 7, "value": value} for key in keys]
+        body = json.dumps({"events": items, "at": 7}).encode()
+        changes = follow(recorded.Answer(200, body, {}))
+        assert isinstance(changes, sources.Changes), changes
+        assert [bad.key for bad in changes.bad] == list(keys[:3])
+        for bad in changes.bad:
+            assert repr(value) in bad.reason and "allowed: base64" in bad.reason, bad
+        assert changes.configuration is None
+        assert not changes.listed and not changes.introductions
