--- a/features/steps/platform_properties.py
+++ b/features/steps/platform_properties.py
@@ -4,6 +4,9 @@
 import json
 import typing
 
+import aiohttp
+import loguru
+
 from features.steps import kernel
 from features.support import recorded, recorded_samples
 from spindlenotch.gateway import sources
@@ -31,3 +34,35 @@
             assert repr(value) in bad.reason and "allowed: base64" in bad.reason, bad
         assert changes.configuration is None
         assert not changes.listed and not changes.introductions
+
+
+class LostAnswer(recorded.Answer):
+    """An answer that never comes: the connection breaks first."""
+
+    async def read(self) -> bytes:
+        """Break the connection."""
+        raise aiohttp.ServerDisconnectedError
+
+
+@kernel.PROPERTIES.register("a failed call of the platform's store says why")
+def failed_call() -> None:
+    lines: list[typing.Any] = []
+    handler = loguru.logger.add(lines.append, level="DEBUG", format="{message}")
+    try:
+        for answer, cause in (
+            (LostAnswer(200, b"", {}), "ServerDisconnectedError"),
+            (recorded.Answer(503, b"", {}), "status 503"),
+            (recorded.Answer(200, b"{}", {}), "`events`"),
+        ):
+            assert follow(answer) is sources.SourceFault.UNAVAILABLE
+            line = str(lines.pop())
+            assert "kv-watch" in line and cause in line, line
+        for status, fault in (
+            (410, sources.SourceFault.HISTORY_GONE),
+            (412, sources.SourceFault.CONFLICT),
+            (429, sources.SourceFault.OVER_LIMIT),
+        ):
+            assert follow(recorded.Answer(status, b"", {})) is fault
+        assert not lines
+    finally:
+        loguru.logger.remove(handler)
