--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -31,6 +31,7 @@
       | bad documents of the platform are named                    |
       | items of the platform that are not base64 are named        |
       | a failed call of the platform's store says why             |
+      | a probe limit of the platform that is no number is named   |
       | all mistakes in the gateway's settings are told at once    |
       | a load header is read whatever it holds                    |
       | a story has a bounded length whatever the logs hold        |
--- a/features/steps/platform_properties.py
+++ b/features/steps/platform_properties.py
@@ -2,6 +2,8 @@
 
 import asyncio
 import json
+import pathlib
+import tempfile
 import typing
 
 import aiohttp
@@ -9,7 +11,8 @@
 
 from features.steps import kernel
 from features.support import recorded, recorded_samples
-from spindlenotch.gateway import sources
+from spindlenotch.gateway import settings, sources
+from spindlenotch_platform import boot
 
 
 def follow(*answers: recorded.Answer) -> sources.Changes | sources.SourceFault:
@@ -66,3 +69,18 @@
         assert not lines
     finally:
         loguru.logger.remove(handler)
+
+
+@kernel.PROPERTIES.register("a probe limit of the platform that is no number is named")
+def bad_probe_limit() -> None:
+    text = (recorded.FOLDER / "platform-settings.toml").read_text()
+    for found in ("many", "", "nan", "inf"):
+        with tempfile.TemporaryDirectory() as folder:
+            path = pathlib.Path(folder) / "settings.toml"
+            path.write_text(text.replace("probesPerS=50", f"probesPerS={found}"))
+            faults = boot.read_settings({boot.VARIABLE: str(path)})
+        assert isinstance(faults, list), (found, faults)
+        (fault,) = faults
+        assert isinstance(fault, settings.Fault)
+        assert fault.flag.startswith("--probes-per-s"), fault
+        assert fault.found == found and fault.allowed == "a number from 0 to 1000"
