--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -17,7 +17,7 @@
 from spindlenotch import clock, ids, metrics
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
 from spindlenotch.cli import publishing
-from spindlenotch.drivers import store_http
+from spindlenotch.drivers import http_client, store_http
 from spindlenotch.entry import claims, entry_state, once, plugins, settings
 from spindlenotch.gateway import (
     fleet as fleets,
@@ -595,7 +595,8 @@
     """Return the store's driver over a session that answers so."""
     found = store_http.HttpStore(STORE_URL)
     session = recorded.Session(*answers)
-    found._session = typing.cast(typing.Any, session)
+    opened = typing.cast(typing.Any, session)
+    found.session = http_client.LazySession(lambda: opened)
     return found, session
 
 
@@ -666,7 +667,8 @@
     """Return the platform's source over a session that answers so, once."""
     found = store.PlatformSource(STORE_URL)
     session = recorded.Session(recorded.Answer(200, body, {}))
-    found._session = typing.cast(typing.Any, session)
+    opened = typing.cast(typing.Any, session)
+    found.session = http_client.LazySession(lambda: opened)
     return found, session
 
 
--- a/spindlenotch/drivers/hostlist_http.py
+++ b/spindlenotch/drivers/hostlist_http.py
@@ -2,31 +2,33 @@
 Driver for the platform's host list over HTTP.
 
 Protocol: ``GET /hosts`` with ``If-None-Match: "REVISION"``; 304 where it is
-unchanged, else JSON as in ``hostlist.HostTable``.
+unchanged, else JSON as in ``hostlist.HostTable``. Owns one HTTP session.
 """
 
 import aiohttp
 
 from spindlenotch import ports
+from spindlenotch.drivers import http_client
 from spindlenotch.kernel import hostlist
 
+#: Longest time of one call, in seconds. Chosen, not measured.
 CALL_TIMEOUT_S = 1.5
+UNCHANGED = 304
+OK = 200
 
 
 @ports.HOST_LISTS.register("http")
 class HttpHostList:
-    """Fetches the list from ``base_url``."""
+    """Fetches the list from ``base_url``; see ``ports.HostList``."""
 
     def __init__(self, base_url: str) -> None:
         self.base_url = base_url.rstrip("/")
-        self._session: aiohttp.ClientSession | None = None
+        self.session = http_client.LazySession(http_client.new_session)
 
     async def fetch(self, known: int) -> ports.HostListing | ports.HostListFault | None:
         """Return the list, or None where its revision is still ``known``."""
-        if self._session is None:
-            self._session = aiohttp.ClientSession(cookie_jar=aiohttp.DummyCookieJar())
         try:
-            async with self._session.get(
+            async with self.session.get().get(
                 f"{self.base_url}/hosts",
                 headers={"If-None-Match": f'"{known}"'},
                 timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
@@ -34,15 +36,15 @@
             ) as response:
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
+            # Callers act alike on each cause: they keep the list they have.
             return ports.HostListFault.UNAVAILABLE
-        if response.status == 304:
+        if response.status == UNCHANGED:
             return None
-        table = hostlist.decode(body) if response.status == 200 else None
+        table = hostlist.decode(body) if response.status == OK else None
         if table is None:
             return ports.HostListFault.GARBLED
         return ports.HostListing(table.revision, body)
 
     async def close(self) -> None:
         """Drop all connections."""
-        if self._session is not None:
-            await self._session.close()
+        await self.session.close()
--- a/spindlenotch/drivers/store_http.py
+++ b/spindlenotch/drivers/store_http.py
@@ -9,9 +9,14 @@
 import aiohttp
 
 from spindlenotch import ports
+from spindlenotch.drivers import http_client
 
+#: Longest time of a read or write, in seconds. Chosen, not measured.
 CALL_TIMEOUT_S = 1.5
+#: What a watch may take beyond the wait it asked for. Chosen, not measured.
 WATCH_GRACE_S = 2.0
+#: Connections open at once, waiting watches included. Chosen, not measured.
+CONNECTIONS = 64
 REVISION = "X-Revision"
 
 
@@ -25,7 +30,7 @@
 
     def __init__(self, base_url: str) -> None:
         self.base_url = base_url.rstrip("/")
-        self._session: aiohttp.ClientSession | None = None
+        self.session = http_client.LazySession(_new_session)
 
     async def get(self, key: str) -> ports.Stored | ports.StoreFault:
         """Read ``key``; an absent one has revision zero."""
@@ -39,7 +44,7 @@
         if lease_s is not None:
             params["lease_s"] = str(lease_s)
         try:
-            async with self._open().put(
+            async with self.session.get().put(
                 f"{self.base_url}/kv/{key}",
                 params=params,
                 data=value,
@@ -65,14 +70,13 @@
 
     async def close(self) -> None:
         """Drop all connections."""
-        if self._session is not None:
-            await self._session.close()
+        await self.session.close()
 
     async def _read(
         self, path: str, params: dict[str, str], timeout_s: float
     ) -> ports.Stored | ports.StoreFault:
         try:
-            async with self._open().get(
+            async with self.session.get().get(
                 self.base_url + path,
                 params=params,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
@@ -88,13 +92,12 @@
             return ports.Stored(0, b"")
         return _fault(response.status)
 
-    def _open(self) -> aiohttp.ClientSession:
-        if self._session is None:
-            self._session = aiohttp.ClientSession(
-                cookie_jar=aiohttp.DummyCookieJar(),
-                connector=aiohttp.TCPConnector(limit=64, use_dns_cache=False),
-            )
-        return self._session
+
+def _new_session() -> aiohttp.ClientSession:
+    # aiohttp may repeat a write where a kept connection drops. The expected
+    # revision keeps it from taking effect twice, but the repeat of a write that
+    # did take effect is answered as a conflict with itself.
+    return http_client.new_session(connections=CONNECTIONS, caches_addresses=False)
 
 
 def _fault(status: int) -> ports.StoreFault:
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -17,6 +17,7 @@
 import yarl
 
 from spindlenotch import headers, ids, ports
+from spindlenotch.drivers import http_client
 from spindlenotch.kernel import upstreams
 
 CONNECT_TIMEOUT_S = 1.0
@@ -113,8 +114,8 @@
 
     def __init__(self, dialect: Dialect | None = None) -> None:
         self.dialect = dialect or NATIVE
-        self._kept: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._kept = http_client.LazySession(lambda: _new_session(force_close=False))
+        self._fresh = http_client.LazySession(lambda: _new_session(force_close=True))
 
     async def send(
         self, request: ports.UpstreamRequest
@@ -184,14 +185,10 @@
     async def close(self) -> None:
         """Drop all connections."""
         for session in (self._kept, self._fresh):
-            if session is not None:
-                await session.close()
+            await session.close()
 
     def _session(self, *, fresh: bool) -> aiohttp.ClientSession:
-        if self._kept is None or self._fresh is None:
-            self._kept = _new_session(force_close=False)
-            self._fresh = _new_session(force_close=True)
-        return self._fresh if fresh else self._kept
+        return (self._fresh if fresh else self._kept).get()
 
 
 def read_report(text: str | None) -> upstreams.LoadReport | None:
@@ -242,20 +239,17 @@
 def _new_session(*, force_close: bool) -> aiohttp.ClientSession:
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_end.append(_check_last_moment)
-    session = aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(
-            limit=0, force_close=force_close, use_dns_cache=False
-        ),
-        cookie_jar=aiohttp.DummyCookieJar(),
-        auto_decompress=False,
+    return http_client.new_session(
+        connections=0,
+        caches_addresses=False,
+        closes_connections=force_close,
+        # Every resend must come from the retry budget.
+        resends=False,
+        unpacks=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         request_class=_CheckedRequest,
-        trace_configs=[trace],
+        traces=[trace],
     )
-    # aiohttp resends idempotent methods when a kept connection drops. Here
-    # every resend must come from the retry budget; there is no public switch.
-    session._retry_connection = False
-    return session
 
 
 async def _check_last_moment(
