--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -665,10 +665,10 @@
 
 def platform_source(body: bytes) -> tuple[store.PlatformSource, recorded.Session]:
     """Return the platform's source over a session that answers so, once."""
-    found = store.PlatformSource(STORE_URL)
+    found = store.create(STORE_URL)
     session = recorded.Session(recorded.Answer(200, body, {}))
     opened = typing.cast(typing.Any, session)
-    found.session = http_client.LazySession(lambda: opened)
+    found.client.session = http_client.LazySession(lambda: opened)
     return found, session
 
 
