--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -14,7 +14,7 @@
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
 from spindlenotch.kernel import budgets, ownership, upstreams
 from spindlenotch.peers import gossip, peer_codec_msgpack, peer_seal, workload
-from spindlenotch_platform import documents, speech
+from spindlenotch_platform import http_dialect, records
 
 NOW = kernel.NOW
 SERVICE = ids.ServiceName("s")
@@ -221,7 +221,7 @@
         3, [platform_fleet.route("r", "/r/")], ("core",)
     )
     assert isinstance(
-        documents.read_configuration(json.dumps(good).encode()), routing.Configuration
+        records.read_configuration(json.dumps(good).encode()), routing.Configuration
     )
     text = json.dumps(good)
     for bad, word in (
@@ -231,13 +231,13 @@
         (text.replace('"version": "00000003"', '"version": "no"'), "no"),
         (text.replace('"pathPrefix"', '"prefix"'), "pathPrefix"),
     ):
-        found = documents.read_configuration(bad.encode())
+        found = records.read_configuration(bad.encode())
         assert isinstance(found, sources.BadItem), bad
         assert word in found.reason, found
     worker = {"service": "s", "address": "a:1", "zone": "z", "state": "ready"}
     for slots, word in ((0, "slots"), ("x", "slots")):
         body = json.dumps({**worker, "slots": slots}).encode()
-        bad_worker = documents.read_upstream("servers/i", body)
+        bad_worker = records.read_upstream("servers/i", body)
         assert isinstance(bad_worker, sources.BadItem) and word in bad_worker.reason
 
 
@@ -262,13 +262,13 @@
 
 @kernel.PROPERTIES.register("a load header is read whatever it holds")
 def load_header() -> None:
-    assert speech.read_load("3,1,8,250") == upstreams.LoadReport(3, 1, 2.5)
-    assert speech.read_load("3,0,8") == upstreams.LoadReport(3, 0, 1.0)
+    assert http_dialect.read_load("3,1,8,250") == upstreams.LoadReport(3, 1, 2.5)
+    assert http_dialect.read_load("3,0,8") == upstreams.LoadReport(3, 0, 1.0)
 
     @kernel.SETTINGS
     @hypothesis.given(strategies.text("0123456789,-.einfa ", max_size=30))
     def check(text: str) -> None:
-        read = speech.read_load(text)
+        read = http_dialect.read_load(text)
         assert read is None or (read.running >= 0 and read.slowdown > 0)
 
     check()
--- a/features/steps/platform_connections.py
+++ b/features/steps/platform_connections.py
@@ -9,7 +9,7 @@
 from features.support import platform_context, platform_fleet
 from spindlenotch import ids, ports
 from spindlenotch.drivers import upstream_http
-from spindlenotch_platform import speech
+from spindlenotch_platform import http_dialect
 
 fleet_of = platform_context.fleet_of
 run = platform_context.run
@@ -22,7 +22,7 @@
     worker = fleet_of(context).worker_by_id["i-0"]
 
     async def send() -> list[typing.Any]:
-        port = upstream_http.HttpUpstreamPort(speech.platform().upstream)
+        port = upstream_http.HttpUpstreamPort(http_dialect.platform().upstream)
         found = []
         try:
             for number in range(count):
@@ -44,7 +44,7 @@
         ids.Address(address),
         "GET",
         "/read/x",
-        [("Host", "h"), (speech.REQUEST_ID, request_id)],
+        [("Host", "h"), (http_dialect.REQUEST_ID, request_id)],
         None,
         request_id,
         False,
@@ -85,7 +85,7 @@
         reader, writer = await asyncio.open_connection(ip, port)
         writer.write(
             f"GET /new/x HTTP/1.1\r\nHost: {platform_fleet.HOST}\r\n"
-            f"{speech.REQUEST_ID}: rests\r\n\r\n".encode()
+            f"{http_dialect.REQUEST_ID}: rests\r\n\r\n".encode()
         )
         await reader.readuntil(b"/new/x")
         rested_from = time.monotonic()
--- a/features/steps/platform_properties.py
+++ b/features/steps/platform_properties.py
@@ -12,7 +12,7 @@
 from features.steps import kernel
 from features.support import recorded, recorded_samples
 from spindlenotch.gateway import settings, sources
-from spindlenotch_platform import boot
+from spindlenotch_platform import settings_file
 
 
 def follow(*answers: recorded.Answer) -> sources.Changes | sources.SourceFault:
@@ -78,7 +78,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "settings.toml"
             path.write_text(text.replace("probesPerS=50", f"probesPerS={found}"))
-            faults = boot.read_settings({boot.VARIABLE: str(path)})
+            faults = settings_file.read_settings({settings_file.VARIABLE: str(path)})
         assert isinstance(faults, list), (found, faults)
         (fault,) = faults
         assert isinstance(fault, settings.Fault)
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -38,7 +38,7 @@
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
 from spindlenotch.peers import documents, gossip, peer_seal
-from spindlenotch_platform import boot, speech
+from spindlenotch_platform import http_dialect, settings_file
 
 #: Numbers on the wire whose names are in log lines and in the state.
 NUMBERED = {
@@ -210,7 +210,7 @@
         "SPINDLENOTCH_SEED": "17",
         "SPINDLENOTCH_ENTRIES_PER_ZONE": "2",
     }
-    return boot.read_settings(environment)
+    return settings_file.read_settings(environment)
 
 
 def settings_samples() -> list[Sample]:
@@ -489,7 +489,7 @@
 
 def dialects() -> Plain:
     """Return how each dialect speaks, its functions by what they answer."""
-    assert speech.REQUEST_ID
+    assert http_dialect.REQUEST_ID
     return {name: _spoken(name) for name in dialect.DIALECTS.names()}
 
 
@@ -538,7 +538,7 @@
 def registered() -> Plain:
     """Return the registered names by what they are names of."""
     plugins.load()
-    assert upstream_http.NATIVE and speech.REQUEST_ID
+    assert upstream_http.NATIVE and http_dialect.REQUEST_ID
     registries: dict[str, typing.Any] = {
         "clocks": clock.CLOCKS,
         "dialects": dialect.DIALECTS,
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -37,7 +37,7 @@
     peer_seal,
     workload,
 )
-from spindlenotch_platform import documents as platform_documents, store
+from spindlenotch_platform import records, store
 
 Sample = recorded.Sample
 Result = typing.TypeVar("Result")
@@ -717,21 +717,21 @@
             "platform-configuration.json",
             "json",
             configuration(),
-            read=platform_documents.read_configuration,
+            read=records.read_configuration,
             strangers="passed over",
         ),
         Sample(
             "platform-configuration-bare.json",
             "json",
             bare_platform_configuration(),
-            read=platform_documents.read_configuration,
+            read=records.read_configuration,
             bare=True,
         ),
         Sample(
             "platform-worker.json",
             "json",
             listed()[1],
-            read=lambda data: platform_documents.read_upstream("servers/up-2", data),
+            read=lambda data: records.read_upstream("servers/up-2", data),
             strangers="passed over",
         ),
     ]
