--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -23,7 +23,7 @@
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
 from spindlenotch.decisions import balancer
-from spindlenotch.drivers import upstream_http
+from spindlenotch.drivers import upstream_dialect
 from spindlenotch.entry import claims, explain, plugins, readiness, settings
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
@@ -498,11 +498,11 @@
     directory = dialect.Directory((ids.Address("127.0.0.1:1"),), 2.5)
     towards = spoken.upstream
     marks = _Marks()
-    report = towards.read_report(marks)
+    report = towards.read_load(marks)
     for status in STATUSES:
-        towards.genuine(status, marks)
-        towards.not_run(status, marks)
-        towards.leaving(status, marks)
+        towards.is_genuine(status, marks)
+        towards.is_not_run(status, marks)
+        towards.is_draining(status, marks)
     return {
         "request id": spoken.request_id,
         "deadline": spoken.deadline_ms,
@@ -538,7 +538,7 @@
 def registered() -> Plain:
     """Return the registered names by what they are names of."""
     plugins.load()
-    assert upstream_http.NATIVE and http_dialect.REQUEST_ID
+    assert upstream_dialect.NATIVE and http_dialect.REQUEST_ID
     registries: dict[str, typing.Any] = {
         "clocks": clock.CLOCKS,
         "dialects": dialect.DIALECTS,
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -4,48 +4,28 @@
 Every default of aiohttp that could break a promise is set here: no silent
 resend on a dropped connection, no redirects, no decompression, no cookies, no
 total timeout. A request that may not be repeated goes over a new connection,
-so that a failure before the first byte is known for what it is.
+so that a failure before the first byte is known for what it is. What answers
+mean is the job of ``upstream_dialect``.
 """
 
 import asyncio
-import dataclasses
 import types
 import typing
-from collections import abc
 
 import aiohttp
 import yarl
 
-from spindlenotch import headers, ids, ports
-from spindlenotch.drivers import http_client
+from spindlenotch import ids, ports
+from spindlenotch.drivers import http_client, upstream_dialect
 from spindlenotch.kernel import upstreams
 
+#: Longest time of connecting, in seconds. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
+#: Most bytes of a body that are handed on at a time. Chosen, not measured.
 CHUNK_BYTES = 64 * 1024
-PROBE_PATH = "/-/load"
-SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-
-
-Marks = abc.Mapping[str, str]
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Dialect:
-    """
-    How upstreams say what the product needs to know.
-
-    Each function gets the status and the headers of an answer. ``genuine``
-    tells whether an upstream made the answer, ``not_run`` whether it says
-    that the request has not run and never will, ``leaving`` whether the
-    upstream that was meant gets no more work.
-    """
-
-    request_id: str
-    probe_path: str
-    read_report: abc.Callable[[Marks], "upstreams.LoadReport | None"]
-    genuine: abc.Callable[[int, Marks], bool]
-    not_run: abc.Callable[[int, Marks], bool]
-    leaving: abc.Callable[[int, Marks], bool]
+OK = 200
+#: Headers that aiohttp would add to a caller's own.
+SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class _TooLateError(Exception):
@@ -60,8 +40,8 @@
     """
     A request that is sent only over a connection on which nothing lies unread.
 
-    What came while a connection rested belongs to no request; read as the next
-    answer, it would be a foreign one.
+    What came while a connection was idle belongs to no request; read as the
+    next answer, it would be a foreign one.
     """
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
@@ -80,17 +60,21 @@
     and its connection closed.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, dialect: Dialect) -> None:
+    def __init__(
+        self,
+        response: aiohttp.ClientResponse,
+        dialect: upstream_dialect.UpstreamDialect,
+    ) -> None:
         self._response = response
         self._closing = _watch_closing(response)
         self.status = response.status
         self.headers = [(k, v) for k, v in response.headers.items()]
         self.length = response.content_length
-        marks = response.headers
-        self.not_run = dialect.not_run(response.status, marks)
-        self.draining = dialect.leaving(response.status, marks)
-        self.retry_after_s = _seconds(marks.get("Retry-After"))
-        self.report = dialect.read_report(marks)
+        fields = response.headers
+        self.not_run = dialect.is_not_run(response.status, fields)
+        self.draining = dialect.is_draining(response.status, fields)
+        self.retry_after_s = _seconds(fields.get("Retry-After"))
+        self.report = dialect.read_load(fields)
 
     async def chunk(self) -> bytes | ports.UpstreamFault:
         """Return the next piece of the body; empty at its true end."""
@@ -110,10 +94,14 @@
 
 @ports.UPSTREAM_PORTS.register("http")
 class HttpUpstreamPort:
-    """Two sessions: one that keeps connections, one that never does."""
+    """
+    Sends requests over two sessions: one reuses connections, one never does.
+
+    See ``ports.UpstreamPort``; ``dialect`` None is the product's own.
+    """
 
-    def __init__(self, dialect: Dialect | None = None) -> None:
-        self.dialect = dialect or NATIVE
+    def __init__(self, dialect: upstream_dialect.UpstreamDialect | None = None) -> None:
+        self.dialect = dialect or upstream_dialect.NATIVE
         self._kept = http_client.LazySession(lambda: _new_session(force_close=False))
         self._fresh = http_client.LazySession(lambda: _new_session(force_close=True))
 
@@ -133,15 +121,22 @@
             return ports.UpstreamFault.CONNECT_FAILED
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             return ports.UpstreamFault.CONNECTION_LOST
-        marks = response.headers
-        own = marks.get(self.dialect.request_id) == request.request_id
-        if not own or not self.dialect.genuine(response.status, marks):
+        if not self._is_answer_to(request, response):
             response.close()
             return ports.UpstreamFault.FOREIGN_ANSWER
         return HttpAnswer(response, self.dialect)
 
+    def _is_answer_to(
+        self, request: ports.UpstreamRequest, response: aiohttp.ClientResponse
+    ) -> bool:
+        """Tell whether an upstream made this answer, and for this request."""
+        fields = response.headers
+        if fields.get(self.dialect.request_id) != request.request_id:
+            return False
+        return self.dialect.is_genuine(response.status, fields)
+
     async def _respond(self, request: ports.UpstreamRequest) -> aiohttp.ClientResponse:
-        """Send over the first kept connection that is sound, or a new one."""
+        """Send over the first idle connection that can be used, or a new one."""
         session = self._session(fresh=request.fresh)
         while True:
             try:
@@ -151,7 +146,7 @@
                     headers=request.headers,
                     data=request.body,
                     allow_redirects=False,
-                    skip_auto_headers=SKIPPED,
+                    skip_auto_headers=SKIPPED_HEADERS,
                     trace_request_ctx=types.SimpleNamespace(may_send=request.may_send),
                 )
             except _StaleConnectionError:
@@ -167,7 +162,7 @@
         try:
             async with session.get(
                 f"http://{address}{target}",
-                skip_auto_headers=SKIPPED,
+                skip_auto_headers=SKIPPED_HEADERS,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
                 allow_redirects=False,
                 trace_request_ctx=types.SimpleNamespace(may_send=lambda: True),
@@ -175,10 +170,10 @@
                 await response.read()
         except (_StaleConnectionError, aiohttp.ClientError, OSError, TimeoutError):
             return ports.UpstreamFault.CONNECTION_LOST
-        if self.dialect.leaving(response.status, response.headers):
+        if self.dialect.is_draining(response.status, response.headers):
             return ports.UpstreamFault.DRAINING
-        report = self.dialect.read_report(response.headers)
-        if response.status != 200 or report is None:
+        report = self.dialect.read_load(response.headers)
+        if response.status != OK or report is None:
             return ports.UpstreamFault.FOREIGN_ANSWER
         return report
 
@@ -191,38 +186,14 @@
         return (self._fresh if fresh else self._kept).get()
 
 
-def read_report(text: str | None) -> upstreams.LoadReport | None:
-    """Read ``running=4,queued=1``; None where it is absent or malformed."""
-    if text is None or len(text) > 64:
-        return None
-    try:
-        pairs = dict(item.split("=", 1) for item in text.split(","))
-        running, queued = int(pairs["running"]), int(pairs["queued"])
-    except (ValueError, KeyError):
-        return None
-    if not (0 <= running <= 1_000_000 and 0 <= queued <= 1_000_000):
-        return None
-    return upstreams.LoadReport(running, queued)
-
-
-NATIVE = Dialect(
-    request_id=headers.REQUEST_ID,
-    probe_path=PROBE_PATH,
-    read_report=lambda marks: read_report(marks.get(headers.LOAD)),
-    genuine=lambda status, marks: True,
-    not_run=lambda status, marks: marks.get(headers.OUTCOME) == "not-run",
-    leaving=lambda status, marks: marks.get(headers.STATE) == "draining",
-)
-
-
 def _watch_closing(
     response: aiohttp.ClientResponse,
 ) -> "asyncio.Future[None] | None":
     """
-    Return what tells how the connection ends, where the body ends with it.
+    Return the future of the connection's end where the body ends with it.
 
-    aiohttp takes the end of a connection for the end of such a body even
-    where it was reset, which may have cut it short.
+    Such a body has neither a length nor chunks. aiohttp takes any end of the
+    connection for the body's end, also a reset that may have cut it short.
     """
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     connection = response.connection
@@ -257,12 +228,13 @@
     context: types.SimpleNamespace,
     params: typing.Any,
 ) -> None:
-    """Ask again after connecting: the process may have been paused."""
+    """Ask again after connecting, during which the process may have paused."""
     if not context.trace_request_ctx.may_send():
         raise _TooLateError
 
 
 def _seconds(text: str | None) -> float | None:
+    """Read ``Retry-After`` in seconds; its form as a date counts as absent."""
     try:
         return None if text is None else float(text)
     except ValueError:
--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from spindlenotch import headers, ids, registry
-from spindlenotch.drivers import upstream_http
+from spindlenotch.drivers import upstream_dialect
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     lower-case names that are set anew towards upstreams.
     """
 
-    upstream: upstream_http.Dialect
+    upstream: upstream_dialect.UpstreamDialect
     request_id: str
     deadline_ms: str
     expect_upstream: str | None
@@ -49,7 +49,7 @@
 def native() -> Dialect:
     """Return the product's own dialect."""
     return Dialect(
-        upstream=upstream_http.NATIVE,
+        upstream=upstream_dialect.NATIVE,
         request_id=headers.REQUEST_ID,
         deadline_ms=headers.TIMEOUT_MS,
         expect_upstream=headers.UPSTREAM,
