--- a/spindlenotch/drivers/store_http.py
+++ b/spindlenotch/drivers/store_http.py
@@ -1,5 +1,5 @@
 """
-Driver for the platform's key-value service over HTTP.
+Driver for the platform's key-value service over HTTP; owns one session.
 
 Protocol: ``GET /kv/KEY``, ``PUT /kv/KEY?expected=REVISION[&lease_s=S]``,
 ``GET /watch/KEY?after=REVISION&wait_s=S``; the revision travels in the header
@@ -18,6 +18,14 @@
 #: Connections open at once, waiting watches included. Chosen, not measured.
 CONNECTIONS = 64
 REVISION = "X-Revision"
+OK = 200
+NOT_FOUND = 404
+CONFLICT = 409
+LEAST_SERVER_ERROR = 500
+FAULT_BY_STATUS = {
+    413: ports.StoreFault.TOO_LARGE,
+    429: ports.StoreFault.OVER_LIMIT,
+}
 
 
 @ports.STORES.register("http")
@@ -54,10 +62,11 @@
                 revision = int(response.headers.get(REVISION, "0"))
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
+            # Whatever the cause, the write may have taken effect.
             return ports.StoreFault.UNAVAILABLE
-        if response.status == 200:
+        if response.status == OK:
             return ports.Stored(revision, value)
-        if response.status == 409:
+        if response.status == CONFLICT:
             return ports.Conflict(revision)
         return _fault(response.status)
 
@@ -85,10 +94,11 @@
                 body = await response.read()
                 revision = int(response.headers.get(REVISION, "0"))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
+            # Callers act alike on each cause: they keep what they have.
             return ports.StoreFault.UNAVAILABLE
-        if response.status == 200:
+        if response.status == OK:
             return ports.Stored(revision, body)
-        if response.status == 404:
+        if response.status == NOT_FOUND:
             return ports.Stored(0, b"")
         return _fault(response.status)
 
@@ -101,10 +111,8 @@
 
 
 def _fault(status: int) -> ports.StoreFault:
-    if status == 413:
-        return ports.StoreFault.TOO_LARGE
-    if status == 429:
-        return ports.StoreFault.OVER_LIMIT
-    if status >= 500:
+    if status in FAULT_BY_STATUS:
+        return FAULT_BY_STATUS[status]
+    if status >= LEAST_SERVER_ERROR:
         return ports.StoreFault.UNAVAILABLE
     return ports.StoreFault.REJECTED
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -81,6 +81,7 @@
         try:
             piece = await self._response.content.read(CHUNK_BYTES)
         except (aiohttp.ClientError, OSError, TimeoutError):
+            # Whatever the cause, the body is not whole.
             self.abandon()
             return ports.UpstreamFault.CONNECTION_LOST
         if not piece and _was_reset(self._closing):
@@ -108,18 +109,18 @@
     async def send(
         self, request: ports.UpstreamRequest
     ) -> ports.UpstreamAnswer | ports.UpstreamFault:
-        """Send a request and wait for the head of its answer."""
+        """Send a request; see ``ports.UpstreamPort.send``."""
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
         try:
             response = await self._respond(request)
         except _TooLateError:
             return ports.UpstreamFault.TOO_LATE
-        except aiohttp.ClientConnectorError:
-            return ports.UpstreamFault.CONNECT_FAILED
-        except aiohttp.ConnectionTimeoutError:
+        except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
+            # The only causes before anything was sent.
             return ports.UpstreamFault.CONNECT_FAILED
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
+            # Whatever the cause, the request may have run.
             return ports.UpstreamFault.CONNECTION_LOST
         if not self._is_answer_to(request, response):
             response.close()
@@ -156,7 +157,7 @@
     async def probe(
         self, address: ids.Address, timeout_s: float, path: str | None = None
     ) -> upstreams.LoadReport | ports.UpstreamFault:
-        """Ask an upstream for its load."""
+        """Ask an upstream for its load; see ``ports.UpstreamPort.probe``."""
         session = self._session(fresh=False)
         target = path or self.dialect.probe_path
         try:
@@ -169,6 +170,7 @@
             ) as response:
                 await response.read()
         except (_StaleConnectionError, aiohttp.ClientError, OSError, TimeoutError):
+            # Whoever probes counts each cause as a failed probe.
             return ports.UpstreamFault.CONNECTION_LOST
         if self.dialect.is_draining(response.status, response.headers):
             return ports.UpstreamFault.DRAINING
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -1,9 +1,9 @@
 """
-Ports to the outside, their messages and their faults.
+Ports to the outside: what the product needs of it, as protocols and messages.
 
-A driver is a factory in one of the registries here; settings name it. Faults
-are values with a reason: each layer returns its own and turns those from
-below into them.
+Owns the registries in which drivers register a factory under the name that
+settings choose. A call that fails returns a fault, never raises: each layer
+has its own faults and turns those from below into them. Times are in seconds.
 """
 
 import dataclasses
@@ -18,15 +18,19 @@
 class StoreFault(enum.Enum):
     """Why the store gave no answer that can be used."""
 
+    #: No answer in time, or one that can't be read; a write may still happen.
     UNAVAILABLE = "unavailable"
+    #: The value is larger than the store takes; nothing was written.
     TOO_LARGE = "too-large"
+    #: More calls per second than the store allows; nothing was done.
     OVER_LIMIT = "over-limit"
+    #: Refused for another reason; the same call will be refused again.
     REJECTED = "rejected"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """A value in the store. ``revision`` zero means that it is absent."""
+    """A value in the store; with ``revision`` zero the key is absent."""
 
     revision: int
     value: bytes
@@ -34,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A compare-and-swap that lost; ``revision`` is the one in the store."""
+    """A compare-and-swap that lost; ``revision`` is the store's, zero: absent."""
 
     revision: int
 
 
 class Store(typing.Protocol):
-    """The platform's key-value service."""
+    """The platform's key-value service; revisions of a key only grow."""
 
     async def get(self, key: str) -> Stored | StoreFault:
         """Read ``key``."""
@@ -56,7 +60,11 @@
         """
 
     async def watch(self, key: str, after: int, wait_s: float) -> Stored | StoreFault:
-        """Return ``key`` once its revision exceeds ``after``, or as it is."""
+        """
+        Return ``key`` as soon as its revision exceeds ``after``.
+
+        After ``wait_s`` seconds without such a change it is returned as it is.
+        """
 
     async def close(self) -> None:
         """Drop all connections."""
@@ -65,20 +73,26 @@
 class HostListFault(enum.Enum):
     """Why the host list gave no answer that can be used."""
 
+    #: No answer in time.
     UNAVAILABLE = "unavailable"
+    #: An answer that is no host list.
     GARBLED = "garbled"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostListing:
-    """The host list as bytes, with its revision."""
+    """
+    The host list as it was sent, with its revision.
+
+    Peers pass the bytes on unchanged, so they are kept beside the revision.
+    """
 
     revision: int
     body: bytes
 
 
 class HostList(typing.Protocol):
-    """The platform's lagging list of hosts."""
+    """The platform's list of hosts; changes appear in it with a delay."""
 
     async def fetch(self, known: int) -> HostListing | HostListFault | None:
         """Return the list, or None where its revision is still ``known``."""
@@ -90,10 +104,16 @@
 class UpstreamFault(enum.Enum):
     """Why an upstream gave no whole answer."""
 
+    #: No connection came about; nothing was sent.
     CONNECT_FAILED = "connect-failed"
+    #: ``may_send`` said no; nothing was sent.
     TOO_LATE = "too-late"
+    #: The connection broke or the answer can't be read; the request may have run.
     CONNECTION_LOST = "connection-lost"
+    #: The answer belongs to another request or was not made by an upstream; the
+    #: request may have run. Of a probe: the answer holds no load.
     FOREIGN_ANSWER = "foreign-answer"
+    #: Of a probe only: the upstream gets no more work.
     DRAINING = "draining"
 
 
@@ -102,8 +122,10 @@
     """
     What goes to an upstream.
 
-    ``fresh`` asks for a new connection. ``may_send`` is asked once, at the
-    last moment before the first byte.
+    ``target`` is the request target as it is sent, path and query. ``headers``
+    include all that are to be sent, ``request_id`` the one that the answer
+    must echo. ``fresh`` asks for a new connection. ``may_send`` is asked first,
+    and again when a new connection is up, before the first byte.
     """
 
     address: ids.Address
@@ -117,7 +139,14 @@
 
 
 class UpstreamAnswer(typing.Protocol):
-    """The head of an answer, and the way to its body."""
+    """
+    The head of an answer, and the way to its body.
+
+    ``length`` is the body's in bytes, None where the head does not tell it.
+    ``not_run`` says that the request has not run and never will, ``draining``
+    that the upstream gets no more work. ``retry_after_s`` and ``report``, the
+    upstream's load, are None where they are absent or can't be read.
+    """
 
     status: int
     headers: list[tuple[str, str]]
@@ -128,7 +157,7 @@
     report: upstreams.LoadReport | None
 
     async def chunk(self) -> bytes | UpstreamFault:
-        """Return the next piece of the body; empty at its true end."""
+        """Return the next piece of the body; empty only where the body is whole."""
 
     def abandon(self) -> None:
         """Close the connection; it is never used again."""
@@ -138,12 +167,20 @@
     """Sends requests and probes to upstreams."""
 
     async def send(self, request: UpstreamRequest) -> UpstreamAnswer | UpstreamFault:
-        """Send a request and wait for the head of its answer."""
+        """
+        Send a request once and wait for the head of its answer.
+
+        There is no limit of time but that of connecting; callers cancel.
+        """
 
     async def probe(
         self, address: ids.Address, timeout_s: float, path: str | None = None
     ) -> upstreams.LoadReport | UpstreamFault:
-        """Ask an upstream for its load, at ``path`` where the service has one."""
+        """
+        Ask an upstream for its load, for at most ``timeout_s`` seconds.
+
+        ``path`` is the service's own where it has one; None: the dialect's.
+        """
 
     async def close(self) -> None:
         """Drop all connections."""
