--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -31,11 +31,11 @@
 
 
 @app.command(name="hosts")
-def run_hosts(*, port: int = 0, lag_s: float = 0.0) -> None:
+def run_hosts(*, port: int = 0) -> None:
     """Run the host list."""
 
     async def main() -> None:
-        await _forever(await hostlist.HostList(lag_s).start(port))
+        await _forever(await hostlist.HostList().start(port))
 
     uvloop.run(main())
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -13,19 +13,15 @@
     """
     What is wrong just now.
 
-    ``latency_s`` delays every answer; ``down`` cuts every connection without
-    an answer; ``lose_answers`` lets that many writes take effect and then
-    cuts the connection.
+    ``down`` cuts every connection without an answer; ``lose_answers`` lets that
+    many writes take effect and then cuts the connection.
     """
 
-    latency_s: float = 0.0
     down: bool = False
     lose_answers: int = 0
 
-    async def before(self, request: web.Request) -> None:
+    def before(self, request: web.Request) -> None:
         """Apply what happens before a request is handled."""
-        if self.latency_s:
-            await asyncio.sleep(self.latency_s)
         if self.down:
             cut(request)
 
--- a/standins/hostlist.py
+++ b/standins/hostlist.py
@@ -1,8 +1,7 @@
 """
-Stand-in for the platform's lagging host list.
+Stand-in for the platform's host list; changes show at once.
 """
 
-import asyncio
 import json
 import typing
 
@@ -15,17 +14,14 @@
 
 class HostList:
     """
-    Hosts by id. A change shows ``lag_s`` seconds after it was made.
+    Hosts by id.
 
-    Invariant: the revision grows with each change that is shown.
+    Invariant: the revision grows with each change.
     """
 
-    def __init__(self, lag_s: float = 0.0) -> None:
-        self.lag_s = lag_s
+    def __init__(self) -> None:
         self.record_by_id: dict[str, Record] = {}
-        self.shown: list[Record] = []
         self.revision = 1
-        self.calls = 0
         self.faults = faults.Faults()
         self.address = ""
         self._runner: web.AppRunner | None = None
@@ -49,31 +45,21 @@
             await self._runner.cleanup()
 
     def put(self, record: Record) -> None:
-        """Add or change a host; it shows after the lag."""
+        """Add or change a host."""
         self.record_by_id[record["id"]] = record
-        if not self.lag_s:
-            self._show()
-            return
-        asyncio.get_running_loop().call_later(self.lag_s, self._show)
+        self.revision += 1
 
     def drop(self, host_id: str) -> None:
-        """Remove a host; it shows after the lag."""
+        """Remove a host."""
         self.record_by_id.pop(host_id, None)
-        if not self.lag_s:
-            self._show()
-            return
-        asyncio.get_running_loop().call_later(self.lag_s, self._show)
-
-    def _show(self) -> None:
         self.revision += 1
-        self.shown = list(self.record_by_id.values())
 
     async def _hosts(self, request: web.Request) -> web.Response:
-        self.calls += 1
-        await self.faults.before(request)
+        self.faults.before(request)
         if request.headers.get("If-None-Match") == f'"{self.revision}"':
             return web.Response(status=304)
-        body = json.dumps({"revision": self.revision, "hosts": self.shown})
+        hosts = list(self.record_by_id.values())
+        body = json.dumps({"revision": self.revision, "hosts": hosts})
         return web.Response(text=body, content_type="application/json")
 
     async def _host(self, request: web.Request) -> web.Response:
@@ -88,8 +74,5 @@
     async def _control(self, request: web.Request) -> web.Response:
         """Set faults by JSON."""
         for name, value in (await request.json()).items():
-            if name == "lag_s":
-                self.lag_s = value
-            else:
-                setattr(self.faults, name, value)
-        return web.json_response({"calls": self.calls})
+            setattr(self.faults, name, value)
+        return web.json_response({})
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,8 +1,8 @@
 """
 Stand-in for the platform's key-value service.
 
-Compare-and-swap, leases, watches, values of up to a megabyte; counts each
-call, a waiting watch as one. See ``spindlenotch.drivers.store_http`` for the protocol.
+Compare-and-swap, leases, watches, values of up to a megabyte. The protocol is
+described in ``spindlenotch.drivers.store_http``.
 """
 
 import asyncio
@@ -36,10 +36,6 @@
     def __init__(self) -> None:
         self.value_by_key: dict[str, Value] = {}
         self.revision = 0
-        self.calls = 0
-        self.watches_waiting = 0
-        self.writes_per_s = 0.0
-        self.write_times: list[float] = []
         self.faults = faults.Faults()
         self.changed = asyncio.Condition()
         self.address = ""
@@ -75,19 +71,15 @@
         return value
 
     async def _get(self, request: web.Request) -> web.Response:
-        self.calls += 1
-        await self.faults.before(request)
+        self.faults.before(request)
         return _answer(self.live(request.match_info["key"]))
 
     async def _put(self, request: web.Request) -> web.Response:
-        self.calls += 1
-        await self.faults.before(request)
+        self.faults.before(request)
         try:
             data = await request.read()
         except web.HTTPRequestEntityTooLarge:
             return web.Response(status=413)
-        if self._over_limit():
-            return web.Response(status=429)
         key = request.match_info["key"]
         current = self.live(key)
         found = current.revision if current else 0
@@ -104,28 +96,13 @@
         expires_at = None if lease_s is None else time.monotonic() + float(lease_s)
         self.value_by_key[key] = Value(self.revision, data, expires_at)
 
-    def _over_limit(self) -> bool:
-        if not self.writes_per_s:
-            return False
-        now = time.monotonic()
-        self.write_times = [t for t in self.write_times if now - t < 1.0]
-        if len(self.write_times) >= self.writes_per_s:
-            return True
-        self.write_times.append(now)
-        return False
-
     async def _watch(self, request: web.Request) -> web.Response:
-        self.calls += 1
-        await self.faults.before(request)
+        self.faults.before(request)
         key = request.match_info["key"]
         after = int(request.query["after"])
         deadline = time.monotonic() + float(request.query["wait_s"])
-        self.watches_waiting += 1
-        try:
-            await self._wait_for(key, after, deadline)
-        finally:
-            self.watches_waiting -= 1
-        await self.faults.before(request)
+        await self._wait_for(key, after, deadline)
+        self.faults.before(request)
         return _answer(self.live(key))
 
     async def _wait_for(self, key: str, after: int, deadline: float) -> None:
@@ -141,15 +118,12 @@
                 return
 
     async def _control(self, request: web.Request) -> web.Response:
-        """Set faults by JSON and return the counts."""
+        """Set faults by JSON."""
         for name, value in (await request.json()).items():
-            if name == "writes_per_s":
-                self.writes_per_s = value
-            else:
-                setattr(self.faults, name, value)
+            setattr(self.faults, name, value)
         async with self.changed:
             self.changed.notify_all()
-        return web.json_response({"calls": self.calls, "watches": self.watches_waiting})
+        return web.json_response({})
 
 
 def _answer(value: Value | None) -> web.Response:
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -34,16 +34,14 @@
     What an upstream is like just now.
 
     ``service_ms`` is the mean time of a request, drawn from an exponential
-    distribution unless ``steady``. ``slow`` multiplies it. The rest are
-    faults: ``frozen``, ``fail_fast``, ``draining``, ``shed`` (refuse as not
-    run), ``mix_up`` (another's request id), ``truncate`` (die mid-body),
-    ``break_after_run`` (run, then cut without an answer), ``lie`` (report
-    this load instead of the true one).
+    distribution unless ``steady``. The rest are faults: ``frozen``,
+    ``fail_fast``, ``draining``, ``shed`` (refuse as not run), ``mix_up``
+    (another's request id), ``truncate`` (die mid-body), ``break_after_run``
+    (run, then cut without an answer).
     """
 
     service_ms: float = 5.0
     steady: bool = False
-    slow: float = 1.0
     frozen: bool = False
     fail_fast: bool = False
     draining: bool = False
@@ -51,10 +49,6 @@
     mix_up: bool = False
     truncate: bool = False
     break_after_run: bool = False
-    lie: int | None = None
-    cold_s: float = 0.0
-    cold_factor: float = 3.0
-    body_bytes: int = 0
 
 
 class Upstream:
@@ -82,9 +76,7 @@
         self.running = 0
         self.queued = 0
         self.probe_times: list[float] = []
-        self.received_bytes = 0
         self.address = ""
-        self.started_at = time.monotonic()
         self.rng = random.Random(f"{name}/{seed}")
         self._slots = asyncio.Semaphore(slots)
         self._runner: web.AppRunner | None = None
@@ -101,7 +93,6 @@
             ]
         )
         self._runner, self.address = await server.serve(app, port)
-        self.started_at = time.monotonic()
         return self.address
 
     async def stop(self) -> None:
@@ -109,10 +100,6 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def runs_of(self, work: str) -> int:
-        """Return how often ``work`` began to run."""
-        return sum(run.work == work for run in self.ledger)
-
     async def _work(self, request: web.Request) -> web.StreamResponse:
         now = self.behaviour
         if now.frozen:
@@ -143,7 +130,6 @@
         size = 0
         async for piece in request.content.iter_any():
             size += len(piece)
-        self.received_bytes += size
         await asyncio.sleep(self._service_s(request))
         while self.behaviour.frozen:
             await asyncio.sleep(0.01)
@@ -162,16 +148,13 @@
             await response.write(b"x" * 1000)
             faults.cut(request)
         text = f"{self.name} ran {run.work} with {size} bytes\n"
-        extra = int(request.query.get("size", self.behaviour.body_bytes))
+        extra = int(request.query.get("size", 0))
         return web.Response(text=text + "." * extra, headers=marks)
 
     def _service_s(self, request: web.Request) -> float:
         now = self.behaviour
         mean = float(request.query.get("ms", now.service_ms)) / 1000
-        drawn = mean if now.steady else self.rng.expovariate(1 / mean)
-        if time.monotonic() - self.started_at < now.cold_s:
-            drawn *= now.cold_factor
-        return drawn * now.slow
+        return mean if now.steady else self.rng.expovariate(1 / mean)
 
     def _not_run(self, request: web.Request) -> web.Response:
         marks = {"Spindlenotch-Outcome": "not-run", "Retry-After": "1"}
@@ -181,10 +164,9 @@
         request_id = request.headers.get(REQUEST_ID, "")
         if self.behaviour.mix_up:
             request_id = "somebody-else"
-        running = self.running if self.behaviour.lie is None else self.behaviour.lie
         marks = {
             REQUEST_ID: request_id,
-            "Spindlenotch-Load": f"running={running},queued={self.queued}",
+            "Spindlenotch-Load": f"running={self.running},queued={self.queued}",
         }
         if self.behaviour.draining:
             marks["Spindlenotch-State"] = "draining"
@@ -205,11 +187,6 @@
         return web.json_response({})
 
     async def _ledger(self, request: web.Request) -> web.Response:
-        """Return the ledger and the counts."""
-        return web.json_response(
-            {
-                "runs": [dataclasses.asdict(run) for run in self.ledger],
-                "probes": len(self.probe_times),
-                "received_bytes": self.received_bytes,
-            }
-        )
+        """Return the ledger."""
+        runs = [dataclasses.asdict(run) for run in self.ledger]
+        return web.json_response({"runs": runs})
