--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,6 +1,8 @@
 """
-Small stand-ins for what the platform gives: store, host list, upstreams.
+Small stand-ins for the key-value service, the host list and upstreams.
 
-Used by the tests and by the demo. They are no part of the product and keep
-everything in memory; each can be told to misbehave.
+Used by the features, the demo and ``tools/measure_path``; no part of the
+product. Each listens on loopback, keeps everything in memory and shows faults
+on request: by attribute within a process, by ``POST`` of JSON to ``/control``
+(upstreams: ``/-/control``) between processes.
 """
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -42,7 +42,7 @@
 
 @app.command(name="upstream")
 def run_upstream(*, name: str, port: int = 0, slots: int = 6) -> None:
-    """Run one upstream worker."""
+    """Run one upstream."""
 
     async def main() -> None:
         await _forever(await upstream.Upstream(name, slots).start(port))
--- a/standins/hostlist.py
+++ b/standins/hostlist.py
@@ -1,5 +1,7 @@
 """
-Stand-in for the platform's host list; changes show at once.
+Stand-in for the platform's host list, in which changes show at once.
+
+The protocol is described in ``spindlenotch.drivers.hostlist_http``.
 """
 
 import json
@@ -9,12 +11,13 @@
 
 from standins import faults, server
 
+#: A host as it is sent; see ``spindlenotch.kernel.hostlist``.
 Record = dict[str, typing.Any]
 
 
 class HostList:
     """
-    Hosts by id.
+    The list and its web application.
 
     Invariant: the revision grows with each change.
     """
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,8 +1,8 @@
 """
 Stand-in for the platform's key-value service.
 
-Compare-and-swap, leases, watches, values of up to a megabyte. The protocol is
-described in ``spindlenotch.drivers.store_http``.
+Compare-and-swap, leases and watches; the protocol is described in
+``spindlenotch.drivers.store_http``.
 """
 
 import asyncio
@@ -13,7 +13,8 @@
 
 from standins import faults, server
 
-MAX_VALUE = 1024 * 1024
+#: Largest value in bytes; larger ones are answered with 413. Chosen.
+MAX_VALUE_BYTES = 1024 * 1024
 REVISION = "X-Revision"
 
 
@@ -43,7 +44,7 @@
 
     async def start(self, port: int = 0) -> str:
         """Listen; return the base URL."""
-        app = web.Application(client_max_size=MAX_VALUE + 1)
+        app = web.Application(client_max_size=MAX_VALUE_BYTES + 1)
         app.add_routes(
             [
                 web.get("/kv/{key:.+}", self._get),
@@ -61,7 +62,7 @@
             await self._runner.cleanup()
 
     def live(self, key: str) -> Value | None:
-        """Return the value of ``key`` unless its lease has run out."""
+        """Return the value of ``key`` unless it is absent or its lease expired."""
         value = self.value_by_key.get(key)
         if value is None:
             return None
@@ -106,13 +107,14 @@
         return _answer(self.live(key))
 
     async def _wait_for(self, key: str, after: int, deadline: float) -> None:
+        """Wait until ``key`` changes, the store goes down or time is up."""
         while not self.faults.down:
             value = self.live(key)
-            left = deadline - time.monotonic()
-            if (value is not None and value.revision > after) or left <= 0:
+            left_s = deadline - time.monotonic()
+            if (value is not None and value.revision > after) or left_s <= 0:
                 return
             try:
-                async with asyncio.timeout(left), self.changed:
+                async with asyncio.timeout(left_s), self.changed:
                     await self.changed.wait()
             except TimeoutError:
                 return
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,8 +1,10 @@
 """
-Stand-in for an upstream worker: slots, a queue, faults, and a ledger.
+Stand-in for an upstream: slots, a queue, faults, and a ledger of its runs.
 
-The ledger lists every request that began to run, by the name the test gave it
-in ``X-Work``; it is the oracle for "not run" and "at most once".
+The ledger lists every request that began to run, by the name that its sender
+gave it in ``X-Work``; it is the oracle for "not run" and "at most once".
+Callers may set a request's mean time and the size of its answer's body by
+``ms`` and ``size`` in the query.
 """
 
 import asyncio
@@ -17,11 +19,18 @@
 
 WORK = "X-Work"
 REQUEST_ID = "Spindlenotch-Request-Id"
+#: Time of a request that brings none, in milliseconds. Chosen, not measured.
+DEFAULT_TIMEOUT_MS = 60_000
+#: A truncated answer's announced and sent size, in bytes. Chosen, not measured.
+ANNOUNCED_BYTES = 100_000
+SENT_BYTES = 1_000
+#: How often a frozen upstream looks whether it goes on. Chosen, not measured.
+FROZEN_CHECK_S = 0.01
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One run in the ledger."""
+    """One request that began to run; ``ended`` when its work was done."""
 
     work: str
     request_id: str
@@ -31,13 +40,14 @@
 @dataclasses.dataclass(slots=True)
 class Behaviour:
     """
-    What an upstream is like just now.
+    How an upstream works and which faults it shows.
 
     ``service_ms`` is the mean time of a request, drawn from an exponential
-    distribution unless ``steady``. The rest are faults: ``frozen``,
-    ``fail_fast``, ``draining``, ``shed`` (refuse as not run), ``mix_up``
-    (another's request id), ``truncate`` (die mid-body), ``break_after_run``
-    (run, then cut without an answer).
+    distribution unless ``steady``. The faults: ``frozen`` stops all work,
+    ``fail_fast`` answers 500 at once, ``draining`` announces a planned stop and
+    refuses, ``shed`` refuses as not run, ``mix_up`` echoes another request's
+    id, ``truncate`` cuts the answer's body, ``break_after_run`` runs the
+    request and cuts the connection without an answer.
     """
 
     service_ms: float = 5.0
@@ -53,10 +63,10 @@
 
 class Upstream:
     """
-    One worker.
+    One upstream; refuses as not run when ``queue_limit`` requests wait.
 
     Invariant: at most ``slots`` requests run at once, probes included; a run
-    enters the ledger at the moment it takes its slot.
+    enters the ledger as soon as it has its slot.
     """
 
     def __init__(
@@ -101,14 +111,16 @@
             await self._runner.cleanup()
 
     async def _work(self, request: web.Request) -> web.StreamResponse:
-        now = self.behaviour
-        if now.frozen:
+        behaviour = self.behaviour
+        if behaviour.frozen:
             await asyncio.Event().wait()
-        if now.fail_fast:
-            return web.Response(status=500, headers=self._marks(request))
-        if now.draining or now.shed or self.queued >= self.queue_limit:
+        if behaviour.fail_fast:
+            return web.Response(status=500, headers=self._headers(request))
+        full = self.queued >= self.queue_limit
+        if behaviour.draining or behaviour.shed or full:
             return self._not_run(request)
-        timeout_s = int(request.headers.get("Spindlenotch-Timeout-Ms", 60_000)) / 1000
+        timeout_ms = request.headers.get("Spindlenotch-Timeout-Ms", DEFAULT_TIMEOUT_MS)
+        timeout_s = int(timeout_ms) / 1000
         self.queued += 1
         try:
             async with asyncio.timeout(timeout_s):
@@ -132,7 +144,7 @@
             size += len(piece)
         await asyncio.sleep(self._service_s(request))
         while self.behaviour.frozen:
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(FROZEN_CHECK_S)
         run.ended = True
         if self.behaviour.break_after_run:
             faults.cut(request)
@@ -141,36 +153,39 @@
     async def _answer(
         self, request: web.Request, run: Run, size: int
     ) -> web.StreamResponse:
-        marks = self._marks(request)
+        headers = self._headers(request)
         if self.behaviour.truncate:
-            response = web.StreamResponse(headers={**marks, "Content-Length": "100000"})
+            headers["Content-Length"] = str(ANNOUNCED_BYTES)
+            response = web.StreamResponse(headers=headers)
             await response.prepare(request)
-            await response.write(b"x" * 1000)
+            await response.write(b"x" * SENT_BYTES)
             faults.cut(request)
         text = f"{self.name} ran {run.work} with {size} bytes\n"
-        extra = int(request.query.get("size", 0))
-        return web.Response(text=text + "." * extra, headers=marks)
+        padding = "." * int(request.query.get("size", 0))
+        return web.Response(text=text + padding, headers=headers)
 
     def _service_s(self, request: web.Request) -> float:
-        now = self.behaviour
-        mean = float(request.query.get("ms", now.service_ms)) / 1000
-        return mean if now.steady else self.rng.expovariate(1 / mean)
+        mean_ms = float(request.query.get("ms", self.behaviour.service_ms))
+        mean_s = mean_ms / 1000
+        return mean_s if self.behaviour.steady else self.rng.expovariate(1 / mean_s)
 
     def _not_run(self, request: web.Request) -> web.Response:
-        marks = {"Spindlenotch-Outcome": "not-run", "Retry-After": "1"}
-        return web.Response(status=503, headers={**self._marks(request), **marks})
+        headers = self._headers(request)
+        headers["Spindlenotch-Outcome"] = "not-run"
+        headers["Retry-After"] = "1"
+        return web.Response(status=503, headers=headers)
 
-    def _marks(self, request: web.Request) -> dict[str, str]:
+    def _headers(self, request: web.Request) -> dict[str, str]:
         request_id = request.headers.get(REQUEST_ID, "")
         if self.behaviour.mix_up:
             request_id = "somebody-else"
-        marks = {
+        headers = {
             REQUEST_ID: request_id,
             "Spindlenotch-Load": f"running={self.running},queued={self.queued}",
         }
         if self.behaviour.draining:
-            marks["Spindlenotch-State"] = "draining"
-        return marks
+            headers["Spindlenotch-State"] = "draining"
+        return headers
 
     async def _probe(self, request: web.Request) -> web.Response:
         self.probe_times.append(time.monotonic())
@@ -178,7 +193,7 @@
             await asyncio.Event().wait()
         async with self._slots:
             await asyncio.sleep(self.probe_ms / 1000)
-        return web.Response(headers=self._marks(request))
+        return web.Response(headers=self._headers(request))
 
     async def _control(self, request: web.Request) -> web.Response:
         """Change the behaviour by JSON."""
