--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -1,8 +1,8 @@
 """
 Stand-in for the platform's metadata store, by its published protocol.
 
-Keys with revisions, paged ranges, watches, conditional writes and leases,
-and the faults that the platform's pages name. Runs in the test's own loop.
+Keys with revisions, paged ranges, watches and conditional writes: the calls
+that the adapter makes, no others. Runs in the scenario's own loop.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 from aiohttp import web
 
-from standins import faults as cuts, server
+from standins import server
 
 PAGE = 50
 
@@ -27,7 +27,6 @@
     value: bytes
     revision: int
     made: int
-    lease: int = 0
 
     def as_json(self) -> dict[str, typing.Any]:
         """Return the item as it is sent."""
@@ -36,7 +35,7 @@
             "value": base64.b64encode(self.value).decode(),
             "revision": self.revision,
             "made": self.made,
-            "lease": self.lease,
+            "lease": 0,
         }
 
 
@@ -45,14 +44,12 @@
     """
     What is wrong just now.
 
-    ``refuse`` answers this status; ``silent`` never answers; ``lose`` does so
-    many writes and gives no answer; ``delay_s`` slows every answer.
+    ``refuse`` is the status that every call is answered with, 0: none;
+    ``silent`` never answers.
     """
 
     refuse: int = 0
     silent: bool = False
-    lose: int = 0
-    delay_s: float = 0.0
 
 
 class PlatformStore:
@@ -64,7 +61,6 @@
         self.log: list[dict[str, typing.Any]] = []
         self.forgotten = 0
         self.revision = 0
-        self.lease_end_by_id: dict[int, float] = {}
         self.calls_by_name: dict[str, int] = {}
         self.address = ""
         self._changed = asyncio.Event()
@@ -73,13 +69,9 @@
     async def start(self) -> None:
         """Listen on a free loopback port."""
         app = web.Application()
-        app.router.add_get("/kv-key", self._key)
         app.router.add_get("/kv-range", self._range)
         app.router.add_get("/kv-watch", self._watch)
         app.router.add_post("/kv-txn", self._txn)
-        app.router.add_post("/kv-lease", self._lease)
-        app.router.add_post("/kv-keep/{lease}", self._keep)
-        app.router.add_delete("/kv-lease-end/{lease}", self._end_lease)
         self._runner, self.address = await server.serve(app)
 
     async def close(self) -> None:
@@ -87,13 +79,13 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def put(self, key: str, value: typing.Any, lease: int = 0) -> int:
+    def put(self, key: str, value: typing.Any) -> int:
         """Write a key as the operator or a worker does; return the revision."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         old = self.item_by_key.get(key)
         made = old.made if old else self.revision
-        item = Item(key, data, self.revision, made, lease)
+        item = Item(key, data, self.revision, made)
         self.item_by_key[key] = item
         self._log(item.as_json())
         return self.revision
@@ -120,31 +112,12 @@
 
     async def _before(self, request: web.Request, name: str) -> web.Response | None:
         self.calls_by_name[name] = self.calls_by_name.get(name, 0) + 1
-        self._end_leases()
         if self.trouble.silent:
             await asyncio.sleep(3600)
-        if self.trouble.delay_s:
-            await asyncio.sleep(self.trouble.delay_s)
         if self.trouble.refuse:
             return web.Response(status=self.trouble.refuse)
         return None
 
-    def _end_leases(self) -> None:
-        over = [i for i, end in self.lease_end_by_id.items() if end < time.monotonic()]
-        for lease in over:
-            del self.lease_end_by_id[lease]
-            for key in [k for k, i in self.item_by_key.items() if i.lease == lease]:
-                self.remove(key)
-
-    async def _key(self, request: web.Request) -> web.Response:
-        refused = await self._before(request, "key")
-        if refused is not None:
-            return refused
-        item = self.item_by_key.get(request.query["key"])
-        if item is None:
-            return web.Response(status=404)
-        return web.json_response({**item.as_json(), "at": self.revision})
-
     async def _range(self, request: web.Request) -> web.Response:
         refused = await self._before(request, "range")
         if refused is not None:
@@ -193,39 +166,7 @@
                     {"items": [item.as_json() if item else {}]}, status=412
                 )
         for row in body.get("put", []):
-            lease = row.get("lease", 0)
-            if lease and lease not in self.lease_end_by_id:
-                return web.Response(status=404)
-        for row in body.get("put", []):
-            value = base64.b64decode(row["value"])
-            self.put(row["key"], value, row.get("lease", 0))
+            self.put(row["key"], base64.b64decode(row["value"]))
         for key in body.get("remove", []):
             self.remove(key)
-        if self.trouble.lose > 0:
-            self.trouble.lose -= 1
-            cuts.cut(request)
         return web.json_response({"revision": self.revision})
-
-    async def _lease(self, request: web.Request) -> web.Response:
-        refused = await self._before(request, "lease")
-        if refused is not None:
-            return refused
-        ttl_s = (await request.json())["ttl_s"]
-        lease = 77_000 + len(self.lease_end_by_id)
-        self.lease_end_by_id[lease] = time.monotonic() + ttl_s
-        return web.json_response({"lease": lease, "ttl_s": ttl_s})
-
-    async def _keep(self, request: web.Request) -> web.Response:
-        refused = await self._before(request, "keep")
-        if refused is not None:
-            return refused
-        lease = int(request.match_info["lease"])
-        if lease not in self.lease_end_by_id:
-            return web.Response(status=404)
-        self.lease_end_by_id[lease] = time.monotonic() + 3
-        return web.json_response({"ttl_s": 3})
-
-    async def _end_lease(self, request: web.Request) -> web.Response:
-        self.lease_end_by_id[int(request.match_info["lease"])] = 0.0
-        self._end_leases()
-        return web.Response()
--- a/features/support/platform_worker.py
+++ b/features/support/platform_worker.py
@@ -55,13 +55,10 @@
         self.id = worker_id
         self.work_s = work_s
         self.mode = Mode.GOOD
-        self.healthy = True
-        self.pace = 100
         self.running = 0
         self.runs: list[tuple[str, str, bytes]] = []
         self.heads: list[Head] = []
         self.cancelled = 0
-        self.connections = 0
         self.address = ""
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -82,7 +79,6 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.connections += 1
         self._writers.add(writer)
         try:
             while await self._one(reader, writer):
@@ -98,8 +94,7 @@
     ) -> bool:
         head = _parse(await reader.readuntil(b"\r\n\r\n"))
         if head.target.startswith("/health"):
-            status = "200 OK" if self.healthy else "503 Service Unavailable"
-            writer.write(self._head(status, "", 0))
+            writer.write(self._head("200 OK", "", 0))
             return True
         self.heads.append(head)
         request_id = head.fields.get("x-spindlenotch-request-id", "")
@@ -200,7 +195,7 @@
             f"HTTP/1.1 {status}\r\n{framing}{echo}{extra}"
             f"X-Spindlenotch-Server-Stamp: {STAMP}\r\n"
             f"X-Spindlenotch-Instance-Id: {self.id}\r\n"
-            f"X-Spindlenotch-Server-Load: {self.running},0,8,{self.pace}\r\n\r\n"
+            f"X-Spindlenotch-Server-Load: {self.running},0,8,100\r\n\r\n"
         ).encode()
 
 
