--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -23,7 +23,7 @@
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
 from spindlenotch.decisions import balancer
-from spindlenotch.drivers import upstream_http
+from spindlenotch.drivers import upstream_dialect
 from spindlenotch.entry import claims, explain, plugins, readiness, settings
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
@@ -38,7 +38,7 @@
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
 from spindlenotch.peers import documents, messages, wire_format
-from spindlenotch_platform import boot, speech
+from spindlenotch_platform import http_dialect, settings_file
 
 #: Numbers on the wire whose names are in log lines and in the state.
 NUMBERED = {
@@ -210,7 +210,7 @@
         "SPINDLENOTCH_SEED": "17",
         "SPINDLENOTCH_ENTRIES_PER_ZONE": "2",
     }
-    return boot.read_settings(environment)
+    return settings_file.read_settings(environment)
 
 
 def settings_samples() -> list[Sample]:
@@ -494,7 +494,7 @@
 
 def dialects() -> Plain:
     """Return how each dialect speaks, its functions by what they answer."""
-    assert speech.REQUEST_ID
+    assert http_dialect.REQUEST_ID
     return {name: _spoken(name) for name in dialect.DIALECTS.names()}
 
 
@@ -503,11 +503,11 @@
     directory = dialect.Directory((ids.Address("127.0.0.1:1"),), 2.5)
     towards = spoken.upstream
     marks = _Marks()
-    report = towards.read_report(marks)
+    report = towards.read_load(marks)
     for status in STATUSES:
-        towards.genuine(status, marks)
-        towards.not_run(status, marks)
-        towards.leaving(status, marks)
+        towards.is_genuine(status, marks)
+        towards.is_not_run(status, marks)
+        towards.is_draining(status, marks)
     return {
         "request id": spoken.request_id,
         "deadline": spoken.deadline_ms,
@@ -543,7 +543,7 @@
 def registered() -> Plain:
     """Return the registered names by what they are names of."""
     plugins.load()
-    assert upstream_http.NATIVE and speech.REQUEST_ID
+    assert upstream_dialect.NATIVE and http_dialect.REQUEST_ID
     registries: dict[str, typing.Any] = {
         "clocks": clock.CLOCKS,
         "dialects": dialect.DIALECTS,
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -17,7 +17,7 @@
 from spindlenotch import clock, ids, metrics
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
 from spindlenotch.cli import publishing
-from spindlenotch.drivers import store_http
+from spindlenotch.drivers import http_client, store_http
 from spindlenotch.entry import claims, entry_state, once, plugins, settings
 from spindlenotch.gateway import (
     fleet as fleets,
@@ -38,7 +38,7 @@
     peer_seal,
     workload,
 )
-from spindlenotch_platform import documents as platform_documents, store
+from spindlenotch_platform import records, store
 
 Sample = recorded.Sample
 Result = typing.TypeVar("Result")
@@ -599,7 +599,8 @@
     """Return the store's driver over a session that answers so."""
     found = store_http.HttpStore(STORE_URL)
     session = recorded.Session(*answers)
-    found._session = typing.cast(typing.Any, session)
+    opened = typing.cast(typing.Any, session)
+    found.session = http_client.LazySession(lambda: opened)
     return found, session
 
 
@@ -668,9 +669,10 @@
 
 def platform_source(body: bytes) -> tuple[store.PlatformSource, recorded.Session]:
     """Return the platform's source over a session that answers so, once."""
-    found = store.PlatformSource(STORE_URL)
+    found = store.create(STORE_URL)
     session = recorded.Session(recorded.Answer(200, body, {}))
-    found._session = typing.cast(typing.Any, session)
+    opened = typing.cast(typing.Any, session)
+    found.client.session = http_client.LazySession(lambda: opened)
     return found, session
 
 
@@ -719,21 +721,21 @@
             "platform-configuration.json",
             "json",
             configuration(),
-            read=platform_documents.read_configuration,
+            read=records.read_configuration,
             strangers="passed over",
         ),
         Sample(
             "platform-configuration-bare.json",
             "json",
             bare_platform_configuration(),
-            read=platform_documents.read_configuration,
+            read=records.read_configuration,
             bare=True,
         ),
         Sample(
             "platform-worker.json",
             "json",
             listed()[1],
-            read=lambda data: platform_documents.read_worker("servers/up-2", data),
+            read=lambda data: records.read_upstream("servers/up-2", data),
             strangers="passed over",
         ),
     ]
--- a/spindlenotch/drivers/store_http.py
+++ b/spindlenotch/drivers/store_http.py
@@ -1,5 +1,5 @@
 """
-Driver for the platform's key-value service over HTTP.
+Driver for the platform's key-value service over HTTP; owns one session.
 
 Protocol: ``GET /kv/KEY``, ``PUT /kv/KEY?expected=REVISION[&lease_s=S]``,
 ``GET /watch/KEY?after=REVISION&wait_s=S``; the revision travels in the header
@@ -9,10 +9,23 @@
 import aiohttp
 
 from spindlenotch import ports
+from spindlenotch.drivers import http_client
 
+#: Longest time of a read or write, in seconds. Chosen, not measured.
 CALL_TIMEOUT_S = 1.5
+#: What a watch may take beyond the wait it asked for. Chosen, not measured.
 WATCH_GRACE_S = 2.0
+#: Connections open at once, waiting watches included. Chosen, not measured.
+CONNECTIONS = 64
 REVISION = "X-Revision"
+OK = 200
+NOT_FOUND = 404
+CONFLICT = 409
+LEAST_SERVER_ERROR = 500
+FAULT_BY_STATUS = {
+    413: ports.StoreFault.TOO_LARGE,
+    429: ports.StoreFault.OVER_LIMIT,
+}
 
 
 @ports.STORES.register("http")
@@ -25,7 +38,7 @@
 
     def __init__(self, base_url: str) -> None:
         self.base_url = base_url.rstrip("/")
-        self._session: aiohttp.ClientSession | None = None
+        self.session = http_client.LazySession(_new_session)
 
     async def get(self, key: str) -> ports.Stored | ports.StoreFault:
         """Read ``key``; an absent one has revision zero."""
@@ -39,7 +52,7 @@
         if lease_s is not None:
             params["lease_s"] = str(lease_s)
         try:
-            async with self._open().put(
+            async with self.session.get().put(
                 f"{self.base_url}/kv/{key}",
                 params=params,
                 data=value,
@@ -49,10 +62,11 @@
                 revision = int(response.headers.get(REVISION, "0"))
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
+            # Whatever the cause, the write may have taken effect.
             return ports.StoreFault.UNAVAILABLE
-        if response.status == 200:
+        if response.status == OK:
             return ports.Stored(revision, value)
-        if response.status == 409:
+        if response.status == CONFLICT:
             return ports.Conflict(revision)
         return _fault(response.status)
 
@@ -65,14 +79,13 @@
 
     async def close(self) -> None:
         """Drop all connections."""
-        if self._session is not None:
-            await self._session.close()
+        await self.session.close()
 
     async def _read(
         self, path: str, params: dict[str, str], timeout_s: float
     ) -> ports.Stored | ports.StoreFault:
         try:
-            async with self._open().get(
+            async with self.session.get().get(
                 self.base_url + path,
                 params=params,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
@@ -81,27 +94,25 @@
                 body = await response.read()
                 revision = int(response.headers.get(REVISION, "0"))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
+            # Callers act alike on each cause: they keep what they have.
             return ports.StoreFault.UNAVAILABLE
-        if response.status == 200:
+        if response.status == OK:
             return ports.Stored(revision, body)
-        if response.status == 404:
+        if response.status == NOT_FOUND:
             return ports.Stored(0, b"")
         return _fault(response.status)
 
-    def _open(self) -> aiohttp.ClientSession:
-        if self._session is None:
-            self._session = aiohttp.ClientSession(
-                cookie_jar=aiohttp.DummyCookieJar(),
-                connector=aiohttp.TCPConnector(limit=64, use_dns_cache=False),
-            )
-        return self._session
+
+def _new_session() -> aiohttp.ClientSession:
+    # aiohttp may repeat a write where a kept connection drops. The expected
+    # revision keeps it from taking effect twice, but the repeat of a write that
+    # did take effect is answered as a conflict with itself.
+    return http_client.new_session(connections=CONNECTIONS, caches_addresses=False)
 
 
 def _fault(status: int) -> ports.StoreFault:
-    if status == 413:
-        return ports.StoreFault.TOO_LARGE
-    if status == 429:
-        return ports.StoreFault.OVER_LIMIT
-    if status >= 500:
+    if status in FAULT_BY_STATUS:
+        return FAULT_BY_STATUS[status]
+    if status >= LEAST_SERVER_ERROR:
         return ports.StoreFault.UNAVAILABLE
     return ports.StoreFault.REJECTED
