--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -38,6 +38,7 @@
 )
 from spindlenotch.kernel import hostlist, outcomes, upstreams, waiting
 from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.settings import schema
 from spindlenotch_platform import boot, speech
 
 #: Numbers on the wire whose names are in log lines and in the state.
@@ -190,7 +191,7 @@
     )
 
 
-def setting_rows(rows: abc.Iterable[settings.Setting]) -> Plain:
+def setting_rows(rows: abc.Iterable[schema.Setting]) -> Plain:
     """Return a table of settings by name."""
     return {
         row.name: {
--- a/spindlenotch/cli/cli.py
+++ b/spindlenotch/cli/cli.py
@@ -17,6 +17,7 @@
 from spindlenotch.cli import cli_bundle, cli_load, explain_client, explain_logs
 from spindlenotch.entry import daemon, settings
 from spindlenotch.gateway import daemon as gateway_daemon, settings as gateway_settings
+from spindlenotch.settings import schema
 
 EXIT_USAGE = 2
 EXIT_FAILED = 1
@@ -30,9 +31,9 @@
 app.command(cli_load.app, name="caller")
 
 
-def _help(head: str, table: abc.Iterable[settings.Setting]) -> str:
+def _help(head: str, rows: abc.Iterable[schema.Setting]) -> str:
     lines = [head, "", "Settings, as flag or variable:"]
-    for s in table:
+    for s in rows:
         default = "required" if s.default is None else f"default {s.default or 'empty'}"
         lines.append(
             f"* `{s.flag}` / `{s.variable}`: {s.meaning} ({s.kind.allowed}; {default})"
@@ -41,11 +42,11 @@
 
 
 def _unknown(
-    flags: abc.Mapping[str, str], table: abc.Iterable[settings.Setting]
-) -> list[settings.Fault]:
-    known = {s.name for s in table}
+    flags: abc.Mapping[str, str], rows: abc.Iterable[schema.Setting]
+) -> list[schema.Fault]:
+    known = {s.name for s in rows}
     return [
-        settings.Fault(f"--{name.replace('_', '-')}", value, "a known setting")
+        schema.Fault(f"--{name.replace('_', '-')}", value, "a known setting")
         for name, value in flags.items()
         if name not in known
     ]
@@ -90,7 +91,7 @@
     given = {name.replace("-", "_"): value for name, value in flags.items()}
     faults = _unknown(given, gateway_settings.SETTINGS)
 
-    def read() -> gateway_settings.GatewaySettings | list[settings.Fault]:
+    def read() -> gateway_settings.GatewaySettings | list[schema.Fault]:
         values = gateway_settings.read_file(settings_file) if settings_file else {}
         if isinstance(values, list):
             return values
--- /dev/null
+++ b/spindlenotch/settings/__init__.py
@@ -0,0 +1,3 @@
+"""
+How a daemon reads its settings: typed rows, one reader, one reference table.
+"""
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -11,6 +11,7 @@
 from spindlenotch.bundles import bundle_check
 from spindlenotch.entry import settings
 from spindlenotch.gateway import settings as gateway_settings
+from spindlenotch.settings import schema
 
 DOCS = pathlib.Path(__file__).parents[1] / "docs"
 BEGIN = "<!-- made from the code: begin -->"
@@ -51,11 +52,9 @@
     """Return the whole text of every page with a part made from the code."""
     return {
         "EVENTS.md": events.catalogue(),
-        "OPERATIONS.md": _filled(
-            "OPERATIONS.md", settings.reference(settings.SETTINGS)
-        ),
+        "OPERATIONS.md": _filled("OPERATIONS.md", schema.reference(settings.SETTINGS)),
         "GATEWAY.md": _filled(
-            "GATEWAY.md", settings.reference(gateway_settings.SETTINGS)
+            "GATEWAY.md", schema.reference(gateway_settings.SETTINGS)
         ),
         "BUNDLE.md": _filled("BUNDLE.md", bundle_reference()),
     }
