--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -94,11 +94,11 @@
     ),
     Mutant(
         "a new bundle is not passed on and the store not watched",
-        "entry/control",
-        "            if stored.revision > self._store_revision:\n"
-        "                self._offer_stored(stored)",
-        "            if stored.revision > self._store_revision + 10**6:\n"
-        "                self._offer_stored(stored)",
+        "entry/store_reader",
+        "            if stored.revision > self._revision:\n"
+        "                self._offer(stored)",
+        "            if stored.revision > self._revision + 10**6:\n"
+        "                self._offer(stored)",
     ),
     Mutant(
         "the right to probe outlives its lease",
