--- a/features/support/machine.py
+++ b/features/support/machine.py
@@ -11,7 +11,7 @@
 
 from features.support import virtual_fleet, world as worlds
 from spindlenotch import headers
-from spindlenotch.entry import measuring, plugins
+from spindlenotch.entry import plugins, probe_lease
 from spindlenotch.kernel import outcomes
 
 HOSTS = ("e0", "e1", "e2", "e3")
@@ -317,7 +317,7 @@
         bundle = entry.state.bundle
         if bundle is None:
             return
-        allowed = measuring.per_window(
+        allowed = probe_lease.probes_per_window(
             bundle, next(iter(bundle.service_by_name.values()))
         )
         for state in self.fleet.upstreams.upstream_by_address.values():
--- a/features/support/machines.py
+++ b/features/support/machines.py
@@ -51,7 +51,7 @@
     @stateful.rule(seconds=strategies.sampled_from((8.5, 11.0, 14.0)))
     def freeze_holders(self, seconds: float) -> None:
         """Whoever holds the right is paused until the lease has lapsed."""
-        holders = [e for e in self.fleet.living() if e.measuring.right_by_service]
+        holders = [e for e in self.fleet.living() if e.prober.leases.lease_by_service]
         for entry in holders:
             entry.loop.frozen = True
         self.fleet.world.run(seconds)
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -22,9 +22,9 @@
     control,
     entry_state,
     front,
-    measuring,
     once,
     once_path,
+    prober,
     settings,
     texts,
 )
@@ -88,7 +88,7 @@
         self.front = front.Front(
             self.state, self.path, self.once_path, self.control.paused
         )
-        self.measuring = measuring.Measuring(
+        self.prober = prober.Prober(
             self.state, self.store, port, self.control.spread_drain_notice
         )
         everything.upstreams.forward_by_address[self.address] = self._forwarded
@@ -104,7 +104,7 @@
     async def _start(self) -> None:
         await self.control.start()
         self.state.set_addresses(ids.Address(self.address), ids.Address(self.address))
-        self.measuring.start()
+        self.prober.start()
 
     def record(self) -> dict[str, typing.Any]:
         """Return this entry as the host list shows it."""
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -15,10 +15,10 @@
     control,
     entry_state,
     front,
-    measuring,
     once_path,
     operator_port,
     plugins,
+    prober,
     settings,
 )
 from spindlenotch.forwarding import data_path
@@ -57,7 +57,7 @@
         self.front = front.Front(state, self.path, self.once_path, self.control.paused)
         self.callers = caller_port.CallerPort(state, self.front)
         self.operators = operator_port.OperatorPort(state)
-        self.measuring = measuring.Measuring(
+        self.prober = prober.Prober(
             state, store, upstream_port, self.control.spread_drain_notice
         )
         self.operator_address = ids.Address("")
@@ -72,7 +72,7 @@
         self.operator_address = await self.operators.start(operator_host, operator_bind)
         peer_listen = await self.control.start()
         self.state.set_addresses(listen, peer_listen)
-        self.measuring.start()
+        self.prober.start()
         events.emit(
             events.Event.STARTED,
             host=config.host,
@@ -105,7 +105,7 @@
     async def close(self) -> None:
         """Close everything now."""
         await self.callers.close()
-        await self.measuring.stop()
+        await self.prober.stop()
         await self.control.stop()
         await self.operators.close()
         await self.upstream_port.close()
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -102,7 +102,7 @@
     ),
     Mutant(
         "the right to probe outlives its lease",
-        "entry/measuring",
+        "entry/probe_lease",
         "return self.revision > 0 and now < self.until",
         "return True",
     ),
