--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -36,9 +36,10 @@
             "remembered": len(state.once.record_by_key),
             "capacity": state.once.capacity,
             "joined": state.once.joined,
-            "forwarded": state.counters.forwarded,
+            # Nothing counts these; the key stays for those who read it.
+            "forwarded": 0,
         },
-        "pauses": state.counters.pauses,
+        "pauses": state.pauses,
         "services": {
             name: _service(service, now)
             for name, service in state.balancer_by_service.items()
