--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -24,9 +24,12 @@
 from spindlenotch.forwarding import data_path
 from spindlenotch.peers import peer_link
 
-#: Added to the time answers are kept, for the way of a last answer and for
-#: the news of the stop to reach every peer.
+#: Seconds added to the time that callers keep an answer, for the last answer to
+#: arrive and for all peers to learn of the stop. Chosen, not measured.
 STOP_ALLOWANCE_S = 1.0
+#: Registered names of what the daemon runs on.
+DRIVER = "http"
+CLOCK = "boottime"
 
 
 class Entry:
@@ -114,13 +117,13 @@
         events.emit(events.Event.STOPPED, host=self.state.config.host)
 
 
-def create(config: settings.EntrySettings, drivers: str = "http") -> Entry:
-    """Build an entry from settings with the drivers of that name."""
+def create(config: settings.EntrySettings) -> Entry:
+    """Build an entry with the drivers that the daemon uses."""
     plugins.load(config.plugins)
-    state = entry_state.EntryState(config, clock.CLOCKS.get("boottime")())
+    state = entry_state.EntryState(config, clock.CLOCKS.get(CLOCK)())
     return Entry(
-        state,
-        ports.STORES.get(drivers)(config.store),
-        ports.HOST_LISTS.get(drivers)(config.host_list),
-        ports.UPSTREAM_PORTS.get(drivers)(),
+        state=state,
+        store=ports.STORES.get(DRIVER)(config.store),
+        host_list=ports.HOST_LISTS.get(DRIVER)(config.host_list),
+        upstream_port=ports.UPSTREAM_PORTS.get(DRIVER)(),
     )
