--- a/spindlenotch/entry/confirmation.py
+++ b/spindlenotch/entry/confirmation.py
@@ -58,7 +58,7 @@
 
     def pause_detected(self) -> None:
         """Begin to check the bundle after this process was paused."""
-        self.state.pauses += 1
+        self.state.counters.pauses += 1
         events.emit(events.Event.WAS_PAUSED)
         self.state.publish_status()
         self._needed.set()
@@ -92,7 +92,7 @@
             return
         self.state.publish_status()
         event = events.Event.READY
-        if self.state.pauses:
+        if self.state.counters.pauses:
             event = events.Event.CONFIRMED
         events.emit(event, host=self.state.config.host)
         self.state.members_changed()
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -6,6 +6,7 @@
 dump of it is what the operator port shows.
 """
 
+import dataclasses
 import random
 import secrets
 
@@ -26,6 +27,14 @@
 }
 
 
+@dataclasses.dataclass(slots=True)
+class Counters:
+    """Plain counts for the state dump."""
+
+    forwarded: int = 0
+    pauses: int = 0
+
+
 class EntryState:
     """
     The state of one life of one entry process.
@@ -51,7 +60,7 @@
         self.once = once.OnceTable(config.once_capacity)
         self.mint = once.Mint(config.host, self.incarnation, secrets.token_bytes(32))
         self.metrics = metrics.Metrics()
-        self.pauses = 0
+        self.counters = Counters()
         self.started_at = now
         self.calls = 0
 
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -36,10 +36,9 @@
             "remembered": len(state.once.record_by_key),
             "capacity": state.once.capacity,
             "joined": state.once.joined,
-            # Nothing counts these; the key stays for those who read it.
-            "forwarded": 0,
+            "forwarded": state.counters.forwarded,
         },
-        "pauses": state.pauses,
+        "pauses": state.counters.pauses,
         "services": {
             name: _service(service, now)
             for name, service in state.balancer_by_service.items()
