--- a/spindlenotch/clock.py
+++ b/spindlenotch/clock.py
@@ -1,8 +1,9 @@
 """
-Clocks, as a port with drivers.
+The clock port and its drivers.
 
-The kernel takes instants; only the daemons ask a clock. ``boottime`` counts
-the time a host was suspended, so a deadline that passed meanwhile is passed.
+Only the daemons read a clock; the kernel is given instants. Every clock has a
+steady time for deadlines and the wall-clock time for what people and other
+hosts compare. A driver registers in ``CLOCKS`` when it is imported.
 """
 
 import time
@@ -13,13 +14,13 @@
 
 
 class Clock(typing.Protocol):
-    """Tells the time in two ways."""
+    """A steady clock and a wall clock."""
 
     def now(self) -> ids.Instant:
-        """Return the instant on the steady clock, in seconds."""
+        """Return the steady time in seconds; it never goes back."""
 
     def unix_s(self) -> float:
-        """Return the wall-clock time in seconds since 1970."""
+        """Return the wall-clock time in seconds since 1970; it may be adjusted."""
 
 
 CLOCKS: registry.Registry[abc.Callable[[], Clock]] = registry.Registry("clock")
@@ -27,10 +28,15 @@
 
 @CLOCKS.register("boottime")
 class BoottimeClock:
-    """The host's clock; counts suspended time."""
+    """
+    The host's clocks.
+
+    The steady one also counts the time for which the host was suspended, so
+    that a deadline which passed meanwhile counts as passed.
+    """
 
     def now(self) -> ids.Instant:
-        """Return seconds since the host was started."""
+        """Return the seconds since the host was started."""
         return ids.Instant(time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def unix_s(self) -> float:
@@ -40,21 +46,22 @@
 
 @CLOCKS.register("manual")
 class ManualClock:
-    """A clock that stands still until it is moved; for tests and benches."""
+    """A clock that moves only when it is advanced; for tests and tools."""
 
     def __init__(self) -> None:
+        # Arbitrary, and far from zero: a default of zero must not pass for now.
         self.instant = ids.Instant(1000.0)
         self.wall = 1_700_000_000.0
 
     def now(self) -> ids.Instant:
-        """Return the instant it was set to."""
+        """Return the steady time, in seconds."""
         return self.instant
 
     def unix_s(self) -> float:
-        """Return the wall-clock time it was set to."""
+        """Return the wall-clock time, in seconds since 1970."""
         return self.wall
 
     def advance(self, seconds: float) -> None:
-        """Move both clocks forward."""
+        """Move both times forward."""
         self.instant = ids.later(self.instant, seconds)
         self.wall += seconds
--- a/spindlenotch/ids.py
+++ b/spindlenotch/ids.py
@@ -1,27 +1,38 @@
 """
-Identifier and time types.
+Types of identifiers and of time.
 
-Every other module uses these names so that mypy keeps, say, a host id from
-being passed where an upstream id is meant. This module sits at the bottom of
-the layers and imports nothing of the package.
+They let mypy catch, say, a host id that is passed for an upstream id. Owns
+nothing at run time, sits at the bottom of the layers and imports nothing of
+the package.
 """
 
 import typing
 
+#: Name of a service, as the bundle or the routes give it.
 ServiceName = typing.NewType("ServiceName", str)
+
+#: Id of an upstream in the host list or the source.
 UpstreamId = typing.NewType("UpstreamId", str)
+
+#: Id of a host of the entry fleet; a gateway's too.
 HostId = typing.NewType("HostId", str)
+
+#: Name of an availability zone.
 ZoneName = typing.NewType("ZoneName", str)
+
+#: Name of a client account.
 CallerName = typing.NewType("CallerName", str)
+
+#: Name of a priority class of requests.
 ClassName = typing.NewType("ClassName", str)
 
-#: Name of one request as it travels through the system.
+#: Id of one request, the same in every process that handles it.
 CallId = typing.NewType("CallId", str)
 
-#: Random name of one life of one entry process. A restart gets a new one.
+#: Random id of one run of a process; each restart gets a new one.
 Incarnation = typing.NewType("Incarnation", str)
 
-#: Number of a signed bundle. Grows by one with each accepted bundle.
+#: Version of a signed bundle; grows by one with each accepted bundle.
 BundleVersion = typing.NewType("BundleVersion", int)
 
 #: SHA-256 of the bundle text, as 64 hexadecimal digits.
@@ -30,10 +41,11 @@
 #: ``IP:port``.
 Address = typing.NewType("Address", str)
 
-#: Seconds on a clock that never runs backwards and counts suspended time.
-#: Deadlines are instants; durations are never stored.
+#: A point on the steady clock (``clock.Clock.now``), in seconds. Deadlines are
+#: stored as instants, never as durations.
 Instant = typing.NewType("Instant", float)
 
+#: Later than any instant.
 NEVER = Instant(float("inf"))
 
 
--- a/spindlenotch/metrics.py
+++ b/spindlenotch/metrics.py
@@ -1,13 +1,18 @@
 """
-Prometheus metrics of one process, in a registry of its own.
+The Prometheus metrics of one process.
 
-Rendered in the loop by the operator port. Labels take only names from the
-bundle, so their number is bounded.
+Owns the metrics and the registry that holds them, so that several processes'
+worth can live in one test. Both daemons count into it; their operator ports
+render it. Labels take only names from the bundle and from enumerations, which
+bounds the number of series.
 """
 
 import prometheus_client
 
-MILLISECOND_BUCKETS = (
+#: Upper bounds of the request time's buckets, in seconds. 0.0016 is the limit at
+#: p99 of what an entry adds (docs/MEASUREMENTS.md, "What an entry adds"); the
+#: others are chosen, not measured.
+REQUEST_TIME_BUCKETS_S = (
     0.0005,
     0.001,
     0.0016,
@@ -24,7 +29,7 @@
 
 
 class Metrics:
-    """All metrics of an entry. Times are in seconds."""
+    """All metrics of a process. Times are in seconds."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
@@ -38,7 +43,7 @@
             "spindlenotch_request_seconds",
             "From the head of a request to the end of its answer",
             ("service",),
-            buckets=MILLISECOND_BUCKETS,
+            buckets=REQUEST_TIME_BUCKETS_S,
             registry=self.registry,
         )
         self.extra_sends = prometheus_client.Counter(
@@ -95,5 +100,5 @@
         )
 
     def render(self) -> bytes:
-        """Return the text format."""
+        """Return all metrics in Prometheus' text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/spindlenotch/registry.py
+++ b/spindlenotch/registry.py
@@ -1,9 +1,9 @@
 """
-Registries that decorators fill.
+Registries of factories, filled by decorators.
 
-The kernel finds its plug-ins (selection policies, store drivers, clocks) here
-by the name that the bundle or the settings give. A plug-in module registers
-its factory when it is imported; ``plugins.load`` imports them all.
+Selection policies, drivers, dialects and clocks are found by the name that the
+bundle or the settings give. A plug-in module registers its factory when it is
+imported; ``entry.plugins.load`` imports those of the entry daemon.
 """
 
 import typing
@@ -14,10 +14,9 @@
 
 class Registry(typing.Generic[Factory]):
     """
-    Factories by name.
+    The factories of one ``kind``, by name.
 
-    A name is taken once: registering it again is a programming error and
-    raises ``ValueError``.
+    Registering a name twice is a programming error and raises ``ValueError``.
     """
 
     def __init__(self, kind: str) -> None:
@@ -25,18 +24,18 @@
         self.factory_by_name: dict[str, Factory] = {}
 
     def register(self, name: str) -> abc.Callable[[Factory], Factory]:
-        """Return a decorator that files the factory under ``name``."""
+        """Return a decorator that registers a factory as ``name``."""
 
-        def file(factory: Factory) -> Factory:
+        def add(factory: Factory) -> Factory:
             if name in self.factory_by_name:
                 raise ValueError(f"{self.kind} {name!r} is registered twice")
             self.factory_by_name[name] = factory
             return factory
 
-        return file
+        return add
 
     def get(self, name: str) -> Factory:
-        """Return the factory of ``name``; raise ``KeyError`` where none is."""
+        """Return the factory of ``name``; raise ``KeyError`` if there is none."""
         return self.factory_by_name[name]
 
     def names(self) -> tuple[str, ...]:
