--- a/spindlenotch/clock.py
+++ b/spindlenotch/clock.py
@@ -49,7 +49,7 @@
     """A clock that moves only when it is advanced; for tests and tools."""
 
     def __init__(self) -> None:
-        # Arbitrary, and far from zero: a default of zero must not pass for now.
+        # Arbitrary starting points.
         self.instant = ids.Instant(1000.0)
         self.wall = 1_700_000_000.0
 
--- a/spindlenotch/metrics.py
+++ b/spindlenotch/metrics.py
@@ -1,10 +1,10 @@
 """
 The Prometheus metrics of one process.
 
-Owns the metrics and the registry that holds them, so that several processes'
-worth can live in one test. Both daemons count into it; their operator ports
-render it. Labels take only names from the bundle and from enumerations, which
-bounds the number of series.
+Owns the metrics and the registry that holds them; the demo and tests run
+several entries in one process. Both daemons count into it; their operator
+ports render it. Labels take only names from the bundle and from enumerations,
+which bounds the number of series.
 """
 
 import prometheus_client
