--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -20,6 +20,7 @@
 from spindlenotch.entry import (
     claims,
     control,
+    documents_in_force,
     entry_state,
     front,
     once,
@@ -249,7 +250,9 @@
             envelope, frozenset({SEED_KEYS[1]}), selection.POLICIES.names()
         )
         assert isinstance(opened, bundle_seal.Opened)
-        frame = peer_seal.DocumentFrame(1, False, entry_state.document_of(opened))
+        frame = peer_seal.DocumentFrame(
+            1, False, documents_in_force.document_of(opened)
+        )
         self.world.deliver(
             entry.loop, fakes.WAY_S, lambda: entry.control._on_frame(frame) and None
         )
@@ -359,4 +362,4 @@
 
 def document_version(entry: VirtualEntry) -> int:
     """Return the bundle version in force at an entry."""
-    return entry.state.fence.version(documents.DocumentKind.BUNDLE)
+    return entry.state.documents.fence.version(documents.DocumentKind.BUNDLE)
--- a/spindlenotch/cli/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -17,7 +17,7 @@
 from spindlenotch import ids, metrics, ports, selection
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
 from spindlenotch.cli import publishing
-from spindlenotch.entry import entry_state, plugins
+from spindlenotch.entry import documents_in_force, plugins
 from spindlenotch.peers import documents, peer_codec, peer_link, peer_seal
 
 app = cyclopts.App(help="Check, sign, publish and look at bundles.")
@@ -182,7 +182,7 @@
         lambda frame: frame.document,
         peer_codec.CAPNP,
     )
-    document = entry_state.document_of(order.opened)
+    document = documents_in_force.document_of(order.opened)
     targets = [ids.Address(peer) for peer in order.peers.split(",") if peer]
     answers = await asyncio.gather(*(link.push(t, document) for t in targets))
     return sum(a is not None and a.version >= document.version for a in answers)
--- a/spindlenotch/entry/confirmation.py
+++ b/spindlenotch/entry/confirmation.py
@@ -64,14 +64,14 @@
         self._needed.set()
 
     async def _attempt(self) -> None:
-        if self.state.hosts is None:
+        if self.state.documents.hosts is None:
             await self.hosts_reader.fetch()
         stored = await self.bundle_reader.read()
         if isinstance(stored, ports.Stored):
             found_bundle = stored.revision > 0
         else:
             found_bundle = await self.exchange.fetch_from_all(self._peer_addresses())
-        if found_bundle and self.state.opened and self.state.hosts:
+        if found_bundle and self.state.documents.opened and self.state.documents.hosts:
             self._confirm()
 
     def _peer_addresses(self) -> list[ids.Address]:
@@ -81,8 +81,8 @@
         for known in self.state.gossip.known_by_host.values():
             if known.record.zone == self.state.config.zone or not found:
                 found.add(known.record.peer_address)
-        if self.state.hosts is not None:
-            for host in hostlist.entries(self.state.hosts):
+        if self.state.documents.hosts is not None:
+            for host in hostlist.entries(self.state.documents.hosts):
                 if host.zone == self.state.config.zone and host.peer_address:
                     found.add(ids.Address(host.peer_address))
         return sorted(found - {own})
--- a/spindlenotch/entry/document_exchange.py
+++ b/spindlenotch/entry/document_exchange.py
@@ -40,9 +40,9 @@
         self, document: documents.Document, *, authoritative: bool = False
     ) -> None:
         """Put a document in force where it is newer, then announce it."""
-        before = self.state.fence.version(document.kind)
+        before = self.state.documents.fence.version(document.kind)
         self.state.offer_document(document, authoritative=authoritative)
-        if self.state.fence.version(document.kind) > before:
+        if self.state.documents.fence.version(document.kind) > before:
             self._tasks.spawn(self._announce())
 
     def answer(self, frame: peer_seal.DocumentFrame) -> documents.Document:
@@ -51,7 +51,7 @@
         if not frame.wanted:
             self.offer(frame.document)
         nothing = documents.Document(kind, 0, ids.Digest(""), b"")
-        return self.state.fence.document_by_kind.get(kind, nothing)
+        return self.state.documents.fence.document_by_kind.get(kind, nothing)
 
     def fetch_newer(
         self, source: ids.Address, newer: abc.Iterable[gossip.DocumentVersion]
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -1,9 +1,10 @@
 """
-Everything one entry believes, without any input or output.
+The state of one entry, without any input or output but log lines.
 
-Joins the kernel's parts: documents, balancers by service, peers, ids. The
-daemon's loops and ports call it; a test can drive it with a manual clock. A
-dump of it is what the operator port shows.
+Owns the documents in force, a balancer for each service, the view of the
+members and the table of request ids, and keeps them consistent when one of
+them changes. The control loops and ports call it; a test can drive it with a
+manual clock. The operator port shows a dump of it.
 """
 
 import dataclasses
@@ -12,10 +13,16 @@
 
 import msgspec
 
-from spindlenotch import clock, events, ids, metrics, selection
+from spindlenotch import clock, events, ids, metrics
 from spindlenotch.bundles import bundle, bundle_seal
 from spindlenotch.decisions import balancer
-from spindlenotch.entry import once, readiness, settings
+from spindlenotch.entry import (
+    documents_in_force,
+    drain_notices,
+    once,
+    readiness,
+    settings,
+)
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
 from spindlenotch.peers import documents, gossip
 
@@ -26,10 +33,17 @@
     upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
 }
 
+_STATUS_BY_PHASE = {
+    readiness.Phase.STARTING: gossip.Status.STARTING,
+    readiness.Phase.READY: gossip.Status.READY,
+    readiness.Phase.RESYNCHRONISING: gossip.Status.STARTING,
+    readiness.Phase.LEAVING: gossip.Status.LEAVING,
+}
+
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Plain counts for the state dump."""
+    """Counts since the start, for the state dump."""
 
     forwarded: int = 0
     pauses: int = 0
@@ -37,11 +51,11 @@
 
 class EntryState:
     """
-    The state of one life of one entry process.
+    The state of one run of an entry process.
 
-    Invariants: the bundle and host list in force are those of ``fence``;
-    there is one balancer per service of the bundle; every balancer knows the
-    same members and the marks that gossip holds.
+    Invariants: there is one balancer for each service of the bundle; every
+    balancer has the same members and has applied the drain notices that
+    gossip holds.
     """
 
     def __init__(self, config: settings.EntrySettings, time: clock.Clock) -> None:
@@ -51,12 +65,13 @@
         self.rng = random.Random(config.seed or None)
         self.incarnation = ids.Incarnation(secrets.token_hex(8))
         self.readiness = readiness.Readiness(config.pause_s, now)
-        self.fence = documents.Fence()
-        self.opened: bundle_seal.Opened | None = None
-        self.hosts: hostlist.HostTable | None = None
+        self.documents = documents_in_force.DocumentsInForce(config.trusted_keys)
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
         self.local_member = ownership.Member(config.zone, config.host)
         self.gossip = gossip.Gossip(self._own_record(), self.rng)
+        self.drain_notices = drain_notices.DrainNotices(
+            self.gossip, self.balancer_by_service
+        )
         self.once = once.OnceTable(config.once_capacity)
         self.mint = once.Mint(config.host, self.incarnation, secrets.token_bytes(32))
         self.metrics = metrics.Metrics()
@@ -72,30 +87,23 @@
     @property
     def bundle(self) -> bundle.Bundle | None:
         """Return the bundle in force."""
-        return self.opened.bundle if self.opened else None
+        return self.documents.bundle
 
     def offer_document(
         self, document: documents.Document, *, authoritative: bool = False
     ) -> documents.Offer | bundle_seal.SealFault:
         """Check a document and put it in force if it is newer."""
-        if document.kind is documents.DocumentKind.BUNDLE:
-            return self._offer_bundle(document, authoritative)
-        return self._offer_hosts(document)
-
-    def add_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> bool:
-        """Give an upstream no new work; tell whether that was news."""
-        fresh = self.gossip.add_drain_notice(notice)
-        self.apply_drain_notice(notice, reason)
-        return fresh
-
-    def apply_drain_notice(self, notice: gossip.DrainNotice, reason: str) -> None:
-        """Let the service's pool heed a mark that gossip already holds."""
-        service = self.balancer_by_service.get(notice.service)
-        if service is not None:
-            service.pool.leave(notice.upstream, notice.generation, reason)
+        if document.kind is documents.DocumentKind.HOSTS:
+            return self._offer_hosts(document)
+        before = self.documents.opened
+        verdict = self.documents.offer_bundle(document, authoritative=authoritative)
+        opened = self.documents.opened
+        if opened is not None and opened is not before:
+            self._apply_bundle(opened)
+        return verdict
 
     def tick(self, now: ids.Instant) -> None:
-        """Let ejections end and log what changed; a few times a second."""
+        """Let ejections expire and log changes; to be called a few times a second."""
         for name, service in self.balancer_by_service.items():
             service.pool.tick(now)
             for change in service.pool.take_changes():
@@ -107,17 +115,18 @@
                 )
 
     def members_changed(self) -> None:
-        """Cut slots anew after an entry came or went."""
+        """Divide the upstreams' slots anew after a change of the members."""
         members = self.gossip.ready_members()
         for service in self.balancer_by_service.values():
             service.pool.set_members(members)
 
     def address_of(self, host: ids.HostId) -> ids.Address | None:
-        """Return where an entry serves callers, by its peers' word or the list."""
+        """Return where an entry serves callers, by gossip or else the host list."""
         known = self.gossip.known_by_host.get(host)
         if known is not None:
             return known.record.address
-        listed = hostlist.entries(self.hosts) if self.hosts else []
+        hosts = self.documents.hosts
+        listed = hostlist.entries(hosts) if hosts else []
         for record in listed:
             if record.id == host:
                 return ids.Address(record.address)
@@ -134,40 +143,12 @@
 
     def publish_status(self) -> None:
         """Put phase and bundle version into what peers are told."""
-        status = gossip.Status.STARTING
-        if self.readiness.phase is readiness.Phase.READY:
-            status = gossip.Status.READY
-        elif self.readiness.phase is readiness.Phase.LEAVING:
-            status = gossip.Status.LEAVING
-        version = self.fence.version(documents.DocumentKind.BUNDLE)
+        status = _STATUS_BY_PHASE[self.readiness.phase]
+        version = self.documents.fence.version(documents.DocumentKind.BUNDLE)
         self.gossip.set_status(status, version)
 
-    def _offer_bundle(
-        self, document: documents.Document, authoritative: bool
-    ) -> documents.Offer | bundle_seal.SealFault:
-        if document.version != documents.UNKNOWN_VERSION:
-            verdict = self.fence.judge(document)
-            if verdict in (documents.Offer.SAME, documents.Offer.OLDER):
-                return verdict
-        opened = bundle_seal.open_bytes(
-            document.body, self.config.trusted_keys, selection.POLICIES.names()
-        )
-        if isinstance(opened, bundle_seal.SealFault):
-            events.emit(events.Event.BUNDLE_REFUSED, reason=opened.value)
-            return opened
-        # Number and digest are taken from what was signed, not from the
-        # frame around it.
-        document = document_of(opened)
-        verdict = self.fence.offer(document, authoritative=authoritative)
-        if verdict is documents.Offer.FORKED:
-            events.emit(events.Event.BUNDLE_FORKED, version=document.version)
-        if self.fence.document_by_kind.get(document.kind) is document:
-            self._apply_bundle(opened)
-        return verdict
-
     def _apply_bundle(self, opened: bundle_seal.Opened) -> None:
         now = self.clock.now()
-        self.opened = opened
         services = opened.bundle.service_by_name
         for name in set(self.balancer_by_service) - set(services):
             del self.balancer_by_service[name]
@@ -180,46 +161,31 @@
             existing.update_service(service)
         version = opened.bundle.version
         self.metrics.bundle_version.set(version)
-        self.gossip.advertise(_records_of(document_of(opened)))
+        signed = documents_in_force.document_of(opened)
+        self.gossip.advertise(documents_in_force.version_of(signed))
         self.publish_status()
         self._fill_pools()
         events.emit(events.Event.BUNDLE_APPLIED, version=version)
 
     def _offer_hosts(self, document: documents.Document) -> documents.Offer:
-        verdict = self.fence.judge(document)
-        table = hostlist.decode(document.body)
-        if verdict is not documents.Offer.APPLIED or table is None:
-            return verdict
-        self.fence.offer(document)
-        self.hosts = table
-        self.gossip.advertise(_records_of(document))
-        self._fill_pools()
-        events.emit(events.Event.HOSTS_APPLIED, revision=document.version)
+        before = self.documents.hosts
+        verdict = self.documents.offer_hosts(document)
+        if self.documents.hosts is not before:
+            self.gossip.advertise(documents_in_force.version_of(document))
+            self._fill_pools()
+            events.emit(events.Event.HOSTS_APPLIED, revision=document.version)
         return verdict
 
     def _fill_pools(self) -> None:
-        if self.hosts is None:
+        hosts = self.documents.hosts
+        if hosts is None:
             return
         now = self.clock.now()
         for name, service in self.balancer_by_service.items():
-            service.pool.set_listed(hostlist.upstream_specs(self.hosts, name), now)
+            service.pool.set_listed(hostlist.upstream_specs(hosts, name), now)
         self.members_changed()
         self.follow_day()
-        self._reapply_drain_notices()
-
-    def _reapply_drain_notices(self) -> None:
-        """Apply all marks to the new list; drop those it has superseded."""
-        assert self.hosts is not None
-        generation_by_id = {host.id: host.generation for host in self.hosts.hosts}
-        stale = []
-        for notice in self.gossip.repeats_by_drain_notice:
-            if generation_by_id.get(notice.upstream, notice.generation + 1) > (
-                notice.generation
-            ):
-                stale.append(notice)
-                continue
-            self.apply_drain_notice(notice, "marked earlier")
-        self.gossip.forget_drain_notices(stale)
+        self.drain_notices.reapply(hosts)
 
     def _own_record(self) -> gossip.MemberRecord:
         return gossip.MemberRecord(
@@ -235,7 +201,7 @@
         )
 
     def set_addresses(self, listen: ids.Address, peer_listen: ids.Address) -> None:
-        """Note the real addresses where a setting asked for any free port."""
+        """Set the addresses in use; they differ from the settings' for port 0."""
         self.gossip.local = msgspec.structs.replace(
             self.gossip.local, address=listen, peer_address=peer_listen
         )
@@ -243,21 +209,6 @@
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Mark an upstream that says itself that it is leaving."""
-        return self.add_drain_notice(
-            gossip.DrainNotice(service, spec.id, spec.generation), reason
-        )
-
-
-def document_of(opened: bundle_seal.Opened) -> documents.Document:
-    """Return an opened bundle as a document."""
-    return documents.Document(
-        documents.DocumentKind.BUNDLE,
-        opened.bundle.version,
-        opened.digest,
-        bundle_seal.encode(opened.envelope),
-    )
-
-
-def _records_of(document: documents.Document) -> gossip.DocumentVersion:
-    return gossip.DocumentVersion(document.kind, document.version, document.digest)
+        """Give a draining upstream no new work; tell whether that is new."""
+        notice = gossip.DrainNotice(service, spec.id, spec.generation)
+        return self.drain_notices.add(notice, reason)
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -29,7 +29,9 @@
         "serves": state.readiness.serves,
         "up_s": round(now - state.started_at, 3),
         "bundle": _bundle(state),
-        "hosts_revision": state.hosts.revision if state.hosts else 0,
+        "hosts_revision": state.documents.hosts.revision
+        if state.documents.hosts
+        else 0,
         "peers": [_peer(k, now) for k in state.gossip.known_by_host.values()],
         "marks": [_plain(m) for m in state.gossip.repeats_by_drain_notice],
         "once": {
@@ -74,13 +76,13 @@
 
 
 def _bundle(state: entry_state.EntryState) -> Dump | None:
-    if state.opened is None:
+    if state.documents.opened is None:
         return None
     return {
-        "version": state.opened.bundle.version,
-        "digest": state.opened.digest,
-        "deployment": state.opened.bundle.deployment,
-        "signed_by": state.opened.envelope.key,
+        "version": state.documents.opened.bundle.version,
+        "digest": state.documents.opened.digest,
+        "deployment": state.documents.opened.bundle.deployment,
+        "signed_by": state.documents.opened.envelope.key,
     }
 
 
--- a/spindlenotch/entry/host_list_reader.py
+++ b/spindlenotch/entry/host_list_reader.py
@@ -41,7 +41,7 @@
 
     async def fetch(self) -> None:
         """Fetch the list once; offer it where it has changed."""
-        known = self.state.fence.version(documents.DocumentKind.HOSTS)
+        known = self.state.documents.fence.version(documents.DocumentKind.HOSTS)
         listing = await self.host_list.fetch(known)
         self._note_answer(listing)
         if isinstance(listing, ports.HostListing):
@@ -49,7 +49,7 @@
 
     def _must_fetch(self) -> bool:
         is_reader = readers.is_reader(self.state, readers.Resource.HOST_LIST)
-        return is_reader or self.state.hosts is None
+        return is_reader or self.state.documents.hosts is None
 
     def _note_answer(
         self, listing: ports.HostListing | ports.HostListFault | None
--- a/spindlenotch/entry/membership_loop.py
+++ b/spindlenotch/entry/membership_loop.py
@@ -46,7 +46,7 @@
             events.emit(events.Event.PEER_SEEN, host=message.sender.host)
             state.members_changed()
         for notice in handled.drain_notices:
-            state.apply_drain_notice(notice, "told by a peer")
+            state.drain_notices.apply(notice, "told by a peer")
         if handled.drain_notices:
             self.send_to_some()
         return handled
@@ -67,8 +67,8 @@
     def _send_heartbeats(self) -> None:
         """Send to the members next in order, and to a seed where few are known."""
         seeds = list(self.state.config.peers)
-        if self.state.hosts is not None:
-            listed = hostlist.entries(self.state.hosts)
+        if self.state.documents.hosts is not None:
+            listed = hostlist.entries(self.state.documents.hosts)
             self.state.gossip.expected_members = len(listed)
             seeds += [ids.Address(h.peer_address) for h in listed if h.peer_address]
         targets = self.state.gossip.targets(seeds, self.state.clock.now())
