--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -1,54 +1,54 @@
 """
-Explain decisions and dump state: what was believed, how old, and why.
+Dumps of an entry's state and explanations of its decisions.
 
 Reads the kernel's own records, so that an explanation cannot differ from what
-was done. Used by the operator port and, through it, by the command line.
+was done. The operator port serves the results as JSON; ``state_view`` holds
+their keys. Nothing here changes any state.
 """
 
-import typing
-
 import msgspec
 
-from spindlenotch import ids
+from spindlenotch import ids, selection
+from spindlenotch.bundles import bundle_seal
 from spindlenotch.decisions import balancer
-from spindlenotch.entry import entry_state
+from spindlenotch.entry import entry_state, state_view
 from spindlenotch.kernel import pool, upstreams
 from spindlenotch.peers import gossip
 
-Dump = dict[str, typing.Any]
+#: How many of a service's latest decisions are shown. Chosen, not measured.
+RECENT_DECISIONS = 10
 
 
-def state_dump(state: entry_state.EntryState) -> Dump:
-    """Return everything the entry believes, ready for JSON."""
+def state_dump(state: entry_state.EntryState) -> state_view.StateView:
+    """Return everything the entry knows and estimates."""
     now = state.clock.now()
-    return {
-        "host": state.config.host,
-        "zone": state.config.zone,
-        "incarnation": state.incarnation,
-        "phase": state.readiness.phase.value,
-        "serves": state.readiness.serves,
-        "up_s": round(now - state.started_at, 3),
-        "bundle": _bundle(state),
-        "hosts_revision": state.documents.hosts.revision
-        if state.documents.hosts
-        else 0,
-        "peers": [_peer(k, now) for k in state.gossip.known_by_host.values()],
-        "marks": [_plain(m) for m in state.gossip.repeats_by_drain_notice],
-        "once": {
-            "remembered": len(state.once.record_by_key),
-            "capacity": state.once.capacity,
-            "joined": state.once.joined,
-            "forwarded": state.counters.forwarded,
-        },
-        "pauses": state.counters.pauses,
-        "services": {
+    hosts = state.documents.hosts
+    opened = state.documents.opened
+    return state_view.StateView(
+        host=state.config.host,
+        zone=state.config.zone,
+        incarnation=state.incarnation,
+        phase=state.readiness.phase.value,
+        serves=state.readiness.serves,
+        up_s=round(now - state.started_at, 3),
+        bundle=_bundle(opened) if opened else None,
+        hosts_revision=hosts.revision if hosts else 0,
+        peers=[_peer(peer, now) for peer in state.gossip.known_by_host.values()],
+        drain_notices=[
+            _drain_notice(notice) for notice in state.gossip.repeats_by_drain_notice
+        ],
+        request_ids=_request_ids(state),
+        pauses=state.counters.pauses,
+        services={
             name: _service(service, now)
             for name, service in state.balancer_by_service.items()
         },
-    }
+    )
 
 
-def explain_call(state: entry_state.EntryState, call_id: str) -> list[Dump]:
+def explain_call(
+    state: entry_state.EntryState, call_id: str
+) -> list[state_view.DecisionView]:
     """Return the decisions on one request that are still remembered."""
     now = state.clock.now()
     return [
@@ -61,87 +61,110 @@
 
 def explain_service(
     state: entry_state.EntryState, service: ids.ServiceName
-) -> Dump | None:
+) -> state_view.ServiceExplanation | None:
     """Return who could take a request of ``service`` now, and recent choices."""
     found = state.balancer_by_service.get(service)
     if found is None:
         return None
     now = state.clock.now()
-    recent = list(found.decisions)[-10:]
-    return {
-        **_service(found, now),
-        "policy": found.service.policy,
-        "recent": [_decision(decision, now) for decision in recent],
-    }
-
-
-def _bundle(state: entry_state.EntryState) -> Dump | None:
-    if state.documents.opened is None:
-        return None
-    return {
-        "version": state.documents.opened.bundle.version,
-        "digest": state.documents.opened.digest,
-        "deployment": state.documents.opened.bundle.deployment,
-        "signed_by": state.documents.opened.envelope.key,
-    }
-
-
-def _peer(known: gossip.Peer, now: ids.Instant) -> Dump:
-    return {
-        "host": known.record.host,
-        "zone": known.record.zone,
-        "address": known.record.address,
-        "status": known.record.status.name.lower(),
-        "bundle_version": known.record.configuration_version,
-        "heard_s_ago": round(now - known.last_heard_at, 3),
-    }
-
-
-def _service(service: balancer.Balancer, now: ids.Instant) -> Dump:
+    recent = list(found.decisions)[-RECENT_DECISIONS:]
+    return state_view.ServiceExplanation(
+        **msgspec.structs.asdict(_service(found, now)),
+        policy=found.service.policy,
+        recent=[_decision(decision, now) for decision in recent],
+    )
+
+
+def _bundle(opened: bundle_seal.Opened) -> state_view.BundleView:
+    return state_view.BundleView(
+        version=opened.bundle.version,
+        digest=opened.digest,
+        deployment=opened.bundle.deployment,
+        signed_by=opened.envelope.key,
+    )
+
+
+def _peer(known: gossip.Peer, now: ids.Instant) -> state_view.PeerView:
+    return state_view.PeerView(
+        host=known.record.host,
+        zone=known.record.zone,
+        address=known.record.address,
+        status=known.record.status.name.lower(),
+        bundle_version=known.record.configuration_version,
+        heard_s_ago=round(now - known.last_heard_at, 3),
+    )
+
+
+def _drain_notice(notice: gossip.DrainNotice) -> state_view.DrainNoticeView:
+    return state_view.DrainNoticeView(
+        service=notice.service,
+        upstream=notice.upstream,
+        generation=notice.generation,
+    )
+
+
+def _request_ids(state: entry_state.EntryState) -> state_view.RequestIdsView:
+    return state_view.RequestIdsView(
+        remembered=len(state.once.record_by_key),
+        capacity=state.once.capacity,
+        joined=state.once.joined,
+        forwarded=state.counters.forwarded,
+    )
+
+
+def _service(service: balancer.Balancer, now: ids.Instant) -> state_view.ServiceView:
     found = service.pool
-    return {
-        "waiting": len(service.queue),
-        "usual_ms": round(found.typical_s.value * 1000, 3),
-        "failing_share": round(found.failing.value, 4),
-        "zone_plan": found.plan,
-        "zone_factor": found.zone_factor,
-        "hedge_balance": round(service.hedges.balance, 2),
-        "retry_balance": round(service.retries.balance, 2),
-        "upstreams": [
+    return state_view.ServiceView(
+        waiting=len(service.queue),
+        typical_ms=round(found.typical_s.value * 1000, 3),
+        failing_share=round(found.failing.value, 4),
+        zone_plan=found.plan,
+        zone_factor=found.zone_factor,
+        hedge_balance=round(service.hedges.balance, 2),
+        retry_balance=round(service.retries.balance, 2),
+        upstreams=[
             _upstream(found, upstream, now)
             for upstream in found.upstream_by_id.values()
         ],
-    }
-
-
-def _upstream(found: pool.Pool, upstream: upstreams.Upstream, now: ids.Instant) -> Dump:
-    return {
-        "id": upstream.spec.id,
-        "zone": upstream.spec.zone,
-        "address": upstream.spec.address,
-        "generation": upstream.spec.generation,
-        "state": upstream.state.value,
-        "why": upstream.state_reason,
-        "owned_slots": round(upstream.owned_slots, 3),
-        "outstanding": upstream.outstanding,
-        "believed_running": round(found.estimated_load(upstream, now), 2),
-        "belief_age_s": round(now - upstream.report_at, 4),
-        "silent_s": round(upstream.silent_s(now), 4),
-        "slowness": round(upstream.latency_ratio.value, 3),
-        "cost": round(found.cost(upstream, now), 3),
-    }
-
-
-def _decision(decision: balancer.Decision, now: ids.Instant) -> Dump:
-    return {
-        "call": decision.call,
-        "seconds_ago": round(now - decision.at, 4),
-        "try": decision.kind.value,
-        "upstream": decision.upstream,
-        "why": decision.rule,
-        "candidates": [c._asdict() for c in decision.candidates],
-    }
-
-
-def _plain(value: object) -> Dump:
-    return typing.cast(Dump, msgspec.to_builtins(value))
+    )
+
+
+def _upstream(
+    found: pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
+) -> state_view.UpstreamView:
+    return state_view.UpstreamView(
+        id=upstream.spec.id,
+        zone=upstream.spec.zone,
+        address=upstream.spec.address,
+        generation=upstream.spec.generation,
+        state=upstream.state.value,
+        state_reason=upstream.state_reason,
+        owned_slots=round(upstream.owned_slots, 3),
+        outstanding=upstream.outstanding,
+        estimated_load=round(found.estimated_load(upstream, now), 2),
+        report_age_s=round(now - upstream.report_at, 4),
+        silent_s=round(upstream.silent_s(now), 4),
+        latency_ratio=round(upstream.latency_ratio.value, 3),
+        cost=round(found.cost(upstream, now), 3),
+    )
+
+
+def _decision(decision: balancer.Decision, now: ids.Instant) -> state_view.DecisionView:
+    return state_view.DecisionView(
+        call=decision.call,
+        seconds_ago=round(now - decision.at, 4),
+        kind=decision.kind.value,
+        upstream=decision.upstream,
+        rule=decision.rule,
+        candidates=[_candidate(one) for one in decision.candidates],
+    )
+
+
+def _candidate(candidate: selection.Candidate) -> state_view.CandidateView:
+    return state_view.CandidateView(
+        upstream=candidate.upstream,
+        cost=candidate.cost,
+        estimated_load=candidate.believed_running,
+        report_age_s=candidate.belief_age_s,
+        owned_slots=candidate.owned_slots,
+    )
