--- a/spindlenotch/entry/daemon.py
+++ b/spindlenotch/entry/daemon.py
@@ -1,5 +1,8 @@
 """
-Run an entry as a process: an aiomisc service on a uvloop loop.
+The entry daemon: an entry as a process, an aiomisc service on a uvloop loop.
+
+Owns the log's sink, the signals' handling (through aiomisc) and the settings
+of the garbage collector. Everything else is in ``entry``.
 """
 
 import gc
@@ -11,15 +14,17 @@
 
 from spindlenotch.entry import entry, settings
 
-#: aiomisc gives up a stop after this long. A planned stop has no limit unless
-#: the operator set one, so this is only "very long".
+#: Seconds after which aiomisc gives up a stop. A planned stop has no limit unless
+#: the operator set one, so this only has to be longer than any; 30 days.
 LONGEST_STOP_S = 30 * 24 * 3600.0
-#: Young objects die with their request; look at the rest seldom.
+#: Objects of the youngest generation die with their request, so full collections
+#: are made rare. The values are chosen; their effect together with
+#: ``_settle_memory`` is in docs/MEASUREMENTS.md, "What an entry adds".
 GC_THRESHOLDS = (20_000, 20, 100)
 
 
 class EntryService(aiomisc.Service):
-    """Starts the entry with the loop and stops it as planned on a signal."""
+    """Starts the entry with the loop; a signal begins a planned stop."""
 
     config: settings.EntrySettings
     running: entry.Entry | None = None
@@ -32,7 +37,7 @@
         self.start_event.set()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop the entry, cutting nothing."""
+        """Stop the entry after the requests in flight have ended."""
         if self.running is not None:
             await self.running.stop()
 
@@ -41,8 +46,8 @@
     """
     Keep the garbage collector away from what lives as long as the process.
 
-    Modules and start-up state are some hundred thousand objects; a full
-    collection that walks them stops the loop for tens of milliseconds.
+    A full collection that walks modules and start-up state stops the loop for
+    tens of milliseconds (docs/MEASUREMENTS.md, "What an entry adds").
     """
     gc.collect()
     gc.freeze()
@@ -50,7 +55,7 @@
 
 
 def run(config: settings.EntrySettings) -> None:
-    """Run until SIGTERM or SIGINT, then stop as planned."""
+    """Run until SIGTERM or SIGINT, then make a planned stop."""
     loguru.logger.remove()
     loguru.logger.add(sys.stderr, serialize=True, level="INFO")
     service = EntryService(config=config)
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -1,9 +1,10 @@
 """
 One entry: state, data path, control loops and ports put together.
 
-Control work lives in the same process and loop as the data path; see
-``docs/DESIGN.md`` for why. ``daemon`` runs this as a process, the demo and
-tests run several in one loop.
+Owns the order in which the parts start and stop, and the planned stop. Control
+work runs in the same process and loop as the data path; see ``docs/DESIGN.md``
+for why. ``daemon`` runs an entry as a process, the demo and tests run several
+in one loop.
 """
 
 import asyncio
@@ -68,11 +69,11 @@
     async def start(self) -> None:
         """Open all ports and start the loops."""
         config = self.state.config
-        host, port = peer_link.split(config.listen)
-        listen = await self.callers.start(host, port)
+        listen = await self.callers.start(*peer_link.split(config.listen))
         self.state.set_addresses(listen, config.peer_listen)
-        operator_host, operator_bind = peer_link.split(config.operator_listen)
-        self.operator_address = await self.operators.start(operator_host, operator_bind)
+        self.operator_address = await self.operators.start(
+            *peer_link.split(config.operator_listen)
+        )
         peer_listen = await self.control.start()
         self.state.set_addresses(listen, peer_listen)
         self.prober.start()
@@ -85,20 +86,21 @@
 
     async def stop(self) -> None:
         """
-        Stop as planned: nothing in flight is cut off.
+        Make a planned stop: no request in flight is cut off.
 
-        The entry is no longer named, serves until every answer that names it
-        has expired, then takes no new connections and waits for the requests
-        in flight, without a limit unless the operator set one.
+        Callers are no longer given the entry's address. It serves until the
+        addresses given out have expired, then takes no new connections and
+        waits for the requests in flight, without a limit unless the operator
+        set one.
         """
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
         self.control.announce_leaving()
         await asyncio.sleep(config.hand_out_s + STOP_ALLOWANCE_S)
         await self.callers.stop_listening()
-        limit = config.drain_limit_s or None
+        limit_s = config.drain_limit_s or None
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(limit_s):
                 await caller_port.drained(self.callers)
                 await self.once_path.drained()
         except TimeoutError:
--- a/spindlenotch/entry/operator_port.py
+++ b/spindlenotch/entry/operator_port.py
@@ -1,8 +1,9 @@
 """
-The operators' port: metrics, state, explanations and health.
+The operators' port: metrics, state, explanations and health over HTTP.
 
-It listens on an address of its own, so that callers cannot reach it. It only
-reads; operators change things by changing the bundle.
+Owns its listener, on an address of its own so that callers need no access to
+it. It only reads the entry's state; operators change things through the
+bundle. Relies on ``explain`` for what it shows.
 """
 
 import msgspec
@@ -11,16 +12,19 @@
 from spindlenotch import ids
 from spindlenotch.entry import entry_state, explain
 
+#: How long a stop waits for answers under way, in seconds. Chosen, not measured.
+SHUTDOWN_TIMEOUT_S = 0.1
+
 
 class OperatorPort:
-    """Serves operators of one entry."""
+    """Answers the operators of one entry."""
 
     def __init__(self, state: entry_state.EntryState) -> None:
         self.state = state
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str, port: int) -> ids.Address:
-        """Listen; return the address in use."""
+        """Listen on ``host:port`` (0: any free port); return the address in use."""
         app = web.Application()
         app.add_routes(
             [
@@ -31,7 +35,9 @@
                 web.get("/readyz", self._readyz),
             ]
         )
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
+        self._runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await self._runner.setup()
         await web.TCPSite(self._runner, host, port).start()
         return ids.Address(f"{host}:{self._runner.addresses[0][1]}")
@@ -58,9 +64,8 @@
         found = explain.explain_service(self.state, service)
         if found is None:
             known = ", ".join(sorted(self.state.balancer_by_service))
-            return web.Response(
-                status=400, text=f"give call=ID or service=NAME, one of: {known}\n"
-            )
+            text = f"give call=ID or service=NAME, one of: {known}\n"
+            return web.Response(status=400, text=text)
         return _json(found)
 
     async def _healthz(self, request: web.Request) -> web.Response:
--- a/spindlenotch/entry/plugins.py
+++ b/spindlenotch/entry/plugins.py
@@ -1,8 +1,9 @@
 """
-Import every plug-in module, so that each registers itself.
+The plug-in modules of the entry daemon.
 
-A bench of somebody else's plugs in the same way: import a module that
-registers its drivers, then start the daemon.
+Importing one makes it register its policies, drivers or clocks (see
+``registry``). Owns the list of the built-in ones; the setting ``plugins`` adds
+others, which must be importable in the daemon's environment.
 """
 
 import importlib
@@ -18,6 +19,10 @@
 
 
 def load(extra: tuple[str, ...] = ()) -> None:
-    """Import the built-in plug-ins and those named in ``extra``."""
+    """
+    Import the built-in plug-ins and those named in ``extra``.
+
+    Raises ``ImportError`` for a module that cannot be imported.
+    """
     for name in (*MODULES, *extra):
         importlib.import_module(name)
--- a/spindlenotch/entry/readiness.py
+++ b/spindlenotch/entry/readiness.py
@@ -1,26 +1,29 @@
 """
-Whether an entry may decide anything now: a small pure state machine.
+Whether an entry may serve: a small pure state machine.
 
-An entry must not serve before it holds a bundle it may trust, nor after a
-pause until someone has confirmed that its bundle is still the newest, nor
-take itself for ready while it is being stopped. It also tells how long a
-request that was just read may have lain unread while the process stood still.
+Owns the phase of the entry and the record of when the process stood still. An
+entry must not serve before its bundle is confirmed, nor after a pause until it
+is confirmed again, and callers must not be sent to one that is stopping. Also
+tells since when a request that was just read may have waited unread. Relies on
+``Readiness.observe`` being called at least every ``OBSERVED_EVERY_S``.
 """
 
 import enum
 
 from spindlenotch import ids
 
-#: The process is observed at least this often while it runs.
+#: Seconds between observations while the process runs. Chosen, not measured.
 OBSERVED_EVERY_S = 0.05
-#: A longer gap than this between observations counts as a stall.
+#: A gap between observations longer than this, in seconds, is a stall. Twice
+#: the period of observations; chosen, not measured.
 STALL_S = 0.1
-#: Requests read this soon after a stall may have been sent before it ended.
+#: Requests read within this many seconds after a stall may have been sent
+#: before its end. Chosen, not measured.
 BACKLOG_S = 0.25
 
 
 class Phase(enum.Enum):
-    """Where an entry is in its life."""
+    """The phases of an entry; the values are shown to operators."""
 
     STARTING = "starting"
     READY = "ready"
@@ -29,7 +32,7 @@
 
 
 class Gap(enum.Enum):
-    """How long the process has stood still before an observation."""
+    """How long the process stood still before an observation."""
 
     NONE = "none"
     STALL = "stall"
@@ -40,10 +43,12 @@
     """
     The phase of one entry.
 
+    ``pause_s`` is the gap in seconds from which a stall counts as a pause.
+
     Invariants: ``serves`` is false before the first confirmation and from a
     pause until the next; ``LEAVING`` is final. A leaving entry still serves
-    those who were told of it. ``sent_by`` never returns an instant later than
-    the one at which the request was sent, but for ``STALL_S``.
+    callers that hold its address. ``sent_by`` returns an instant at most
+    ``STALL_S`` later than the one at which the request was sent.
     """
 
     def __init__(self, pause_s: float, now: ids.Instant) -> None:
@@ -56,16 +61,16 @@
 
     @property
     def serves(self) -> bool:
-        """Tell whether requests may be decided on."""
+        """Tell whether requests may be served."""
         return self.confirmed
 
     @property
     def handed_out(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Tell whether callers may be given this entry's address."""
         return self.phase is Phase.READY
 
     def observe(self, now: ids.Instant) -> Gap:
-        """Note that the process runs; tell whether it stood still before."""
+        """Record that the process runs; return how long it stood still before."""
         gap_s = now - self.seen_at
         if gap_s > STALL_S:
             if now >= self.backlog_until:
@@ -82,11 +87,11 @@
         return Gap.PAUSE
 
     def sent_by(self, now: ids.Instant) -> ids.Instant:
-        """Return the earliest instant at which a request just read was sent."""
+        """Return the earliest instant at which a request read now was sent."""
         return self.stalled_from if now < self.backlog_until else now
 
     def confirm(self) -> bool:
-        """Note that the bundle here is the newest; tell whether that is news."""
+        """Record that the bundle is the newest; return False where it was known."""
         if self.confirmed:
             return False
         self.confirmed = True
