--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -1,7 +1,8 @@
 """
-Make the pages that come from the code: events, settings, the bundle's fields.
+Generate the pages, or parts of pages, whose content is in the code.
 
-A feature compares them with what is committed.
+These are the events, the settings of both daemons and the bundle's fields. Run
+by ``make docs``; a feature compares the result with what is committed.
 """
 
 import pathlib
@@ -13,13 +14,15 @@
 from spindlenotch.gateway import settings as gateway_settings
 from spindlenotch.settings import schema
 
+#: The folder of the pages.
 DOCS = pathlib.Path(__file__).parents[1] / "docs"
+#: Between these lines a page is generated; the rest is written by hand.
 BEGIN = "<!-- made from the code: begin -->"
 END = "<!-- made from the code: end -->"
 
 
-def fields(title: str, rows: abc.Iterable[bundle_check.Field]) -> str:
-    """Return a table of bundle fields."""
+def bundle_fields(title: str, rows: abc.Iterable[bundle_check.Field]) -> str:
+    """Return a section with a table of bundle fields."""
     lines = [
         f"### {title}",
         "",
@@ -38,33 +41,36 @@
 
 
 def bundle_reference() -> str:
-    """Return all scalar fields of a bundle."""
+    """Return the sections on all scalar fields of a bundle."""
     parts = (
-        fields("Top level", bundle_check.TOP_FIELDS),
-        fields("`[measuring]`", bundle_check.MEASURING_FIELDS),
-        fields("`[claims]`", bundle_check.CLAIMS_FIELDS),
-        fields("`[services.NAME]`", bundle_check.SERVICE_FIELDS),
+        bundle_fields("Top level", bundle_check.TOP_FIELDS),
+        bundle_fields("`[measuring]`", bundle_check.MEASURING_FIELDS),
+        bundle_fields("`[claims]`", bundle_check.CLAIMS_FIELDS),
+        bundle_fields("`[services.NAME]`", bundle_check.SERVICE_FIELDS),
     )
     return "\n".join(parts)
 
 
 def pages() -> dict[str, str]:
-    """Return the whole text of every page with a part made from the code."""
+    """Return the whole text of every page with a generated part, by file name."""
     return {
         "EVENTS.md": events.catalogue(),
-        "OPERATIONS.md": _filled("OPERATIONS.md", schema.reference(settings.SETTINGS)),
-        "GATEWAY.md": _filled(
+        "OPERATIONS.md": _with_generated(
+            "OPERATIONS.md", schema.reference(settings.SETTINGS)
+        ),
+        "GATEWAY.md": _with_generated(
             "GATEWAY.md", schema.reference(gateway_settings.SETTINGS)
         ),
-        "BUNDLE.md": _filled("BUNDLE.md", bundle_reference()),
+        "BUNDLE.md": _with_generated("BUNDLE.md", bundle_reference()),
     }
 
 
-def _filled(name: str, made: str) -> str:
+def _with_generated(name: str, generated: str) -> str:
+    """Return the page ``name`` with its generated part replaced."""
     text = (DOCS / name).read_text()
     head, _, rest = text.partition(BEGIN)
     _, _, tail = rest.partition(END)
-    return f"{head}{BEGIN}\n{made}{END}{tail}"
+    return f"{head}{BEGIN}\n{generated}{END}{tail}"
 
 
 def main() -> None:
