--- a/spindlenotch/entry/confirmation.py
+++ b/spindlenotch/entry/confirmation.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import events, ids, ports
 from spindlenotch.entry import (
-    document_exchange,
+    document_relay,
     entry_state,
     host_list_reader,
     membership_loop,
@@ -33,13 +33,13 @@
         self,
         state: entry_state.EntryState,
         membership: membership_loop.MembershipLoop,
-        exchange: document_exchange.DocumentExchange,
+        relay: document_relay.DocumentRelay,
         bundle_reader: store_reader.StoreReader,
         hosts_reader: host_list_reader.HostListReader,
     ) -> None:
         self.state = state
         self.membership = membership
-        self.exchange = exchange
+        self.relay = relay
         self.bundle_reader = bundle_reader
         self.hosts_reader = hosts_reader
         self._needed = asyncio.Event()
@@ -70,7 +70,7 @@
         if isinstance(stored, ports.Stored):
             found_bundle = stored.revision > 0
         else:
-            found_bundle = await self.exchange.fetch_from_all(self._peer_addresses())
+            found_bundle = await self.relay.fetch_from_all(self._peer_addresses())
         if found_bundle and self.state.documents.opened and self.state.documents.hosts:
             self._confirm()
 
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -13,7 +13,7 @@
 from spindlenotch.entry import (
     background,
     confirmation,
-    document_exchange,
+    document_relay,
     entry_state,
     host_list_reader,
     membership_loop,
@@ -45,17 +45,17 @@
         )
         self._tasks = background.BackgroundTasks()
         self.membership = membership_loop.MembershipLoop(state, self.link)
-        self.exchange = document_exchange.DocumentExchange(
+        self.relay = document_relay.DocumentRelay(
             state, self.link, self.membership, self._tasks
         )
-        self.bundle_reader = store_reader.StoreReader(state, store, self.exchange)
+        self.bundle_reader = store_reader.StoreReader(state, store, self.relay)
         self.hosts_reader = host_list_reader.HostListReader(
-            state, host_list, self.exchange
+            state, host_list, self.relay
         )
         self.confirmation = confirmation.Confirmation(
             state=state,
             membership=self.membership,
-            exchange=self.exchange,
+            relay=self.relay,
             bundle_reader=self.bundle_reader,
             hosts_reader=self.hosts_reader,
         )
@@ -95,7 +95,7 @@
 
     def _on_gossip(self, message: gossip.Message) -> None:
         handled = self.membership.receive(message)
-        self.exchange.fetch_newer(message.sender.peer_address, handled.newer)
+        self.relay.fetch_newer(message.sender.peer_address, handled.newer)
 
     def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
-        return self.exchange.answer(frame)
+        return self.relay.answer(frame)
--- a/spindlenotch/entry/document_exchange.py
+++ b/spindlenotch/entry/document_relay.py
@@ -20,7 +20,7 @@
 ANNOUNCEMENT_PAUSE_S = 0.05
 
 
-class DocumentExchange:
+class DocumentRelay:
     """Offers documents to this entry and to its peers."""
 
     def __init__(
--- a/spindlenotch/entry/host_list_reader.py
+++ b/spindlenotch/entry/host_list_reader.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from spindlenotch import events, ids, ports
-from spindlenotch.entry import document_exchange, entry_state, readers
+from spindlenotch.entry import document_relay, entry_state, readers
 from spindlenotch.peers import documents
 
 #: Seconds between two fetches. Chosen, not measured.
@@ -25,11 +25,11 @@
         self,
         state: entry_state.EntryState,
         host_list: ports.HostList,
-        exchange: document_exchange.DocumentExchange,
+        relay: document_relay.DocumentRelay,
     ) -> None:
         self.state = state
         self.host_list = host_list
-        self.exchange = exchange
+        self.relay = relay
         self._lost = False
 
     async def run(self) -> None:
@@ -45,7 +45,7 @@
         listing = await self.host_list.fetch(known)
         self._note_answer(listing)
         if isinstance(listing, ports.HostListing):
-            self.exchange.offer(_document_of(listing))
+            self.relay.offer(_document_of(listing))
 
     def _must_fetch(self) -> bool:
         is_reader = readers.is_reader(self.state, readers.Resource.HOST_LIST)
--- a/spindlenotch/entry/store_reader.py
+++ b/spindlenotch/entry/store_reader.py
@@ -10,7 +10,7 @@
 import asyncio
 
 from spindlenotch import events, ids, ports
-from spindlenotch.entry import document_exchange, entry_state, readers
+from spindlenotch.entry import document_relay, entry_state, readers
 from spindlenotch.kernel import backoff
 from spindlenotch.peers import documents
 
@@ -35,11 +35,11 @@
         self,
         state: entry_state.EntryState,
         store: ports.Store,
-        exchange: document_exchange.DocumentExchange,
+        relay: document_relay.DocumentRelay,
     ) -> None:
         self.state = state
         self.store = store
-        self.exchange = exchange
+        self.relay = relay
         self._revision = 0
         self._lost = False
 
@@ -79,7 +79,7 @@
             ids.Digest(""),
             stored.value,
         )
-        self.exchange.offer(document, authoritative=True)
+        self.relay.offer(document, authoritative=True)
 
     def _note_answer(self, stored: ports.Stored | ports.StoreFault) -> None:
         lost = isinstance(stored, ports.StoreFault)
