--- a/spindlenotch/entry/drain_notices.py
+++ b/spindlenotch/entry/drain_notices.py
@@ -44,5 +44,5 @@
             if generation_by_id.get(notice.upstream, later) > notice.generation:
                 superseded.append(notice)
                 continue
-            self.apply(notice, "marked earlier")
+            self.apply(notice, "drain notice received earlier")
         self.gossip.forget_drain_notices(superseded)
--- a/spindlenotch/entry/membership_loop.py
+++ b/spindlenotch/entry/membership_loop.py
@@ -46,7 +46,7 @@
             events.emit(events.Event.PEER_SEEN, host=message.sender.host)
             state.members_changed()
         for notice in handled.drain_notices:
-            state.drain_notices.apply(notice, "told by a peer")
+            state.drain_notices.apply(notice, "drain notice from a peer")
         if handled.drain_notices:
             self.send_to_some()
         return handled
