--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -77,12 +77,12 @@
         self.metrics = metrics.Metrics()
         self.counters = Counters()
         self.started_at = now
-        self.calls = 0
+        self.call_count = 0
 
     def next_call_id(self) -> ids.CallId:
         """Return an id that no other call of any process has."""
-        self.calls += 1
-        return ids.CallId(f"{self.incarnation}-{self.calls}")
+        self.call_count += 1
+        return ids.CallId(f"{self.incarnation}-{self.call_count}")
 
     @property
     def bundle(self) -> bundle.Bundle | None:
