--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -20,11 +20,12 @@
 from spindlenotch.entry import (
     claims,
     control,
+    documents_in_force,
     entry_state,
     front,
-    measuring,
     once,
     once_path,
+    prober,
     settings,
     texts,
 )
@@ -88,7 +89,7 @@
         self.front = front.Front(
             self.state, self.path, self.once_path, self.control.paused
         )
-        self.measuring = measuring.Measuring(
+        self.prober = prober.Prober(
             self.state, self.store, port, self.control.spread_drain_notice
         )
         everything.upstreams.forward_by_address[self.address] = self._forwarded
@@ -104,7 +105,7 @@
     async def _start(self) -> None:
         await self.control.start()
         self.state.set_addresses(ids.Address(self.address), ids.Address(self.address))
-        self.measuring.start()
+        self.prober.start()
 
     def record(self) -> dict[str, typing.Any]:
         """Return this entry as the host list shows it."""
@@ -249,7 +250,7 @@
             envelope, frozenset({SEED_KEYS[1]}), selection.POLICIES.names()
         )
         assert isinstance(opened, bundle_seal.Opened)
-        frame = messages.DocumentFrame(1, False, entry_state.document_of(opened))
+        frame = messages.DocumentFrame(1, False, documents_in_force.document_of(opened))
         self.world.deliver(
             entry.loop, fakes.WAY_S, lambda: entry.control._on_frame(frame) and None
         )
@@ -359,4 +360,4 @@
 
 def document_version(entry: VirtualEntry) -> int:
     """Return the bundle version in force at an entry."""
-    return entry.state.fence.version(documents.DocumentKind.BUNDLE)
+    return entry.state.documents.fence.version(documents.DocumentKind.BUNDLE)
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -1,9 +1,10 @@
 """
 One entry: state, data path, control loops and ports put together.
 
-Control work lives in the same process and loop as the data path; see
-``docs/DESIGN.md`` for why. ``daemon`` runs this as a process, the demo and
-tests run several in one loop.
+Owns the order in which the parts start and stop, and the planned stop. Control
+work runs in the same process and loop as the data path; see ``docs/DESIGN.md``
+for why. ``daemon`` runs an entry as a process, the demo and tests run several
+in one loop.
 """
 
 import asyncio
@@ -15,18 +16,21 @@
     control,
     entry_state,
     front,
-    measuring,
     once_path,
     operator_port,
     plugins,
+    prober,
     settings,
 )
 from spindlenotch.forwarding import data_path
 from spindlenotch.peers import peer_link
 
-#: Added to the time answers are kept, for the way of a last answer and for
-#: the news of the stop to reach every peer.
+#: Seconds added to the time that callers keep an answer, for the last answer to
+#: arrive and for all peers to learn of the stop. Chosen, not measured.
 STOP_ALLOWANCE_S = 1.0
+#: Registered names of what the daemon runs on.
+DRIVER = "http"
+CLOCK = "boottime"
 
 
 class Entry:
@@ -57,7 +61,7 @@
         self.front = front.Front(state, self.path, self.once_path, self.control.paused)
         self.callers = caller_port.CallerPort(state, self.front)
         self.operators = operator_port.OperatorPort(state)
-        self.measuring = measuring.Measuring(
+        self.prober = prober.Prober(
             state, store, upstream_port, self.control.spread_drain_notice
         )
         self.operator_address = ids.Address("")
@@ -65,14 +69,14 @@
     async def start(self) -> None:
         """Open all ports and start the loops."""
         config = self.state.config
-        host, port = peer_link.split(config.listen)
-        listen = await self.callers.start(host, port)
+        listen = await self.callers.start(*peer_link.split(config.listen))
         self.state.set_addresses(listen, config.peer_listen)
-        operator_host, operator_bind = peer_link.split(config.operator_listen)
-        self.operator_address = await self.operators.start(operator_host, operator_bind)
+        self.operator_address = await self.operators.start(
+            *peer_link.split(config.operator_listen)
+        )
         peer_listen = await self.control.start()
         self.state.set_addresses(listen, peer_listen)
-        self.measuring.start()
+        self.prober.start()
         events.emit(
             events.Event.STARTED,
             host=config.host,
@@ -82,20 +86,21 @@
 
     async def stop(self) -> None:
         """
-        Stop as planned: nothing in flight is cut off.
+        Make a planned stop: no request in flight is cut off.
 
-        The entry is no longer named, serves until every answer that names it
-        has expired, then takes no new connections and waits for the requests
-        in flight, without a limit unless the operator set one.
+        Callers are no longer given the entry's address. It serves until the
+        addresses given out have expired, then takes no new connections and
+        waits for the requests in flight, without a limit unless the operator
+        set one.
         """
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
         self.control.announce_leaving()
         await asyncio.sleep(config.hand_out_s + STOP_ALLOWANCE_S)
         await self.callers.stop_listening()
-        limit = config.drain_limit_s or None
+        limit_s = config.drain_limit_s or None
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(limit_s):
                 await caller_port.drained(self.callers)
                 await self.once_path.drained()
         except TimeoutError:
@@ -105,7 +110,7 @@
     async def close(self) -> None:
         """Close everything now."""
         await self.callers.close()
-        await self.measuring.stop()
+        await self.prober.stop()
         await self.control.stop()
         await self.operators.close()
         await self.upstream_port.close()
@@ -114,13 +119,13 @@
         events.emit(events.Event.STOPPED, host=self.state.config.host)
 
 
-def create(config: settings.EntrySettings, drivers: str = "http") -> Entry:
-    """Build an entry from settings with the drivers of that name."""
+def create(config: settings.EntrySettings) -> Entry:
+    """Build an entry with the drivers that the daemon uses."""
     plugins.load(config.plugins)
-    state = entry_state.EntryState(config, clock.CLOCKS.get("boottime")())
+    state = entry_state.EntryState(config, clock.CLOCKS.get(CLOCK)())
     return Entry(
-        state,
-        ports.STORES.get(drivers)(config.store),
-        ports.HOST_LISTS.get(drivers)(config.host_list),
-        ports.UPSTREAM_PORTS.get(drivers)(),
+        state=state,
+        store=ports.STORES.get(DRIVER)(config.store),
+        host_list=ports.HOST_LISTS.get(DRIVER)(config.host_list),
+        upstream_port=ports.UPSTREAM_PORTS.get(DRIVER)(),
     )
