--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -25,7 +25,7 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.drivers import upstream_http
 from spindlenotch.entry import claims, explain, plugins, readiness, settings
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import data_path, exchanges, granting
 from spindlenotch.gateway import (
     dialect,
     log_sink,
@@ -346,8 +346,8 @@
     job = data_path.Job(service, call, "GET", "/path-0", [], None, 0, False)
     grant = balancer.Grant(call, upstream, balancer.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
-    path = typing.cast(data_path.DataPath, None)
-    exchange = data_path.Exchange(path, job, grant, answer)
+    grants = typing.cast(granting.Grants, None)
+    exchange = exchanges.Exchange(grants, job, grant, answer)
     log = request_log.RequestLog(state)
     log.served(_sampled(), job, exchange)
     log.failed_upstream("request-1", job, exchange)
--- /dev/null
+++ b/spindlenotch/forwarding/exchanges.py
@@ -0,0 +1,49 @@
+"""
+An upstream's answer while its body is being read.
+
+Holds the slot of its try until the body has ended, whichever way, and then
+gives it back with the judgement of that end.
+"""
+
+import asyncio
+import dataclasses
+
+from spindlenotch import ports
+from spindlenotch.decisions import balancer
+from spindlenotch.forwarding import granting, jobs, judgement
+from spindlenotch.kernel import upstreams
+
+
+@dataclasses.dataclass(slots=True)
+class Exchange:
+    """
+    An answer whose head is good; the slot is held until ``end``.
+
+    Invariant: its grant is finished exactly once.
+    """
+
+    grants: granting.Grants
+    job: jobs.Job
+    grant: balancer.Grant
+    answer: ports.UpstreamAnswer
+    ended: bool = False
+
+    async def chunk(self) -> bytes | ports.UpstreamFault:
+        """Return the next piece of the body, and end with the last."""
+        try:
+            piece = await self.answer.chunk()
+        except asyncio.CancelledError:
+            self.end(upstreams.Result.CANCELLED)
+            raise
+        if not piece or isinstance(piece, ports.UpstreamFault):
+            self.end(judgement.end_of_body(self.answer, piece))
+        return piece
+
+    def end(self, result: upstreams.Result) -> None:
+        """Give the slot back; only the first call counts."""
+        if self.ended:
+            return
+        self.ended = True
+        if result is not upstreams.Result.ANSWERED:
+            self.answer.abandon()
+        self.grants.finish(self.job, self.grant, result, self.answer.report)
--- /dev/null
+++ b/spindlenotch/forwarding/granting.py
@@ -0,0 +1,102 @@
+"""
+Takes grants from the balancers for requests, and gives them back.
+
+A request that finds no room waits here for its grant. While any waits, the
+queues are checked by a timer, since no answer may end for a long time.
+"""
+
+import asyncio
+import typing
+
+from spindlenotch import clock as clocks, ids
+from spindlenotch.decisions import balancer
+from spindlenotch.forwarding import jobs
+from spindlenotch.kernel import outcomes, upstreams
+
+#: How often the queues are checked while calls wait, in seconds. Chosen, not
+#: measured.
+QUEUE_CHECK_S = 0.02
+
+Verdict = balancer.Grant | outcomes.Refusal
+
+
+class GrantState(typing.Protocol):
+    """What grants need of the process that they run in."""
+
+    clock: clocks.Clock
+    balancer_by_service: dict[ids.ServiceName, balancer.Balancer]
+
+
+class Grants:
+    """
+    The grants of one process.
+
+    Invariants: a request that waits gets exactly one verdict; a grant that
+    arrives together with the cancellation of its request is finished here.
+    """
+
+    def __init__(self, state: GrantState) -> None:
+        self.state = state
+        self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
+        self._queue_check: asyncio.TimerHandle | None = None
+
+    async def take(self, job: jobs.Job) -> Verdict:
+        """Get a new request its first grant, waiting in the queue if need be."""
+        offered = job.service.offer(job.call, self.state.clock.now())
+        if isinstance(offered, balancer.Waiting):
+            return await self._wait(job, offered)
+        return offered
+
+    def finish(
+        self,
+        job: jobs.Job,
+        grant: balancer.Grant,
+        result: upstreams.Result,
+        report: upstreams.LoadReport | None,
+    ) -> None:
+        """Tell the balancer how a try ended; settle the calls that lets in."""
+        now = self.state.clock.now()
+        self._settle(job.service.finish(grant, result, report, now))
+
+    def _settle(self, settlements: list[balancer.Settlement]) -> None:
+        for settlement in settlements:
+            future = self._future_by_call.pop(settlement.call.id, None)
+            if future is not None and not future.done():
+                future.set_result(settlement.verdict)
+
+    async def _wait(self, job: jobs.Job, offered: balancer.Waiting) -> Verdict:
+        if offered.displaced is not None:
+            self._settle([offered.displaced])
+        loop = asyncio.get_running_loop()
+        future: asyncio.Future[Verdict] = loop.create_future()
+        self._future_by_call[job.call.id] = future
+        self._schedule_queue_check()
+        try:
+            return await future
+        except asyncio.CancelledError:
+            self._withdraw(job, future)
+            raise
+
+    def _withdraw(self, job: jobs.Job, future: asyncio.Future[Verdict]) -> None:
+        self._future_by_call.pop(job.call.id, None)
+        job.service.withdraw(job.call.id)
+        # The grant may have arrived in the same iteration of the event loop.
+        if future.done() and not future.cancelled():
+            verdict = future.result()
+            if isinstance(verdict, balancer.Grant):
+                self.finish(job, verdict, upstreams.Result.CANCELLED, None)
+
+    def _schedule_queue_check(self) -> None:
+        if self._queue_check is None:
+            loop = asyncio.get_running_loop()
+            self._queue_check = loop.call_later(QUEUE_CHECK_S, self._check_queues)
+
+    def _check_queues(self) -> None:
+        self._queue_check = None
+        now = self.state.clock.now()
+        for service in self.state.balancer_by_service.values():
+            if len(service.queue):
+                self._settle(service.settle(now))
+                self._settle(service.give_up(now))
+        if self._future_by_call:
+            self._schedule_queue_check()
--- /dev/null
+++ b/spindlenotch/forwarding/jobs.py
@@ -0,0 +1,69 @@
+"""
+A request on its way to an upstream, and how each of its tries is labelled.
+
+A job outlives its tries: it is built once by the port that read the request
+and never changes. A label is made anew for every try, since a try has its own
+remaining time and, where upstreams echo an id, its own id.
+"""
+
+import dataclasses
+from collections import abc
+
+from spindlenotch import headers
+from spindlenotch.decisions import balancer
+from spindlenotch.kernel import waiting
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Labels:
+    """
+    The headers that are set anew for one try, and the id it goes by.
+
+    An answer that bears another id is foreign.
+    """
+
+    request_id: str
+    headers: list[tuple[str, str]]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Job:
+    """
+    A request on its way to an upstream.
+
+    ``headers`` and ``body`` are those of the caller; a body that is not bytes
+    streams in and can be read only once. ``hops`` counts the hops of the
+    chain of calls, the one to the upstream included. ``fresh`` asks for a new
+    connection, over which nothing can have been sent before.
+    """
+
+    service: balancer.Balancer
+    call: waiting.Call
+    method: str
+    target: str
+    headers: list[tuple[str, str]]
+    body: bytes | abc.AsyncIterable[bytes] | None
+    hops: int
+    fresh: bool
+
+    @property
+    def body_is_whole(self) -> bool:
+        """Tell whether the body is here in full, so that it can be sent again."""
+        return self.body is None or isinstance(self.body, bytes)
+
+
+#: Names one try of a job, given the seconds that are left for its answer.
+Labeller = abc.Callable[[Job, balancer.Grant, float], Labels]
+
+
+def own_labels(job: Job, grant: balancer.Grant, left_s: float) -> Labels:
+    """Name a try as the product's own protocol does; ``left_s`` is in seconds."""
+    request_id = f"{job.call.id}.{grant.kind.value}"
+    own_headers = [
+        (headers.TIMEOUT_MS, str(int(left_s * 1000))),
+        (headers.REQUEST_ID, request_id),
+        (headers.HOPS, str(job.hops)),
+    ]
+    if grant.kind is not balancer.Kind.FIRST or not job.call.repeatable:
+        own_headers.append((headers.NO_RETRY, "1"))
+    return Labels(request_id, own_headers)
--- /dev/null
+++ b/spindlenotch/forwarding/judgement.py
@@ -0,0 +1,125 @@
+"""
+What the end of one try says of its request.
+
+The one place that decides whether a try was answered, positively did not run
+or may have run, which reason a refusal then gives, and what the balancer
+learns of the upstream. Pure: no input or output, no clock.
+"""
+
+import dataclasses
+
+from spindlenotch import ids, ports
+from spindlenotch.decisions import balancer
+from spindlenotch.kernel import outcomes, upstreams
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class TryEnd:
+    """
+    The judgement of one try that has ended.
+
+    ``result`` is what the balancer learns. ``may_have_run`` is false only
+    where it is positively known that the try did not run and never will.
+    ``reason`` is what the request is refused with if no other try does
+    better; None leaves the reason of the try before.
+    """
+
+    result: upstreams.Result
+    may_have_run: bool
+    reason: outcomes.Reason | None
+
+
+#: A try that ended without the head of an answer, by the fault. Only two of
+#: the faults are found before the first byte of the request is sent.
+END_BY_FAULT = {
+    ports.UpstreamFault.CONNECT_FAILED: TryEnd(
+        upstreams.Result.CONNECT_FAILED,
+        may_have_run=False,
+        reason=outcomes.Reason.CONNECT_FAILED,
+    ),
+    # The deadline passed before the request was written: no fault of the
+    # upstream.
+    ports.UpstreamFault.TOO_LATE: TryEnd(
+        upstreams.Result.CANCELLED,
+        may_have_run=False,
+        reason=outcomes.Reason.DEADLINE_PASSED,
+    ),
+    ports.UpstreamFault.CONNECTION_LOST: TryEnd(
+        upstreams.Result.FAILED,
+        may_have_run=True,
+        reason=outcomes.Reason.CONNECTION_LOST,
+    ),
+    ports.UpstreamFault.FOREIGN_ANSWER: TryEnd(
+        upstreams.Result.FAILED,
+        may_have_run=True,
+        reason=outcomes.Reason.FOREIGN_ANSWER,
+    ),
+    # Only probes end this way today; for a request it would promise nothing.
+    ports.UpstreamFault.DRAINING: TryEnd(
+        upstreams.Result.FAILED,
+        may_have_run=True,
+        reason=outcomes.Reason.UPSTREAM_SHED,
+    ),
+}
+
+#: The upstream answered that it has not run the request.
+SHED = TryEnd(
+    upstreams.Result.SHED,
+    may_have_run=False,
+    reason=outcomes.Reason.UPSTREAM_SHED,
+)
+#: The upstream ran the request and answered with a server error.
+FAILED_ANSWER = TryEnd(upstreams.Result.FAILED, may_have_run=True, reason=None)
+#: The upstream ran the request and answered.
+GOOD_ANSWER = TryEnd(upstreams.Result.ANSWERED, may_have_run=True, reason=None)
+
+
+def end_of_fault(fault: ports.UpstreamFault) -> TryEnd:
+    """Judge a try that gave no head of an answer."""
+    return END_BY_FAULT[fault]
+
+
+def end_of_answer(answer: ports.UpstreamAnswer) -> TryEnd:
+    """Judge a try by the head of its answer, as if its body came whole."""
+    if answer.not_run:
+        return SHED
+    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+        return FAILED_ANSWER
+    return GOOD_ANSWER
+
+
+def end_of_body(
+    answer: ports.UpstreamAnswer, last_piece: bytes | ports.UpstreamFault
+) -> upstreams.Result:
+    """
+    Judge a try by the end of its answer's body.
+
+    An answer counts as whole only with the empty piece that ends its body.
+    """
+    if isinstance(last_piece, ports.UpstreamFault):
+        return upstreams.Result.FAILED
+    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+        return upstreams.Result.FAILED
+    return upstreams.Result.ANSWERED
+
+
+def refusal(
+    reason: outcomes.Reason,
+    *,
+    may_have_run: bool,
+    retry_after_s: float | None,
+    now: ids.Instant,
+) -> outcomes.Refusal:
+    """
+    Refuse a request none of whose tries was answered.
+
+    ``retry_after_s`` is what the last upstream that shed it asked for, in
+    seconds. A request whose deadline passed gets no instant to ask again: the
+    same request would be too late again.
+    """
+    retry_at = None
+    if reason is not outcomes.Reason.DEADLINE_PASSED:
+        retry_at = ids.later(now, retry_after_s or balancer.LEAST_RETRY_S)
+    if may_have_run:
+        return outcomes.unknown(reason, retry_at)
+    return outcomes.not_run(reason, retry_at)
--- /dev/null
+++ b/spindlenotch/forwarding/race.py
@@ -0,0 +1,204 @@
+"""
+The tries of one request, from its first grant to an answer or a refusal.
+
+Starts the first try, hedges one that is overdue, retries one that failed, and
+passes on the first good head. What the end of a try means is judged by
+``judgement``; whether another may follow is up to the balancer.
+"""
+
+import asyncio
+import typing
+from collections import abc
+
+from spindlenotch import clock as clocks, events, ids, metrics, ports
+from spindlenotch.decisions import balancer
+from spindlenotch.forwarding import exchanges, granting, jobs, judgement, sending
+from spindlenotch.kernel import outcomes, upstreams
+
+
+class UpstreamState(typing.Protocol):
+    """What a race needs of the process that it runs in."""
+
+    clock: clocks.Clock
+    metrics: metrics.Metrics
+
+    def leave_upstream(
+        self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
+    ) -> bool:
+        """Give an upstream no new work; tell whether it had work until now."""
+
+
+class Race:
+    """
+    The tries of one request; the first good head wins.
+
+    Invariants: ``_grant_by_task`` holds the tries under way; the grant of
+    every other try is finished, or held by the exchange that was returned.
+    """
+
+    def __init__(
+        self,
+        *,
+        job: jobs.Job,
+        state: UpstreamState,
+        grants: granting.Grants,
+        sender: sending.Sender,
+        on_drain_notice: abc.Callable[[], None] | None,
+    ) -> None:
+        self.job = job
+        self.state = state
+        self.grants = grants
+        self.sender = sender
+        self.on_drain_notice = on_drain_notice
+        self._grant_by_task: dict[sending.TryTask, balancer.Grant] = {}
+        self._may_have_run = False
+        self._reason = outcomes.Reason.NO_UPSTREAM
+        self._retry_after_s: float | None = None
+
+    async def run(self, first: balancer.Grant) -> exchanges.Exchange | outcomes.Refusal:
+        """Send the first try and those that follow from it."""
+        newest = first
+        self._start(first)
+        try:
+            while self._grant_by_task:
+                done, _ = await asyncio.wait(
+                    self._grant_by_task,
+                    timeout=self._check_in_s(newest),
+                    return_when=asyncio.FIRST_COMPLETED,
+                )
+                if self._deadline_passed():
+                    self._may_have_run = True
+                    return self._refusal(outcomes.Reason.DEADLINE_PASSED)
+                if not done:
+                    newest = self._hedge(newest)
+                for task in done:
+                    exchange = self._end_try(task)
+                    if exchange is not None:
+                        return exchange
+            return self._refusal(self._reason)
+        finally:
+            self._cancel_rest()
+
+    def _start(self, grant: balancer.Grant) -> None:
+        task = self.sender.start(self.job, grant, self._reason)
+        self._grant_by_task[task] = grant
+
+    def _check_in_s(self, newest: balancer.Grant) -> float:
+        """Return the seconds until the newest try is looked at again."""
+        now = self.state.clock.now()
+        check = self.job.service.next_check(newest, now)
+        return max(0.0, min(check, self.job.call.deadline) - now)
+
+    def _deadline_passed(self) -> bool:
+        return self.state.clock.now() >= self.job.call.deadline
+
+    def _hedge(self, newest: balancer.Grant) -> balancer.Grant:
+        """Send a second copy if the newest try is overdue; return the newest."""
+        hedge = self.job.service.hedge(newest, self.state.clock.now())
+        if hedge is None:
+            return newest
+        self._start(hedge)
+        return hedge
+
+    def _end_try(self, task: sending.TryTask) -> exchanges.Exchange | None:
+        """Judge a try that ended; return its answer if that is the request's."""
+        grant = self._grant_by_task.pop(task)
+        answer = task.result()
+        if isinstance(answer, ports.UpstreamFault):
+            self._end_with_fault(grant, answer)
+            return None
+        if answer.draining:
+            self._note_drain(grant)
+        end = judgement.end_of_answer(answer)
+        if end is judgement.SHED:
+            self._end_shed(grant, answer)
+            return None
+        exchange = exchanges.Exchange(self.grants, self.job, grant, answer)
+        if end is judgement.FAILED_ANSWER and self._replace(exchange):
+            return None
+        return exchange
+
+    def _end_with_fault(
+        self, grant: balancer.Grant, fault: ports.UpstreamFault
+    ) -> None:
+        if fault is ports.UpstreamFault.FOREIGN_ANSWER:
+            self._record_foreign(grant)
+        end = judgement.end_of_fault(fault)
+        self._keep(end)
+        self.grants.finish(self.job, grant, end.result, None)
+        self._retry(grant, known_not_run=not end.may_have_run)
+
+    def _end_shed(self, grant: balancer.Grant, answer: ports.UpstreamAnswer) -> None:
+        answer.abandon()
+        self._keep(judgement.SHED)
+        self._retry_after_s = answer.retry_after_s
+        self.grants.finish(self.job, grant, judgement.SHED.result, answer.report)
+        self._retry(grant, known_not_run=True)
+
+    def _keep(self, end: judgement.TryEnd) -> None:
+        """Keep what an ended try adds to the refusal that may follow."""
+        self._may_have_run |= end.may_have_run
+        if end.reason is not None:
+            self._reason = end.reason
+
+    def _retry(self, grant: balancer.Grant, *, known_not_run: bool) -> None:
+        """Send a failed try again if its body and the balancer allow it."""
+        if not self.job.body_is_whole:
+            return
+        now = self.state.clock.now()
+        retry = self.job.service.retry(grant, now, known_not_run=known_not_run)
+        if retry is not None:
+            self._start(retry)
+
+    def _replace(self, exchange: exchanges.Exchange) -> bool:
+        """
+        Drop a server error if another try may still do better.
+
+        That is a try under way or, without one, a retry that the balancer
+        allows. Returns False where the error is the request's answer.
+        """
+        retry = None
+        if not self._grant_by_task:
+            retry = self.job.service.retry(exchange.grant, self.state.clock.now())
+            if retry is None:
+                return False
+        self._keep(judgement.FAILED_ANSWER)
+        exchange.end(judgement.FAILED_ANSWER.result)
+        if retry is not None:
+            self._start(retry)
+        return True
+
+    def _note_drain(self, grant: balancer.Grant) -> None:
+        service = self.job.service.service.name
+        left_now = self.state.leave_upstream(
+            service, grant.upstream.spec, "said it is draining"
+        )
+        if left_now and self.on_drain_notice is not None:
+            self.on_drain_notice()
+
+    def _record_foreign(self, grant: balancer.Grant) -> None:
+        service = self.job.service.service.name
+        self.state.metrics.foreign_answers.labels(service).inc()
+        events.emit(
+            events.Event.FOREIGN_ANSWER,
+            service=service,
+            upstream=grant.upstream.spec.id,
+        )
+
+    def _refusal(self, reason: outcomes.Reason) -> outcomes.Refusal:
+        return judgement.refusal(
+            reason,
+            may_have_run=self._may_have_run,
+            retry_after_s=self._retry_after_s,
+            now=self.state.clock.now(),
+        )
+
+    def _cancel_rest(self) -> None:
+        for task, grant in self._grant_by_task.items():
+            if task.done() and not task.cancelled():
+                answer = task.result()
+                if not isinstance(answer, ports.UpstreamFault):
+                    answer.abandon()
+            task.cancel()
+            self.grants.finish(self.job, grant, upstreams.Result.CANCELLED, None)
+        self._grant_by_task.clear()
--- /dev/null
+++ b/spindlenotch/forwarding/sending.py
@@ -0,0 +1,108 @@
+"""
+Sends one try of a request: labels, remaining time, connection.
+
+A try that is not the first is counted and logged with its cause.
+"""
+
+import asyncio
+import typing
+
+from spindlenotch import clock as clocks, events, metrics, ports
+from spindlenotch.decisions import balancer
+from spindlenotch.forwarding import jobs
+from spindlenotch.kernel import outcomes
+
+#: Taken off the time that the upstream is given, so that its answer can still
+#: get back before the deadline, in seconds. Chosen, not measured.
+RETURN_TIME_S = 0.002
+#: Least time that an upstream is given, in seconds: the header that carries it
+#: counts whole milliseconds.
+LEAST_TIME_S = 0.001
+#: Causes of another try that are no reason of a refusal.
+CAUSE_OVERDUE = "overdue"
+CAUSE_BAD_ANSWER = "bad-answer"
+
+#: A try that is under way.
+TryTask = asyncio.Task[ports.UpstreamAnswer | ports.UpstreamFault]
+
+
+class SendState(typing.Protocol):
+    """What sending needs of the process that it runs in."""
+
+    clock: clocks.Clock
+    metrics: metrics.Metrics
+
+
+class Sender:
+    """Sends tries through one upstream port."""
+
+    def __init__(
+        self, state: SendState, port: ports.UpstreamPort, label: jobs.Labeller
+    ) -> None:
+        self.state = state
+        self.port = port
+        self.label = label
+
+    def start(
+        self, job: jobs.Job, grant: balancer.Grant, last_reason: outcomes.Reason
+    ) -> TryTask:
+        """
+        Start the try that ``grant`` allows.
+
+        ``last_reason`` is why the try before failed; for a first try, and
+        where none failed on the way, it is ``NO_UPSTREAM``.
+        """
+        request = self._request(job, grant)
+        task = asyncio.ensure_future(self.port.send(request))
+        if grant.kind is not balancer.Kind.FIRST:
+            self._record_extra(job, grant, request.request_id, last_reason)
+        return task
+
+    def _request(self, job: jobs.Job, grant: balancer.Grant) -> ports.UpstreamRequest:
+        clock = self.state.clock
+        deadline = job.call.deadline
+        left_s = max(LEAST_TIME_S, deadline - clock.now() - RETURN_TIME_S)
+        labels = self.label(job, grant, left_s)
+        return ports.UpstreamRequest(
+            address=grant.upstream.spec.address,
+            method=job.method,
+            target=job.target,
+            headers=[*job.headers, *labels.headers],
+            body=job.body,
+            request_id=labels.request_id,
+            fresh=job.fresh,
+            may_send=lambda: clock.now() < deadline,
+        )
+
+    def _record_extra(
+        self,
+        job: jobs.Job,
+        grant: balancer.Grant,
+        request_id: str,
+        last_reason: outcomes.Reason,
+    ) -> None:
+        name = job.service.service.name
+        kind = grant.kind.value
+        self.state.metrics.extra_sends.labels(name, kind).inc()
+        events.emit(
+            events.Event.REQUEST_SENT_AGAIN,
+            request=request_id,
+            service=name,
+            upstream=grant.upstream.spec.id,
+            kind=kind,
+            reason=_cause(grant.kind, last_reason),
+            pace=round(grant.slowdown, 2),
+            told_s_ago=round(grant.sent_at - grant.upstream.report_at, 3),
+            extra_left=round(job.service.retries.balance, 1),
+        )
+
+
+def _cause(kind: balancer.Kind, last_reason: outcomes.Reason) -> str:
+    """Say in the log why a request is sent again."""
+    if kind is balancer.Kind.HEDGE:
+        return CAUSE_OVERDUE
+    if last_reason is outcomes.Reason.NO_UPSTREAM:
+        # Nothing failed on the way: the answer itself was bad.
+        return CAUSE_BAD_ANSWER
+    cause: str = last_reason.value
+    return cause
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -11,6 +11,10 @@
 
 from spindlenotch import ids
 
+#: Upstreams' answers from this status up are failures: RFC 9110, section 15.6,
+#: gives 5xx to servers that failed to do a valid request.
+FIRST_FAILED_STATUS = 500
+
 
 class Outcome(enum.Enum):
     """What is known of a request when its answer is given."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -63,22 +63,22 @@
     ),
     Mutant(
         "a broken connection is taken for not run",
-        "forwarding/data_path",
-        "self.may_have_run |= fault not in _NOT_RUN_FAULTS",
-        "self.may_have_run |= False",
+        "forwarding/race",
+        "self._may_have_run |= end.may_have_run",
+        "self._may_have_run |= False",
     ),
     Mutant(
         "a deadline that passed in flight is taken for not run",
-        "forwarding/data_path",
-        "return self._refusal(outcomes.Reason.DEADLINE_PASSED, True)",
-        "return self._refusal(outcomes.Reason.DEADLINE_PASSED, False)",
+        "forwarding/race",
+        "self._may_have_run = True",
+        "self._may_have_run = False",
     ),
     Mutant(
         "a cancelled try keeps its slot",
-        "forwarding/data_path",
-        "grant, upstreams.Result.CANCELLED, None)\n        self.grant_by_task.clear()",
+        "forwarding/race",
+        "grant, upstreams.Result.CANCELLED, None)\n        self._grant_by_task.clear()",
         "grant, upstreams.Result.CANCELLED, None) if 0 else None\n"
-        "        self.grant_by_task.clear()",
+        "        self._grant_by_task.clear()",
     ),
     Mutant(
         "requests that lay unread in a frozen process count as fresh",
@@ -114,7 +114,7 @@
     ),
     Mutant(
         "an upstream that says it is draining is not heeded",
-        "forwarding/data_path",
+        "forwarding/race",
         "if answer.draining:",
         "if False:",
     ),
