--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -13,11 +13,11 @@
 
 from spindlenotch import headers, ids
 from spindlenotch.bundles import bundle
+from spindlenotch.entry import tickets
 from spindlenotch.kernel import outcomes
 
 SERVICE_PREFIX = "/s/"
 MAX_TIMEOUT_MS = 24 * 3600 * 1000
-MAX_ID_LENGTH = 200
 DIGITS = re.compile(r"[0-9]{1,9}")
 
 
@@ -79,7 +79,7 @@
     chosen = fields.get(headers.IDEMPOTENCY_KEY, "")
     if ticket and chosen:
         return outcomes.not_run(outcomes.Reason.TWO_IDS)
-    if len(ticket) > MAX_ID_LENGTH or len(chosen) > MAX_ID_LENGTH:
+    if len(ticket) > tickets.MAX_ID_CHARS or len(chosen) > tickets.MAX_ID_CHARS:
         return outcomes.not_run(outcomes.Reason.BAD_ID)
     if chosen and standing.caller is None:
         # Nameless callers share one name space and could meet in it.
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -131,7 +131,7 @@
     fields: abc.Mapping[str, str], refusal: outcomes.Refusal
 ) -> outcomes.Refusal:
     """Say "unknown" where an earlier attempt may be running elsewhere."""
-    return once.before_home(
+    return once.refuse_before_home(
         refusal.reason,
         has_id=headers.TICKET in fields or headers.IDEMPOTENCY_KEY in fields,
         first_attempt=fields.get(headers.ATTEMPT) == "1",
--- a/spindlenotch/entry/once.py
+++ b/spindlenotch/entry/once.py
@@ -4,24 +4,25 @@
 Every such request has an id with exactly one home: one life of one entry
 process. A ticket names the life that minted it; an id the caller chose gets
 its home by a claim in the store. Only the home runs it, and only after
-``begin`` said so. Pure state; the data path carries out the verdicts.
+``begin`` said so. Pure state; ``once_runs`` carries out the verdicts.
 """
 
-import base64
 import dataclasses
 import enum
-import hashlib
-import hmac
 import typing
 
 from spindlenotch import ids
+from spindlenotch.entry import tickets
 from spindlenotch.kernel import outcomes
 
-#: A ticket is good for this long after it was minted.
-TICKET_LIFETIME_S = 120.0
-#: A kept answer is given again for this long after the id's last use.
+#: A larger answer is not kept to be given again, in bytes. Chosen, not
+#: measured.
 MAX_KEPT_BODY = 64 * 1024
-MAC_BYTES = 12
+#: When a caller that finds the table full may ask again, in seconds. Chosen,
+#: not measured.
+TABLE_FULL_RETRY_S = 1.0
+
+Mint = tickets.Mint
 
 OnceKey = typing.NewType("OnceKey", str)
 
@@ -63,29 +64,24 @@
 
 
 class Verdict(enum.Enum):
-    """What the data path is to do with an id."""
+    """
+    What is to be done with an arrival that the table has no result for.
+
+    ``RUN`` starts the request; ``JOIN`` waits for the run that is under way.
+    """
 
     RUN = "run"
     JOIN = "join"
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class Ticket:
-    """A minted id, taken apart. ``minted_at`` is on the home's clock."""
-
-    host: ids.HostId
-    incarnation: ids.Incarnation
-    sequence: int
-    minted_at: ids.Instant
-
-
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
     """
     One arrival of a request at its home.
 
-    ``first_attempt`` is true where the caller said so itself.
-    ``fingerprint`` tells apart requests that wrongly share an id.
+    ``attempt`` counts from 1. ``first_attempt`` is true where the caller said
+    so itself. ``fingerprint`` tells apart requests that wrongly share an id.
+    ``expires_at`` is the end of the record that the arrival may open.
     """
 
     key: OnceKey
@@ -111,7 +107,21 @@
         self.joined = 0
 
     def begin(self, arrival: Arrival) -> Verdict | KeptAnswer | outcomes.Refusal:
-        """Decide on one arrival of a request at its home."""
+        """
+        Decide on one arrival of a request at its home.
+
+        | record of the id | arrival | verdict |
+        |---|---|---|
+        | none | expired | unknown: it may have run in a record now dropped |
+        | none | table full | refused before the home |
+        | none | else | ``RUN`` |
+        | any | another fingerprint | not run: the id is taken |
+        | running | any attempt | ``JOIN`` |
+        | ran | any attempt | the kept answer, or that it is not kept |
+        | unknown | any attempt | unknown, for ever |
+        | refused | an attempt that is closed | not run, as before |
+        | refused | a higher attempt | ``RUN`` |
+        """
         record = self.record_by_key.get(arrival.key)
         if record is None:
             return self._begin_new(arrival)
@@ -122,14 +132,9 @@
         if record.state is RunState.RUNNING:
             self.joined += 1
             return Verdict.JOIN
-        if record.state is RunState.RAN:
-            return record.answer or outcomes.Refusal(
-                outcomes.Outcome.RAN, outcomes.Reason.ANSWER_NOT_KEPT
-            )
-        if record.state is RunState.UNKNOWN:
-            assert record.refusal is not None
-            return record.refusal
-        return self._begin_again(record, arrival.attempt)
+        if record.state is RunState.REFUSED:
+            return self._begin_again(record, arrival.attempt)
+        return _result_of(record)
 
     def ran(self, key: OnceKey, answer: KeptAnswer | None) -> None:
         """Note that the request ran, with its answer if it is small enough."""
@@ -168,14 +173,17 @@
         if len(self.record_by_key) >= self.capacity:
             self.sweep(now)
         if len(self.record_by_key) >= self.capacity:
-            return before_home(
+            return refuse_before_home(
                 outcomes.Reason.ID_TABLE_FULL,
                 has_id=True,
                 first_attempt=arrival.first_attempt,
-                retry_at=ids.later(now, 1.0),
+                retry_at=ids.later(now, TABLE_FULL_RETRY_S),
             )
         self.record_by_key[arrival.key] = Record(
-            RunState.RUNNING, arrival.attempt, arrival.expires_at, arrival.fingerprint
+            state=RunState.RUNNING,
+            attempt=arrival.attempt,
+            expires_at=arrival.expires_at,
+            fingerprint=arrival.fingerprint,
         )
         return Verdict.RUN
 
@@ -191,59 +199,17 @@
         return Verdict.RUN
 
 
-class Mint:
-    """
-    Mints and reads the tickets of one life of one process.
-
-    Invariant: sequences never repeat. The key of the MAC never leaves the
-    process, so nobody else can make a ticket that ``mine`` accepts.
-    """
-
-    def __init__(
-        self, host: ids.HostId, incarnation: ids.Incarnation, secret: bytes
-    ) -> None:
-        self.host = host
-        self.incarnation = incarnation
-        self.secret = secret
-        self.sequence = 0
-
-    def mint(self, now: ids.Instant) -> str:
-        """Return a new ticket."""
-        self.sequence += 1
-        body = f"{self.host}~{self.incarnation}~{self.sequence}~{int(now * 1000)}"
-        return f"{body}~{self._mac(body)}"
-
-    def mine(self, ticket: Ticket, text: str) -> bool:
-        """Tell whether this very process minted ``text``."""
-        if ticket.incarnation != self.incarnation:
-            return False
-        body, _, mac = text.rpartition("~")
-        return hmac.compare_digest(mac, self._mac(body))
-
-    def _mac(self, body: str) -> str:
-        digest = hmac.new(self.secret, body.encode(), hashlib.sha256).digest()
-        return base64.urlsafe_b64encode(digest[:MAC_BYTES]).decode()
-
-
-def read_ticket(text: str) -> Ticket | None:
-    """Take a ticket apart; None where it is malformed."""
-    parts = text.split("~")
-    if len(parts) != 5 or len(text) > 200:
-        return None
-    host, incarnation, sequence, minted_ms, _ = parts
-    if not (sequence.isascii() and sequence.isdigit()):
-        return None
-    if not (minted_ms.isascii() and minted_ms.isdigit()):
-        return None
-    return Ticket(
-        ids.HostId(host),
-        ids.Incarnation(incarnation),
-        int(sequence),
-        ids.Instant(int(minted_ms) / 1000),
+def _result_of(record: Record) -> KeptAnswer | outcomes.Refusal:
+    """Return the final result of a request that ran or may have run."""
+    if record.state is RunState.UNKNOWN:
+        assert record.refusal is not None
+        return record.refusal
+    return record.answer or outcomes.Refusal(
+        outcomes.Outcome.RAN, outcomes.Reason.ANSWER_NOT_KEPT
     )
 
 
-def before_home(
+def refuse_before_home(
     reason: outcomes.Reason,
     *,
     has_id: bool,
@@ -253,8 +219,9 @@
     """
     Refuse a request that has not reached its home.
 
-    Without an id, or on a declared first attempt, it is known not to have
-    run. Otherwise an earlier attempt may be running somewhere else.
+    Without an id, or on an attempt that the caller declares to be the first,
+    it is known not to have run. Otherwise an earlier attempt may be running
+    somewhere else.
     """
     if first_attempt or not has_id:
         return outcomes.not_run(reason, retry_at)
--- a/spindlenotch/entry/once_path.py
+++ b/spindlenotch/entry/once_path.py
@@ -11,7 +11,7 @@
 import hashlib
 
 from spindlenotch import events, headers, ids, ports
-from spindlenotch.entry import claims, entry_state, once
+from spindlenotch.entry import claims, entry_state, once, tickets
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes, upstreams
 
@@ -93,7 +93,7 @@
         reason = outcomes.Reason.CLAIM_UNAVAILABLE
         if home is claims.ClaimFault.OVER_BUDGET:
             reason = outcomes.Reason.CLAIM_OVER_BUDGET
-        return once.before_home(
+        return once.refuse_before_home(
             reason,
             has_id=True,
             first_attempt=identity.first_attempt,
@@ -101,11 +101,11 @@
         )
 
     def _home_of_ticket(self, identity: Identity) -> claims.Home | outcomes.Refusal:
-        ticket = once.read_ticket(identity.ticket)
+        ticket = tickets.read_ticket(identity.ticket)
         if ticket is None:
             return outcomes.not_run(outcomes.Reason.BAD_ID)
         mine = ticket.incarnation == self.state.incarnation
-        if mine and not self.state.mint.mine(ticket, identity.ticket):
+        if mine and not self.state.mint.minted(ticket, identity.ticket):
             return outcomes.not_run(outcomes.Reason.BAD_ID)
         return claims.Home(ticket.host, ticket.incarnation)
 
@@ -113,9 +113,9 @@
         self, job: data_path.Job, identity: Identity, key: once.OnceKey
     ) -> once.Arrival:
         now = self.state.clock.now()
-        ticket = once.read_ticket(identity.ticket)
+        ticket = tickets.read_ticket(identity.ticket)
         if ticket is not None:
-            expires_at = ids.later(ticket.minted_at, once.TICKET_LIFETIME_S)
+            expires_at = ids.later(ticket.minted_at, tickets.LIFETIME_S)
         else:
             bundle = self.state.bundle
             assert bundle is not None
@@ -201,7 +201,7 @@
     async def _forward(
         self, job: data_path.Job, identity: Identity, home: claims.Home
     ) -> Result:
-        gone = once.before_home(
+        gone = once.refuse_before_home(
             outcomes.Reason.HOME_GONE,
             has_id=True,
             first_attempt=False,
