--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -25,6 +25,7 @@
     measuring,
     once,
     once_path,
+    once_runs,
     settings,
     texts,
 )
@@ -126,7 +127,7 @@
         fields = dict(pairs)
         incoming = front.Incoming(method, raw_path, fields, pairs)
         admitted = self.front.check(incoming)
-        result: once_path.Result
+        result: once_runs.Result
         if isinstance(admitted, outcomes.Refusal):
             result = admitted
         else:
@@ -142,7 +143,7 @@
 
 
 async def _answer(
-    result: once_path.Result, call_id: ids.CallId
+    result: once_runs.Result, call_id: ids.CallId
 ) -> fake_upstreams.Answer:
     marks = [(headers.REQUEST_ID, str(call_id))]
     if isinstance(result, outcomes.Refusal):
--- a/spindlenotch/entry/caller_port.py
+++ b/spindlenotch/entry/caller_port.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from spindlenotch import api, headers, ids, ports
-from spindlenotch.entry import admit, entry_state, front, once, once_path, texts
+from spindlenotch.entry import admit, entry_state, front, once, once_runs, texts
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes, upstreams
 from spindlenotch.peers import gossip
@@ -154,7 +154,7 @@
         self.state.metrics.request_time.labels(service).observe(took_s)
 
     async def _respond(
-        self, request: web.BaseRequest, result: once_path.Result, call_id: ids.CallId
+        self, request: web.BaseRequest, result: once_runs.Result, call_id: ids.CallId
     ) -> web.StreamResponse:
         if isinstance(result, outcomes.Refusal):
             return self._refuse(request, result, call_id)
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -11,7 +11,15 @@
 from collections import abc
 
 from spindlenotch import headers, ids
-from spindlenotch.entry import admit, entry_state, once, once_path, readiness
+from spindlenotch.entry import (
+    admit,
+    entry_state,
+    once,
+    once_identity,
+    once_path,
+    once_runs,
+    readiness,
+)
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes, waiting
 
@@ -80,20 +88,20 @@
         call_id: ids.CallId,
         sent_at: ids.Instant,
         body: Body,
-    ) -> once_path.Result:
+    ) -> once_runs.Result:
         """Carry an admitted request to its result."""
         job = self._job(incoming, admitted, call_id, sent_at, body)
         has_id = bool(admitted.ticket or admitted.chosen_id)
         if admitted.operation.repeatable or not has_id:
             return await self.path.dispatch(job)
-        identity = once_path.Identity(
-            admitted.caller,
-            admitted.ticket,
-            admitted.chosen_id,
-            admitted.attempt,
-            admitted.first_attempt,
-            admitted.forwarded,
-            incoming.fields.get(headers.KEY, ""),
+        identity = once_identity.Identity(
+            caller=admitted.caller,
+            ticket=admitted.ticket,
+            chosen=admitted.chosen_id,
+            attempt=admitted.attempt,
+            first_attempt=admitted.first_attempt,
+            forwarded=admitted.forwarded,
+            key=incoming.fields.get(headers.KEY, ""),
         )
         return await self.once_path.run(job, identity)
 
--- a/spindlenotch/entry/once_path.py
+++ b/spindlenotch/entry/once_path.py
@@ -1,301 +1,130 @@
 """
 The way of a request that may not be repeated.
 
-Finds the home of its id (this process, or a peer to forward to), lets the
-home's table decide, and runs it apart from the caller's connection, so that a
-caller that drops and asks again finds its run still going.
+Finds the home of its id, this process or a peer to forward to, and lets the
+home's table decide. The steps lie in ``claims``, ``home_forwarding``, ``once``
+(the rule) and ``once_runs``.
 """
 
-import asyncio
-import dataclasses
-import hashlib
-
-from spindlenotch import events, headers, ids, ports
-from spindlenotch.entry import claims, entry_state, once, tickets
-from spindlenotch.forwarding import data_path
-from spindlenotch.kernel import outcomes, upstreams
-
-#: A larger answer from a peer is not held; its outcome is then unknown here.
-MAX_FORWARDED_BODY = 8 * 1024 * 1024
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Identity:
-    """
-    The id a caller gave. Exactly one of the two texts is not empty.
-
-    ``key`` is the caller's secret, passed on only to the id's home.
-    """
-
-    caller: ids.CallerName | None
-    ticket: str
-    chosen: str
-    attempt: int
-    first_attempt: bool
-    forwarded: bool
-    key: str
-
-
-#: A whole small answer, one that is still streaming, or a refusal.
-Result = once.KeptAnswer | data_path.Exchange | outcomes.Refusal
+from spindlenotch import events, ids
+from spindlenotch.entry import (
+    claims,
+    entry_state,
+    home_forwarding,
+    once,
+    once_identity,
+    once_runs,
+    tickets,
+)
+from spindlenotch.forwarding import data_path, jobs
+from spindlenotch.kernel import outcomes
+
+#: When a caller whose id could not be claimed may ask again, in seconds.
+#: Chosen, not measured.
+CLAIM_RETRY_S = 1.0
+
+_REASON_BY_FAULT = {
+    claims.ClaimFault.UNAVAILABLE: outcomes.Reason.CLAIM_UNAVAILABLE,
+    claims.ClaimFault.OVER_BUDGET: outcomes.Reason.CLAIM_OVER_BUDGET,
+}
 
 
 class OncePath:
     """
-    Runs requests with an id, each at its home only.
+    Brings requests with an id to their results, each at its home only.
 
-    Invariants: a job is dispatched only after the table said ``RUN``; the
-    record of every run ends as ran, unknown or refused, also when the task is
-    cancelled; ``task_by_key`` holds the runs in flight.
+    Invariant: a job is dispatched here only if this process is the home of
+    its id and the table said ``RUN``.
     """
 
     def __init__(
         self,
         state: entry_state.EntryState,
         path: data_path.DataPath,
-        claimed: claims.Claims,
+        home_claims: claims.Claims,
     ) -> None:
         self.state = state
-        self.path = path
-        self.claims = claimed
-        self.task_by_key: dict[once.OnceKey, asyncio.Task[Result]] = {}
+        self.claims = home_claims
+        self._runs = once_runs.OnceRuns(state.clock, state.once, path)
+        self._forwarder = home_forwarding.HomeForwarder(state, path.port)
 
-    async def run(self, job: data_path.Job, identity: Identity) -> Result:
+    async def run(
+        self, job: jobs.Job, identity: once_identity.Identity
+    ) -> once_runs.Result:
         """Bring one arrival of a request to its result."""
         home = await self._home(job, identity)
         if isinstance(home, outcomes.Refusal):
             return home
-        key = _key(job, identity)
         if not claims.is_mine(home, self.state.config.host, self.state.incarnation):
-            return await self._forward(job, identity, home)
-        verdict = self.state.once.begin(self._arrival(job, identity, key))
+            return await self._forwarder.forward(job, identity, home)
+        return await self._run_at_home(job, identity)
+
+    async def drained(self) -> None:
+        """Return once no run is under way, their callers gone or not."""
+        await self._runs.drained()
+
+    async def _run_at_home(
+        self, job: jobs.Job, identity: once_identity.Identity
+    ) -> once_runs.Result:
+        arrival = self._arrival(job, identity)
+        verdict = self.state.once.begin(arrival)
         if verdict is once.Verdict.RUN:
-            return await self._run(job, key)
+            return await self._runs.run(job, arrival.key)
         if verdict is once.Verdict.JOIN:
-            return await self._join(job, key)
+            return await self._runs.join(job, arrival.key)
         if isinstance(verdict, outcomes.Refusal):
-            self._note_full(verdict)
+            self._log_full_table(verdict)
         return verdict
 
-    async def drained(self) -> None:
-        """Return once no run is in flight, their callers gone or not."""
-        while self.task_by_key:
-            await asyncio.wait(set(self.task_by_key.values()))
-
     async def _home(
-        self, job: data_path.Job, identity: Identity
+        self, job: jobs.Job, identity: once_identity.Identity
     ) -> claims.Home | outcomes.Refusal:
         if identity.ticket:
             return self._home_of_ticket(identity)
-        home = await self.claims.home_of(_key(job, identity))
+        home = await self.claims.home_of(once_identity.key_of(job, identity))
         if isinstance(home, claims.Home):
             return home
-        reason = outcomes.Reason.CLAIM_UNAVAILABLE
-        if home is claims.ClaimFault.OVER_BUDGET:
-            reason = outcomes.Reason.CLAIM_OVER_BUDGET
         return once.refuse_before_home(
-            reason,
+            _REASON_BY_FAULT[home],
             has_id=True,
             first_attempt=identity.first_attempt,
-            retry_at=ids.later(self.state.clock.now(), 1.0),
+            retry_at=ids.later(self.state.clock.now(), CLAIM_RETRY_S),
         )
 
-    def _home_of_ticket(self, identity: Identity) -> claims.Home | outcomes.Refusal:
+    def _home_of_ticket(
+        self, identity: once_identity.Identity
+    ) -> claims.Home | outcomes.Refusal:
+        """Read the home off a ticket; refuse one that is malformed or forged."""
         ticket = tickets.read_ticket(identity.ticket)
         if ticket is None:
             return outcomes.not_run(outcomes.Reason.BAD_ID)
-        mine = ticket.incarnation == self.state.incarnation
-        if mine and not self.state.mint.minted(ticket, identity.ticket):
+        is_ours = ticket.incarnation == self.state.incarnation
+        if is_ours and not self.state.mint.minted(ticket, identity.ticket):
             return outcomes.not_run(outcomes.Reason.BAD_ID)
         return claims.Home(ticket.host, ticket.incarnation)
 
-    def _arrival(
-        self, job: data_path.Job, identity: Identity, key: once.OnceKey
-    ) -> once.Arrival:
+    def _arrival(self, job: jobs.Job, identity: once_identity.Identity) -> once.Arrival:
         now = self.state.clock.now()
-        ticket = tickets.read_ticket(identity.ticket)
-        if ticket is not None:
-            expires_at = ids.later(ticket.minted_at, tickets.LIFETIME_S)
-        else:
-            bundle = self.state.bundle
-            assert bundle is not None
-            expires_at = ids.later(now, bundle.claim_keep_s)
         return once.Arrival(
-            key,
-            identity.attempt,
-            identity.first_attempt,
-            _fingerprint(job, identity),
-            expires_at,
-            now,
-        )
-
-    async def _run(self, job: data_path.Job, key: once.OnceKey) -> Result:
-        # A body that still streams in dies with its connection, so only a
-        # request that is here in full can outlive its caller.
-        task: asyncio.Task[Result] = asyncio.ensure_future(self._carry_out(job, key))
-        self.task_by_key[key] = task
-        task.add_done_callback(lambda _: self.task_by_key.pop(key, None))
-        if not isinstance(job.body, (bytes, type(None))):
-            return await task
-        try:
-            return await asyncio.shield(task)
-        except asyncio.CancelledError:
-            task.add_done_callback(_let_go)
-            raise
-
-    async def _carry_out(self, job: data_path.Job, key: once.OnceKey) -> Result:
-        table = self.state.once
-        result: Result = outcomes.unknown(outcomes.Reason.CALLER_GONE)
-        try:
-            result = await self._dispatch(job)
-            return result
-        finally:
-            if isinstance(result, once.KeptAnswer):
-                table.ran(key, result)
-            elif isinstance(result, data_path.Exchange):
-                table.ran(key, None)
-            elif result.outcome is outcomes.Outcome.NOT_RUN:
-                table.refused(key, result)
-            else:
-                table.may_have_run(key, result)
-                events.emit(
-                    events.Event.OUTCOME_UNKNOWN,
-                    call=job.call.id,
-                    reason=result.reason.value,
-                )
-
-    async def _dispatch(self, job: data_path.Job) -> Result:
-        exchange = await self.path.dispatch(job)
-        if isinstance(exchange, outcomes.Refusal):
-            return exchange
-        length = exchange.answer.length
-        if length is None or length > once.MAX_KEPT_BODY:
-            return exchange
-        pieces: list[bytes] = []
-        while True:
-            piece = await exchange.chunk()
-            if isinstance(piece, ports.UpstreamFault):
-                return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-            if not piece:
-                break
-            pieces.append(piece)
-        return _kept(exchange, b"".join(pieces))
-
-    async def _join(self, job: data_path.Job, key: once.OnceKey) -> Result:
-        task = self.task_by_key.get(key)
-        if task is None:
-            return outcomes.unknown(outcomes.Reason.CALLER_GONE)
-        left_s = max(0.0, job.call.deadline - self.state.clock.now())
-        done, _ = await asyncio.wait({task}, timeout=left_s)
-        if not done:
-            return outcomes.unknown(outcomes.Reason.DEADLINE_PASSED)
-        if task.cancelled() or task.exception() is not None:
-            return outcomes.unknown(outcomes.Reason.CALLER_GONE)
-        result = task.result()
-        if isinstance(result, data_path.Exchange):
-            return outcomes.Refusal(
-                outcomes.Outcome.RAN, outcomes.Reason.ANSWER_NOT_KEPT
-            )
-        return result
-
-    async def _forward(
-        self, job: data_path.Job, identity: Identity, home: claims.Home
-    ) -> Result:
-        gone = once.refuse_before_home(
-            outcomes.Reason.HOME_GONE,
-            has_id=True,
-            first_attempt=False,
+            key=once_identity.key_of(job, identity),
+            attempt=identity.attempt,
+            first_attempt=identity.first_attempt,
+            fingerprint=once_identity.fingerprint_of(job, identity),
+            expires_at=self._expires_at(identity, now),
+            now=now,
         )
-        address = self.state.address_of(ids.HostId(home.host))
-        if identity.forwarded or address is None:
-            return gone
-        self.state.counters.forwarded += 1
-        request = self._forward_request(job, identity, address)
-        left_s = max(0.0, job.call.deadline - self.state.clock.now())
-        try:
-            async with asyncio.timeout(left_s):
-                answer = await self.path.port.send(request)
-                if isinstance(answer, ports.UpstreamFault):
-                    return gone
-                return await _whole(answer) or gone
-        except TimeoutError:
-            return outcomes.unknown(outcomes.Reason.DEADLINE_PASSED)
 
-    def _forward_request(
-        self, job: data_path.Job, identity: Identity, address: ids.Address
-    ) -> ports.UpstreamRequest:
-        now = self.state.clock.now()
-        left_ms = max(1, int((job.call.deadline - now) * 1000))
-        service = job.service.service.name
-        extra = [
-            (headers.TIMEOUT_MS, str(left_ms)),
-            (headers.FORWARDED, "1"),
-            (headers.REQUEST_ID, job.call.id),
-            (headers.HOPS, str(job.hops)),
-        ]
-        if identity.key:
-            extra.append((headers.KEY, identity.key))
-        if identity.ticket:
-            extra.append((headers.TICKET, identity.ticket))
-        if identity.first_attempt or identity.attempt > 1:
-            extra.append((headers.ATTEMPT, str(identity.attempt)))
-        return ports.UpstreamRequest(
-            address,
-            job.method,
-            f"/s/{service}{job.target}",
-            [*job.headers, *extra],
-            job.body,
-            job.call.id,
-            True,
-            lambda: self.state.clock.now() < job.call.deadline,
-        )
+    def _expires_at(
+        self, identity: once_identity.Identity, now: ids.Instant
+    ) -> ids.Instant:
+        """Return until when the id is remembered here."""
+        ticket = tickets.read_ticket(identity.ticket)
+        if ticket is not None:
+            return ids.later(ticket.minted_at, tickets.LIFETIME_S)
+        bundle = self.state.bundle
+        assert bundle is not None
+        return ids.later(now, bundle.claim_keep_s)
 
-    def _note_full(self, refusal: outcomes.Refusal) -> None:
+    def _log_full_table(self, refusal: outcomes.Refusal) -> None:
         if refusal.reason is outcomes.Reason.ID_TABLE_FULL:
             events.emit(events.Event.ID_TABLE_FULL, size=self.state.once.capacity)
-
-
-def _key(job: data_path.Job, identity: Identity) -> once.OnceKey:
-    if identity.ticket:
-        return once.OnceKey(f"ticket/{identity.ticket}")
-    service = job.service.service.name
-    return once.OnceKey(f"chosen/{identity.caller}/{service}/{identity.chosen}")
-
-
-def _fingerprint(job: data_path.Job, identity: Identity) -> str:
-    body = job.body if isinstance(job.body, bytes) else b""
-    parts = (str(identity.caller), job.service.service.name, job.method, job.target)
-    head = "\n".join(parts).encode()
-    return hashlib.sha256(head + b"\n" + body).hexdigest()
-
-
-def _kept(exchange: data_path.Exchange, body: bytes) -> once.KeptAnswer:
-    pairs = headers.end_to_end(exchange.answer.headers)
-    pairs.append((headers.UPSTREAM, exchange.grant.upstream.spec.id))
-    return once.KeptAnswer(exchange.answer.status, tuple(pairs), body)
-
-
-def _let_go(task: "asyncio.Task[Result]") -> None:
-    """Give back the slot of an answer whose caller went before it came."""
-    if task.cancelled() or task.exception() is not None:
-        return
-    result = task.result()
-    if isinstance(result, data_path.Exchange):
-        result.end(upstreams.Result.CANCELLED)
-
-
-async def _whole(answer: ports.UpstreamAnswer) -> once.KeptAnswer | None:
-    """Read a peer's answer; None where it broke or is too large to hold."""
-    body = bytearray()
-    while True:
-        piece = await answer.chunk()
-        if isinstance(piece, ports.UpstreamFault):
-            return None
-        if not piece:
-            break
-        body += piece
-        if len(body) > MAX_FORWARDED_BODY:
-            answer.abandon()
-            return None
-    pairs = tuple(headers.end_to_end(answer.headers))
-    return once.KeptAnswer(answer.status, pairs, bytes(body))
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -120,7 +120,7 @@
     ),
     Mutant(
         "another caller's answer is passed on",
-        "entry/once_path",
+        "entry/once_identity",
         'return once.OnceKey(f"ticket/{identity.ticket}")',
         'return once.OnceKey("ticket/same")',
     ),
