--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -59,7 +59,7 @@
         "a forged home: whoever is asked runs a claimed id",
         "entry/claims",
         "                return holder\n",
-        "                return mine\n",
+        "                return own_home\n",
     ),
     Mutant(
         "a broken connection is taken for not run",
