--- a/spindlenotch/api.py
+++ b/spindlenotch/api.py
@@ -8,7 +8,7 @@
 
 
 class NamedEntry(msgspec.Struct, frozen=True):
-    """An entry host that a caller may use."""
+    """An entry that a caller may use; ``address`` is ``IP:port``."""
 
     address: str
     zone: str
@@ -16,8 +16,10 @@
 
 class EntriesAnswer(msgspec.Struct, frozen=True):
     """
-    Which entries to use. ``valid_for_ms`` counts from when the answer comes,
-    since clocks differ; the caller stores the deadline that follows.
+    Which entries to use, and tickets for requests that may not be repeated.
+
+    ``valid_for_ms`` counts from the arrival of the answer, since clocks
+    differ; the caller stores the deadline that follows.
     """
 
     entries: tuple[NamedEntry, ...]
@@ -26,7 +28,12 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """The body of a refusal."""
+    """
+    The body of a refusal.
+
+    ``retry_after_ms`` counts from the arrival of the answer; None where the
+    same request would be refused again.
+    """
 
     outcome: str
     reason: str
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -17,19 +17,28 @@
 from spindlenotch.kernel import outcomes
 
 SERVICE_PREFIX = "/s/"
+#: Longest time a request may ask for, in milliseconds: a day. Chosen, not
+#: measured.
 MAX_TIMEOUT_MS = 24 * 3600 * 1000
-DIGITS = re.compile(r"[0-9]{1,9}")
+#: Numbers in headers have at most nine digits, enough for ``MAX_TIMEOUT_MS``.
+NUMBER = re.compile(r"[0-9]{1,9}")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A well-formed request of a caller that may make it."""
+    """
+    A well-formed request of a client account that may make it.
+
+    ``client_account`` is None for callers that name none. At most one of
+    ``ticket`` and ``chosen_id`` is not empty. ``hops`` counts the hops of the
+    chain of calls before this one.
+    """
 
     service: bundle.Service
     operation: bundle.Operation
     target: str
     rank: int
-    caller: ids.CallerName | None
+    client_account: ids.CallerName | None
     timeout_s: float
     ticket: str
     chosen_id: str
@@ -41,15 +50,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Standing:
-    caller: ids.CallerName | None
+class _Rights:
+    """Whose request it is, and the rank of its class; lower is served first."""
+
+    client_account: ids.CallerName | None
     rank: int
 
 
+@dataclasses.dataclass(frozen=True, slots=True)
+class _Id:
+    """The id a caller gave its request, if any, and which attempt it is."""
+
+    ticket: str
+    chosen: str
+    attempt: int
+
+
 def admit(
     current: bundle.Bundle, method: str, raw_path: str, fields: abc.Mapping[str, str]
 ) -> Admitted | outcomes.Refusal:
-    """Check one request against the bundle in force."""
+    """
+    Check one request against the bundle in force.
+
+    ``fields`` finds headers whatever their case. The first check that fails
+    gives the reason: service, operation, deadline, account, id, hops.
+    """
     service_name, _, rest = raw_path[len(SERVICE_PREFIX) :].partition("/")
     service = current.service_by_name.get(ids.ServiceName(service_name))
     if service is None:
@@ -58,96 +83,100 @@
     operation = service.operation_for(method, target.partition("?")[0])
     if operation is None:
         return outcomes.not_run(outcomes.Reason.UNKNOWN_OPERATION)
-    timeout_s = _timeout(fields)
+    timeout_s = _timeout_s(fields)
     if isinstance(timeout_s, outcomes.Refusal):
         return timeout_s
-    standing = _standing(current, operation, fields)
-    if isinstance(standing, outcomes.Refusal):
-        return standing
-    return _with_id(service, operation, target, timeout_s, standing, fields)
-
-
-def _with_id(
-    service: bundle.Service,
-    operation: bundle.Operation,
-    target: str,
-    timeout_s: float,
-    standing: _Standing,
-    fields: abc.Mapping[str, str],
-) -> Admitted | outcomes.Refusal:
-    ticket = fields.get(headers.TICKET, "")
-    chosen = fields.get(headers.IDEMPOTENCY_KEY, "")
-    if ticket and chosen:
-        return outcomes.not_run(outcomes.Reason.TWO_IDS)
-    if len(ticket) > tickets.MAX_ID_CHARS or len(chosen) > tickets.MAX_ID_CHARS:
-        return outcomes.not_run(outcomes.Reason.BAD_ID)
-    if chosen and standing.caller is None:
-        # Nameless callers share one name space and could meet in it.
-        return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
-    attempt = _whole(fields, headers.ATTEMPT, 1)
-    hops = _whole(fields, headers.HOPS, 0)
-    if attempt is None or attempt < 1:
-        return outcomes.not_run(outcomes.Reason.BAD_ID)
+    rights = _rights(current, operation, fields)
+    if isinstance(rights, outcomes.Refusal):
+        return rights
+    request_id = _request_id(rights, fields)
+    if isinstance(request_id, outcomes.Refusal):
+        return request_id
+    hops = _number(fields, headers.HOPS, default=0)
     if hops is None or hops >= headers.MAX_HOPS:
         return outcomes.not_run(outcomes.Reason.BAD_HEADER)
     return Admitted(
         service=service,
         operation=operation,
         target=target,
-        rank=standing.rank,
-        caller=standing.caller,
+        rank=rights.rank,
+        client_account=rights.client_account,
         timeout_s=timeout_s,
-        ticket=ticket,
-        chosen_id=chosen,
-        attempt=attempt,
-        first_attempt=headers.ATTEMPT in fields and attempt == 1,
+        ticket=request_id.ticket,
+        chosen_id=request_id.chosen,
+        attempt=request_id.attempt,
+        first_attempt=headers.ATTEMPT in fields and request_id.attempt == 1,
         forwarded=headers.FORWARDED in fields,
         no_retry=headers.NO_RETRY in fields,
         hops=hops,
     )
 
 
-def _timeout(fields: abc.Mapping[str, str]) -> float | outcomes.Refusal:
+def _request_id(
+    rights: _Rights, fields: abc.Mapping[str, str]
+) -> _Id | outcomes.Refusal:
+    ticket = fields.get(headers.TICKET, "")
+    chosen = fields.get(headers.IDEMPOTENCY_KEY, "")
+    if ticket and chosen:
+        return outcomes.not_run(outcomes.Reason.TWO_IDS)
+    if max(len(ticket), len(chosen)) > tickets.MAX_ID_CHARS:
+        return outcomes.not_run(outcomes.Reason.BAD_ID)
+    if chosen and rights.client_account is None:
+        # Callers without an account share one name space and could use the
+        # same id for different requests.
+        return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
+    attempt = _number(fields, headers.ATTEMPT, default=1)
+    if attempt is None or attempt < 1:
+        return outcomes.not_run(outcomes.Reason.BAD_ID)
+    return _Id(ticket, chosen, attempt)
+
+
+def _timeout_s(fields: abc.Mapping[str, str]) -> float | outcomes.Refusal:
     text = fields.get(headers.TIMEOUT_MS)
     if text is None:
         return outcomes.not_run(outcomes.Reason.MISSING_DEADLINE)
-    if not DIGITS.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+    if not NUMBER.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
         return outcomes.not_run(outcomes.Reason.BAD_DEADLINE)
     return int(text) / 1000
 
 
-def _standing(
+def _rights(
     current: bundle.Bundle, operation: bundle.Operation, fields: abc.Mapping[str, str]
-) -> _Standing | outcomes.Refusal:
-    """Find the caller's class: the asked one, the operation's, or its last."""
+) -> _Rights | outcomes.Refusal:
+    """
+    Find the class of a request: the one it asks for or the operation's.
+
+    An account without the operation's class gets the last of its own.
+    """
     asked = fields.get(headers.CLASS)
     name = fields.get(headers.CALLER)
     if name is None:
-        return _nameless(current, asked)
-    grant = current.caller_by_name.get(ids.CallerName(name))
+        return _rights_without_account(current, asked)
+    account = current.caller_by_name.get(ids.CallerName(name))
     digest = hashlib.sha256(fields.get(headers.KEY, "").encode()).hexdigest()
-    if grant is None or not hmac.compare_digest(digest, grant.key_sha256):
+    if account is None or not hmac.compare_digest(digest, account.key_sha256):
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
-    if asked is not None and asked not in grant.class_names:
+    if asked is not None and asked not in account.class_names:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
-    wanted = ids.ClassName(asked or operation.class_name)
-    if wanted not in grant.class_names:
-        wanted = grant.class_names[-1]
-    return _Standing(grant.name, current.rank_by_class[wanted])
+    class_name = ids.ClassName(asked or operation.class_name)
+    if class_name not in account.class_names:
+        class_name = account.class_names[-1]
+    return _Rights(account.name, current.rank_by_class[class_name])
 
 
-def _nameless(
+def _rights_without_account(
     current: bundle.Bundle, asked: str | None
-) -> _Standing | outcomes.Refusal:
+) -> _Rights | outcomes.Refusal:
     if current.unknown_class is None:
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
     if asked is not None and asked != current.unknown_class:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
-    return _Standing(None, current.rank_by_class[current.unknown_class])
+    return _Rights(None, current.rank_by_class[current.unknown_class])
 
 
-def _whole(fields: abc.Mapping[str, str], name: str, default: int) -> int | None:
+def _number(fields: abc.Mapping[str, str], name: str, *, default: int) -> int | None:
+    """Read a whole number; None where the header holds something else."""
     text = fields.get(name)
     if text is None:
         return default
-    return int(text) if DIGITS.fullmatch(text) else None
+    return int(text) if NUMBER.fullmatch(text) else None
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -23,15 +23,21 @@
 from spindlenotch.forwarding import data_path
 from spindlenotch.kernel import outcomes, waiting
 
-#: When a caller that meets an entry which is not ready should come back.
-NOT_READY_S = 0.5
+#: When a caller may ask an entry again that is not ready, in seconds. Chosen,
+#: not measured.
+NOT_READY_RETRY_S = 0.5
 
 Body = bytes | abc.AsyncIterable[bytes] | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Incoming:
-    """A request as it came. ``fields`` finds headers whatever their case."""
+    """
+    A request as it was read, before any check.
+
+    ``pairs`` are its headers in order; ``fields`` finds them whatever their
+    case.
+    """
 
     method: str
     raw_path: str
@@ -40,22 +46,27 @@
 
 
 class Front:
-    """Brings requests to their results for one entry."""
+    """
+    Brings requests to their results for one entry.
+
+    ``on_pause`` is called when a request finds that the process stood still
+    for longer than its bundle can be trusted.
+    """
 
     def __init__(
         self,
         state: entry_state.EntryState,
         path: data_path.DataPath,
-        ids_path: once_path.OncePath,
+        at_most_once: once_path.OncePath,
         on_pause: abc.Callable[[], None],
     ) -> None:
         self.state = state
         self.path = path
-        self.once_path = ids_path
+        self.once_path = at_most_once
         self.on_pause = on_pause
 
     def arrived(self) -> ids.Instant:
-        """Note that a request was read; return when it may have been sent."""
+        """Note that a request was read; return the earliest it can have been sent."""
         now = self.state.clock.now()
         if self.state.readiness.observe(now) is readiness.Gap.PAUSE:
             self.on_pause()
@@ -70,7 +81,7 @@
             current, incoming.method, incoming.raw_path, incoming.fields
         )
         if isinstance(admitted, outcomes.Refusal):
-            return _before_home(incoming.fields, admitted)
+            return _refuse_before_home(incoming.fields, admitted)
         return admitted
 
     def not_ready(self, fields: abc.Mapping[str, str]) -> outcomes.Refusal:
@@ -78,8 +89,8 @@
         reason = outcomes.Reason.NOT_READY
         if self.state.bundle is not None:
             reason = outcomes.Reason.RESYNCHRONISING
-        retry_at = ids.later(self.state.clock.now(), NOT_READY_S)
-        return _before_home(fields, outcomes.not_run(reason, retry_at))
+        retry_at = ids.later(self.state.clock.now(), NOT_READY_RETRY_S)
+        return _refuse_before_home(fields, outcomes.not_run(reason, retry_at))
 
     async def run(
         self,
@@ -95,7 +106,7 @@
         if admitted.operation.repeatable or not has_id:
             return await self.path.dispatch(job)
         identity = once_identity.Identity(
-            caller=admitted.caller,
+            client_account=admitted.client_account,
             ticket=admitted.ticket,
             chosen=admitted.chosen_id,
             attempt=admitted.attempt,
@@ -113,15 +124,16 @@
         sent_at: ids.Instant,
         body: Body,
     ) -> data_path.Job:
-        whole = isinstance(body, (bytes, type(None)))
         operation = admitted.operation
+        # A body that streams in is gone once it is sent.
+        can_resend = operation.repeatable and isinstance(body, (bytes, type(None)))
         call = waiting.Call(
-            call_id,
-            admitted.rank,
-            operation.repeatable and whole and not admitted.no_retry,
-            ids.later(sent_at, admitted.timeout_s),
-            operation.name,
-            sent_at,
+            id=call_id,
+            rank=admitted.rank,
+            repeatable=can_resend and not admitted.no_retry,
+            deadline=ids.later(sent_at, admitted.timeout_s),
+            operation=operation.name,
+            arrived_at=sent_at,
         )
         return data_path.Job(
             service=self.state.balancer_by_service[admitted.service.name],
@@ -131,14 +143,19 @@
             headers=headers.end_to_end(incoming.pairs, headers.OWN),
             body=body,
             hops=admitted.hops + 1,
-            fresh=not (operation.repeatable and whole),
+            fresh=not can_resend,
         )
 
 
-def _before_home(
+def _refuse_before_home(
     fields: abc.Mapping[str, str], refusal: outcomes.Refusal
 ) -> outcomes.Refusal:
-    """Say "unknown" where an earlier attempt may be running elsewhere."""
+    """
+    Refuse a request that is not admitted here.
+
+    Says "unknown" where an earlier attempt may be running elsewhere. The
+    headers are read as they stand: they may not have been checked yet.
+    """
     return once.refuse_before_home(
         refusal.reason,
         has_id=headers.TICKET in fields or headers.IDEMPOTENCY_KEY in fields,
--- a/spindlenotch/entry/once_identity.py
+++ b/spindlenotch/entry/once_identity.py
@@ -22,7 +22,7 @@
     ``forwarded`` is true where a peer took this process for the home.
     """
 
-    caller: ids.CallerName | None
+    client_account: ids.CallerName | None
     ticket: str
     chosen: str
     attempt: int
@@ -32,16 +32,21 @@
 
 
 def key_of(job: jobs.Job, identity: Identity) -> once.OnceKey:
-    """Return the key of the record: ids that callers chose are theirs alone."""
+    """Return the key of the record: an account's chosen ids are its own."""
     if identity.ticket:
         return once.OnceKey(f"ticket/{identity.ticket}")
     service = job.service.service.name
-    return once.OnceKey(f"chosen/{identity.caller}/{service}/{identity.chosen}")
+    return once.OnceKey(f"chosen/{identity.client_account}/{service}/{identity.chosen}")
 
 
 def fingerprint_of(job: jobs.Job, identity: Identity) -> str:
     """Return a digest of what the request asks; a streamed body is left out."""
     body = job.body if isinstance(job.body, bytes) else b""
-    parts = (str(identity.caller), job.service.service.name, job.method, job.target)
+    parts = (
+        str(identity.client_account),
+        job.service.service.name,
+        job.method,
+        job.target,
+    )
     head = "\n".join(parts).encode()
     return hashlib.sha256(head + b"\n" + body).hexdigest()
--- a/spindlenotch/entry/texts.py
+++ b/spindlenotch/entry/texts.py
@@ -1,7 +1,8 @@
 """
-All texts that tell a person what went wrong, and the HTTP status of each.
+The text and the HTTP status of every reason that a caller can be given.
 
-The caller-side handlers read this table; nothing else words an error.
+``responses`` reads these tables. Texts and statuses are part of the protocol
+with callers.
 """
 
 from spindlenotch.kernel import outcomes
@@ -59,7 +60,8 @@
     _R.HOME_GONE: 502,
 }
 
-#: Everything that is not listed above means "not now".
+#: Reasons that are not listed above mean that the request cannot be served now:
+#: 503, RFC 9110, section 15.6.4.
 DEFAULT_STATUS = 503
 
 
--- a/spindlenotch/headers.py
+++ b/spindlenotch/headers.py
@@ -24,9 +24,12 @@
 STATE = "Spindlenotch-State"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 
-#: Most hops a chain of calls may have; the users' deepest is 19.
+#: Most hops a chain of calls may have, so that a loop ends; the deepest chain
+#: that docs/CAPACITY.md counts with has 19. Chosen, not measured.
 MAX_HOPS = 32
 
+#: Never passed on (lower case): RFC 9110, section 7.6.1, and ``Keep-Alive``,
+#: ``Proxy-Connection`` and the two of proxy authentication, as is customary.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -41,7 +44,7 @@
     }
 )
 
-#: Set anew on each hop, never passed on as they came.
+#: Headers of requests that are set anew on each hop (lower case).
 OWN = frozenset(
     name.lower()
     for name in (TIMEOUT_MS, KEY, TICKET, FORWARDED, HOPS, NO_RETRY, REQUEST_ID)
@@ -55,17 +58,19 @@
     Return the headers that may pass a hop.
 
     Leaves out the standard hop-by-hop headers, those that ``Connection``
-    names, and those in ``drop`` (lower case).
+    names, and those in ``drop`` (lower case). Order and case stay.
     """
-    everything = list(pairs)
-    named: set[str] = set()
-    for name, value in everything:
+    all_pairs = list(pairs)
+    connection_options: set[str] = set()
+    for name, value in all_pairs:
         if name.lower() == "connection":
-            named.update(token.strip().lower() for token in value.split(","))
+            connection_options.update(
+                option.strip().lower() for option in value.split(",")
+            )
     return [
         (name, value)
-        for name, value in everything
+        for name, value in all_pairs
         if name.lower() not in HOP_BY_HOP
-        and name.lower() not in named
+        and name.lower() not in connection_options
         and name.lower() not in drop
     ]
