--- a/spindlenotch/entry/home_forwarding.py
+++ b/spindlenotch/entry/home_forwarding.py
@@ -2,8 +2,8 @@
 Forwards a request that may not be repeated to the home of its id.
 
 One hop only: a request that a peer forwarded here is not forwarded again. An
-answer counts only when it came whole; after anything else the request may
-have run at its home, and the caller learns just that.
+answer counts only when it is complete; after anything else the request may
+have run at its home, and the caller gets the outcome "unknown".
 """
 
 import asyncio
@@ -72,7 +72,7 @@
 def _own_headers(
     job: jobs.Job, identity: once_identity.Identity, left_s: float
 ) -> list[tuple[str, str]]:
-    """Return the headers that tell the home what the caller told us."""
+    """Return the headers by which the home learns deadline, id and attempt."""
     left_ms = max(LEAST_TIME_MS, int(left_s * 1000))
     own_headers = [
         (headers.TIMEOUT_MS, str(left_ms)),
--- a/spindlenotch/entry/once.py
+++ b/spindlenotch/entry/once.py
@@ -144,7 +144,7 @@
             record.answer = answer
 
     def may_have_run(self, key: OnceKey, refusal: outcomes.Refusal) -> None:
-        """Note that nobody can tell whether it ran."""
+        """Note that it may have run; that is final."""
         record = self.record_by_key[key]
         record.state = RunState.UNKNOWN
         record.refusal = refusal
@@ -157,14 +157,14 @@
 
     def sweep(self, now: ids.Instant) -> int:
         """Drop expired records; return how many."""
-        gone = [
+        expired = [
             key
             for key, record in self.record_by_key.items()
             if record.expires_at <= now and record.state is not RunState.RUNNING
         ]
-        for key in gone:
+        for key in expired:
             del self.record_by_key[key]
-        return len(gone)
+        return len(expired)
 
     def _begin_new(self, arrival: Arrival) -> Verdict | outcomes.Refusal:
         now = arrival.now
--- a/spindlenotch/entry/once_path.py
+++ b/spindlenotch/entry/once_path.py
@@ -60,7 +60,7 @@
         return await self._run_at_home(job, identity)
 
     async def drained(self) -> None:
-        """Return once no run is under way, their callers gone or not."""
+        """Return once no run is under way, their callers connected or not."""
         await self._runs.drained()
 
     async def _run_at_home(
--- a/spindlenotch/entry/once_runs.py
+++ b/spindlenotch/entry/once_runs.py
@@ -67,7 +67,7 @@
         return result
 
     async def drained(self) -> None:
-        """Return once no run is under way, their callers gone or not."""
+        """Return once no run is under way, their callers connected or not."""
         while self._task_by_key:
             await asyncio.wait(set(self._task_by_key.values()))
 
@@ -120,7 +120,7 @@
 
 
 def _abandon_answer(task: asyncio.Task[Result]) -> None:
-    """Give back the slot of an answer whose caller went before it came."""
+    """Give back the slot of an answer whose caller closed its connection first."""
     if task.cancelled() or task.exception() is not None:
         return
     result = task.result()
--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -2,7 +2,7 @@
 What the caller library knows of the entries: which to use, until when.
 
 Asks entries it knows, then the seeds, and keeps the answer until its deadline,
-together with the tickets that came with it. Used by ``client`` only.
+together with the tickets in it. Used by ``client`` only.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 #: How long one entry may take to say which entries to use, in seconds. Chosen,
 #: not measured.
 ASK_TIMEOUT_S = 2.0
-#: A ticket is used at the most this long after it came, in seconds: half of the
+#: A ticket is used at the most this long after it arrived, in seconds: half of the
 #: time for which its entry takes it. Chosen, not measured.
 TICKET_USE_S = 60.0
 
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -71,7 +71,7 @@
     async def again(
         self, job: jobs.Job, failed: balancer.Grant
     ) -> exchanges.Exchange | outcomes.Refusal:
-        """Get another answer in place of one whose body came to a bad end."""
+        """Retry a request whose answer was no good once its body was read."""
         grant = job.service.retry(failed, self.state.clock.now())
         if grant is None:
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -54,7 +54,7 @@
         result: upstreams.Result,
         report: upstreams.LoadReport | None,
     ) -> None:
-        """Tell the balancer how a try ended; settle the calls that lets in."""
+        """Give a grant back, with how its try ended; the slot may go to a call here."""
         now = self.state.clock.now()
         self._settle(job.service.finish(grant, result, report, now))
 
@@ -94,9 +94,9 @@
     def _check_queues(self) -> None:
         self._queue_check = None
         now = self.state.clock.now()
-        for service in self.state.balancer_by_service.values():
-            if len(service.queue):
-                self._settle(service.settle(now))
-                self._settle(service.give_up(now))
+        for decider in self.state.balancer_by_service.values():
+            if len(decider.queue):
+                self._settle(decider.settle(now))
+                self._settle(decider.give_up(now))
         if self._future_by_call:
             self._schedule_queue_check()
--- a/spindlenotch/forwarding/judgement.py
+++ b/spindlenotch/forwarding/judgement.py
@@ -80,7 +80,7 @@
 
 
 def end_of_answer(answer: ports.UpstreamAnswer) -> TryEnd:
-    """Judge a try by the head of its answer, as if its body came whole."""
+    """Judge a try by the head of its answer, as if its body were complete."""
     if answer.not_run:
         return SHED
     if answer.status >= outcomes.FIRST_FAILED_STATUS:
