--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -82,8 +82,9 @@
             fakes.FakeHostList(everything.hosts),
             typing.cast(typing.Any, make_link),
         )
-        self.path = data_path.DataPath(self.state, port)
-        self.path.on_drain_notice = self.control.spread_drain_notice
+        self.path = data_path.DataPath(
+            self.state, port, on_drain_notice=self.control.spread_drain_notice
+        )
         self.claims = claims.Claims(self.state, self.store)
         self.once_path = once_path.OncePath(self.state, self.path, self.claims)
         self.front = front.Front(
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -49,8 +49,11 @@
         self.host_list = host_list
         self.upstream_port = upstream_port
         self.control = control.Control(state, store, host_list)
-        self.path = data_path.DataPath(state, upstream_port)
-        self.path.on_drain_notice = self.control.spread_drain_notice
+        self.path = data_path.DataPath(
+            state,
+            upstream_port,
+            on_drain_notice=self.control.spread_drain_notice,
+        )
         self.once_path = once_path.OncePath(
             state, self.path, claims.Claims(state, store)
         )
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -45,7 +45,7 @@
     ) -> None:
         self.state = state
         self.port = port
-        self.on_drain_notice = on_drain_notice
+        self._on_drain_notice = on_drain_notice
         self._grants = granting.Grants(state)
         self._sender = sending.Sender(state, port, label)
 
@@ -83,5 +83,5 @@
             state=self.state,
             grants=self._grants,
             sender=self._sender,
-            on_drain_notice=self.on_drain_notice,
+            on_drain_notice=self._on_drain_notice,
         )
