--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -343,7 +343,15 @@
     call = waiting.Call(
         ids.CallId("call-1"), 1, True, ids.later(now, 5), "route-0", now
     )
-    job = data_path.Job(service, call, "GET", "/path-0", [], None, 0, False)
+    job = data_path.Job(
+        service=service,
+        call=call,
+        method="GET",
+        target="/path-0",
+        headers=[],
+        body=None,
+        fresh=False,
+    )
     grant = balancer.Grant(call, upstream, balancer.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
     grants = typing.cast(granting.Grants, None)
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -142,8 +142,8 @@
             target=admitted.target,
             headers=headers.end_to_end(incoming.pairs, headers.OWN),
             body=body,
-            hops=admitted.hops + 1,
             fresh=not can_resend,
+            hop_count=admitted.hops + 1,
         )
 
 
--- a/spindlenotch/entry/home_forwarding.py
+++ b/spindlenotch/entry/home_forwarding.py
@@ -78,7 +78,7 @@
         (headers.TIMEOUT_MS, str(left_ms)),
         (headers.FORWARDED, "1"),
         (headers.REQUEST_ID, job.call.id),
-        (headers.HOPS, str(job.hops)),
+        (headers.HOPS, str(job.hop_count)),
     ]
     if identity.key:
         own_headers.append((headers.KEY, identity.key))
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -32,9 +32,10 @@
     A request on its way to an upstream.
 
     ``headers`` and ``body`` are those of the caller; a body that is not bytes
-    streams in and can be read only once. ``hops`` counts the hops of the
-    chain of calls, the one to the upstream included. ``fresh`` asks for a new
-    connection, over which nothing can have been sent before.
+    streams in and can be read only once. ``fresh`` asks for a new connection,
+    over which nothing can have been sent before. ``hop_count`` counts the hops
+    of the chain of calls, the one to the upstream included; it stays 0 where
+    the upstreams' protocol does not count them.
     """
 
     service: balancer.Balancer
@@ -43,8 +44,8 @@
     target: str
     headers: list[tuple[str, str]]
     body: bytes | abc.AsyncIterable[bytes] | None
-    hops: int
     fresh: bool
+    hop_count: int = 0
 
     @property
     def body_is_whole(self) -> bool:
@@ -62,7 +63,7 @@
     own_headers = [
         (headers.TIMEOUT_MS, str(int(left_s * 1000))),
         (headers.REQUEST_ID, request_id),
-        (headers.HOPS, str(job.hops)),
+        (headers.HOPS, str(job.hop_count)),
     ]
     if grant.kind is not balancer.Kind.FIRST or not job.call.repeatable:
         own_headers.append((headers.NO_RETRY, "1"))
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -342,14 +342,13 @@
         if request_id is not None:
             kept.append((self.dialect.request_id, request_id))
         return data_path.Job(
-            self.state.balancer_by_service[name],
-            call,
-            request.method,
-            request.raw_path,
-            kept,
-            body,
-            0,
-            not route.repeatable or body is not None,
+            service=self.state.balancer_by_service[name],
+            call=call,
+            method=request.method,
+            target=request.raw_path,
+            headers=kept,
+            body=body,
+            fresh=not route.repeatable or body is not None,
         )
 
     async def _body(
