--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -344,7 +344,7 @@
         ids.CallId("call-1"), 1, True, ids.later(now, 5), "route-0", now
     )
     job = data_path.Job(
-        service=service,
+        balancer=service,
         call=call,
         method="GET",
         target="/path-0",
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -136,7 +136,7 @@
             arrived_at=sent_at,
         )
         return data_path.Job(
-            service=self.state.balancer_by_service[admitted.service.name],
+            balancer=self.state.balancer_by_service[admitted.service.name],
             call=call,
             method=incoming.method,
             target=admitted.target,
--- a/spindlenotch/entry/home_forwarding.py
+++ b/spindlenotch/entry/home_forwarding.py
@@ -56,7 +56,7 @@
         self, job: jobs.Job, identity: once_identity.Identity, address: ids.Address
     ) -> ports.UpstreamRequest:
         left_s = job.call.deadline - self.state.clock.now()
-        service = job.service.service.name
+        service = job.balancer.service.name
         return ports.UpstreamRequest(
             address=address,
             method=job.method,
--- a/spindlenotch/entry/once_identity.py
+++ b/spindlenotch/entry/once_identity.py
@@ -35,7 +35,7 @@
     """Return the key of the record: an account's chosen ids are its own."""
     if identity.ticket:
         return once.OnceKey(f"ticket/{identity.ticket}")
-    service = job.service.service.name
+    service = job.balancer.service.name
     return once.OnceKey(f"chosen/{identity.client_account}/{service}/{identity.chosen}")
 
 
@@ -44,7 +44,7 @@
     body = job.body if isinstance(job.body, bytes) else b""
     parts = (
         str(identity.client_account),
-        job.service.service.name,
+        job.balancer.service.name,
         job.method,
         job.target,
     )
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -54,7 +54,7 @@
         try:
             return await self.begin(job)
         finally:
-            job.service.forget(job.call.id)
+            job.balancer.forget(job.call.id)
 
     async def begin(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """
@@ -72,7 +72,7 @@
         self, job: jobs.Job, failed: balancer.Grant
     ) -> exchanges.Exchange | outcomes.Refusal:
         """Retry a request whose answer was no good once its body was read."""
-        grant = job.service.retry(failed, self.state.clock.now())
+        grant = job.balancer.retry(failed, self.state.clock.now())
         if grant is None:
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         return await self._race(job).run(grant)
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -42,7 +42,7 @@
 
     async def take(self, job: jobs.Job) -> Verdict:
         """Get a new request its first grant, waiting in the queue if need be."""
-        offered = job.service.offer(job.call, self.state.clock.now())
+        offered = job.balancer.offer(job.call, self.state.clock.now())
         if isinstance(offered, balancer.Waiting):
             return await self._wait(job, offered)
         return offered
@@ -56,7 +56,7 @@
     ) -> None:
         """Give a grant back, with how its try ended; the slot may go to a call here."""
         now = self.state.clock.now()
-        self._settle(job.service.finish(grant, result, report, now))
+        self._settle(job.balancer.finish(grant, result, report, now))
 
     def _settle(self, settlements: list[balancer.Settlement]) -> None:
         for settlement in settlements:
@@ -79,7 +79,7 @@
 
     def _withdraw(self, job: jobs.Job, future: asyncio.Future[Verdict]) -> None:
         self._future_by_call.pop(job.call.id, None)
-        job.service.withdraw(job.call.id)
+        job.balancer.withdraw(job.call.id)
         # The grant may have arrived in the same iteration of the event loop.
         if future.done() and not future.cancelled():
             verdict = future.result()
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -38,7 +38,7 @@
     the upstreams' protocol does not count them.
     """
 
-    service: balancer.Balancer
+    balancer: balancer.Balancer
     call: waiting.Call
     method: str
     target: str
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -86,7 +86,7 @@
     def _check_in_s(self, newest: balancer.Grant) -> float:
         """Return the seconds until the newest try is looked at again."""
         now = self.state.clock.now()
-        check = self.job.service.next_check(newest, now)
+        check = self.job.balancer.next_check(newest, now)
         return max(0.0, min(check, self.job.call.deadline) - now)
 
     def _deadline_passed(self) -> bool:
@@ -94,7 +94,7 @@
 
     def _hedge(self, newest: balancer.Grant) -> balancer.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
-        hedge = self.job.service.hedge(newest, self.state.clock.now())
+        hedge = self.job.balancer.hedge(newest, self.state.clock.now())
         if hedge is None:
             return newest
         self._start(hedge)
@@ -146,7 +146,7 @@
         if not self.job.body_is_whole:
             return
         now = self.state.clock.now()
-        retry = self.job.service.retry(grant, now, known_not_run=known_not_run)
+        retry = self.job.balancer.retry(grant, now, known_not_run=known_not_run)
         if retry is not None:
             self._start(retry)
 
@@ -159,7 +159,7 @@
         """
         retry = None
         if not self._grant_by_task:
-            retry = self.job.service.retry(exchange.grant, self.state.clock.now())
+            retry = self.job.balancer.retry(exchange.grant, self.state.clock.now())
             if retry is None:
                 return False
         self._keep(judgement.FAILED_ANSWER)
@@ -169,7 +169,7 @@
         return True
 
     def _note_drain(self, grant: balancer.Grant) -> None:
-        service = self.job.service.service.name
+        service = self.job.balancer.service.name
         left_now = self.state.leave_upstream(
             service, grant.upstream.spec, "said it is draining"
         )
@@ -177,7 +177,7 @@
             self.on_drain_notice()
 
     def _record_foreign(self, grant: balancer.Grant) -> None:
-        service = self.job.service.service.name
+        service = self.job.balancer.service.name
         self.state.metrics.foreign_answers.labels(service).inc()
         events.emit(
             events.Event.FOREIGN_ANSWER,
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -81,7 +81,7 @@
         request_id: str,
         last_reason: outcomes.Reason,
     ) -> None:
-        name = job.service.service.name
+        name = job.balancer.service.name
         kind = grant.kind.value
         self.state.metrics.extra_sends.labels(name, kind).inc()
         events.emit(
@@ -93,7 +93,7 @@
             reason=_cause(grant.kind, last_reason),
             pace=round(grant.slowdown, 2),
             told_s_ago=round(grant.sent_at - grant.upstream.report_at, 3),
-            extra_left=round(job.service.retries.balance, 1),
+            extra_left=round(job.balancer.retries.balance, 1),
         )
 
 
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -181,7 +181,7 @@
                 request.transport.abort()
             raise asyncio.CancelledError from None
         finally:
-            job.service.forget(job.call.id)
+            job.balancer.forget(job.call.id)
         if isinstance(answer, outcomes.Refusal):
             return self._refuse(request, job, answer)
         return answer
@@ -341,7 +341,7 @@
         if request_id is not None:
             kept.append((self.dialect.request_id, request_id))
         return data_path.Job(
-            service=self.state.balancer_by_service[name],
+            balancer=self.state.balancer_by_service[name],
             call=call,
             method=request.method,
             target=request.raw_path,
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -34,7 +34,7 @@
             events.Event.REQUEST_SERVED,
             request=request_id,
             route=job.call.operation,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             upstream=grant.upstream.spec.id,
             kind=grant.kind.value,
             status=exchange.answer.status,
@@ -51,7 +51,7 @@
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             upstream=exchange.grant.upstream.spec.id,
             status=exchange.answer.status,
             reason=UPSTREAM_FAILED,
@@ -69,10 +69,10 @@
         events.emit(
             events.Event.REQUEST_REFUSED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             reason=refusal.reason.value,
-            waiting=len(job.service.queue),
-            usable=len(job.service.pool.usable_order),
+            waiting=len(job.balancer.queue),
+            usable=len(job.balancer.pool.usable_order),
             version=self.state.version,
             retry_after_s=round(wait_s, 3),
         )
@@ -89,7 +89,7 @@
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             status=status,
             reason=reason.value,
             after_s=round(self._took_s(job), 4),
@@ -100,7 +100,7 @@
         self, job: data_path.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
     ) -> None:
         """Count the end of a request."""
-        service = job.service.service.name
+        service = job.balancer.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._took_s(job))
 
