--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -350,7 +350,7 @@
         target="/path-0",
         headers=[],
         body=None,
-        fresh=False,
+        needs_new_connection=False,
     )
     grant = balancer.Grant(call, upstream, balancer.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -141,7 +141,7 @@
 
     async def _respond(self, request: ports.UpstreamRequest) -> aiohttp.ClientResponse:
         """Send over the first kept connection that is sound, or a new one."""
-        session = self._session(fresh=request.fresh)
+        session = self._session(fresh=request.needs_new_connection)
         while True:
             try:
                 return await session.request(
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -142,7 +142,7 @@
             target=admitted.target,
             headers=headers.end_to_end(incoming.pairs, headers.OWN),
             body=body,
-            fresh=not can_resend,
+            needs_new_connection=not can_resend,
             hop_count=admitted.hops + 1,
         )
 
--- a/spindlenotch/entry/home_forwarding.py
+++ b/spindlenotch/entry/home_forwarding.py
@@ -64,7 +64,7 @@
             headers=[*job.headers, *_own_headers(job, identity, left_s)],
             body=job.body,
             request_id=job.call.id,
-            fresh=True,
+            needs_new_connection=True,
             may_send=lambda: self.state.clock.now() < job.call.deadline,
         )
 
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -32,10 +32,10 @@
     A request on its way to an upstream.
 
     ``headers`` and ``body`` are those of the caller; a body that is not bytes
-    streams in and can be read only once. ``fresh`` asks for a new connection,
-    over which nothing can have been sent before. ``hop_count`` counts the hops
-    of the chain of calls, the one to the upstream included; it stays 0 where
-    the upstreams' protocol does not count them.
+    streams in and can be read only once. With ``needs_new_connection`` it goes
+    over one on which nothing was sent before. ``hop_count`` counts the hops of
+    the chain of calls, the one to the upstream included; it stays 0 where the
+    upstreams' protocol does not count them.
     """
 
     balancer: balancer.Balancer
@@ -44,7 +44,7 @@
     target: str
     headers: list[tuple[str, str]]
     body: bytes | abc.AsyncIterable[bytes] | None
-    fresh: bool
+    needs_new_connection: bool
     hop_count: int = 0
 
     @property
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -70,7 +70,7 @@
             headers=[*job.headers, *labels.headers],
             body=job.body,
             request_id=labels.request_id,
-            fresh=job.fresh,
+            needs_new_connection=job.needs_new_connection,
             may_send=lambda: clock.now() < deadline,
         )
 
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -347,7 +347,7 @@
             target=request.raw_path,
             headers=kept,
             body=body,
-            fresh=not route.repeatable or body is not None,
+            needs_new_connection=not route.repeatable or body is not None,
         )
 
     async def _body(
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -102,8 +102,8 @@
     """
     What goes to an upstream.
 
-    ``fresh`` asks for a new connection. ``may_send`` is asked once, at the
-    last moment before the first byte.
+    With ``needs_new_connection`` no kept connection is used. ``may_send`` is
+    asked once, at the last moment before the first byte.
     """
 
     address: ids.Address
@@ -112,7 +112,7 @@
     headers: list[tuple[str, str]]
     body: bytes | abc.AsyncIterable[bytes] | None
     request_id: str
-    fresh: bool
+    needs_new_connection: bool
     may_send: abc.Callable[[], bool]
 
 
