--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -25,7 +25,7 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.drivers import upstream_http
 from spindlenotch.entry import claims, explain, plugins, readiness, settings
-from spindlenotch.forwarding import data_path, exchanges, granting
+from spindlenotch.forwarding import exchanges, granting, jobs
 from spindlenotch.gateway import (
     dialect,
     log_sink,
@@ -343,7 +343,7 @@
     call = waiting.Call(
         ids.CallId("call-1"), 1, True, ids.later(now, 5), "route-0", now
     )
-    job = data_path.Job(
+    job = jobs.Job(
         balancer=service,
         call=call,
         method="GET",
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -15,7 +15,7 @@
 from spindlenotch import clock, events, ids, metrics, selection
 from spindlenotch.bundles import bundle, bundle_seal
 from spindlenotch.decisions import balancer
-from spindlenotch.entry import once, readiness, settings
+from spindlenotch.entry import once, readiness, settings, tickets
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
 from spindlenotch.peers import documents, gossip
 
@@ -58,7 +58,7 @@
         self.local_member = ownership.Member(config.zone, config.host)
         self.gossip = gossip.Gossip(self._own_record(), self.rng)
         self.once = once.OnceTable(config.once_capacity)
-        self.mint = once.Mint(config.host, self.incarnation, secrets.token_bytes(32))
+        self.mint = tickets.Mint(config.host, self.incarnation, secrets.token_bytes(32))
         self.metrics = metrics.Metrics()
         self.counters = Counters()
         self.started_at = now
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -20,7 +20,7 @@
     once_runs,
     readiness,
 )
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import data_path, jobs
 from spindlenotch.kernel import outcomes, waiting
 
 #: When a caller may ask an entry again that is not ready, in seconds. Chosen,
@@ -123,7 +123,7 @@
         call_id: ids.CallId,
         sent_at: ids.Instant,
         body: Body,
-    ) -> data_path.Job:
+    ) -> jobs.Job:
         operation = admitted.operation
         # A body that streams in is gone once it is sent.
         can_resend = operation.repeatable and isinstance(body, (bytes, type(None)))
@@ -135,7 +135,7 @@
             operation=operation.name,
             arrived_at=sent_at,
         )
-        return data_path.Job(
+        return jobs.Job(
             balancer=self.state.balancer_by_service[admitted.service.name],
             call=call,
             method=incoming.method,
--- a/spindlenotch/entry/once.py
+++ b/spindlenotch/entry/once.py
@@ -12,7 +12,6 @@
 import typing
 
 from spindlenotch import ids
-from spindlenotch.entry import tickets
 from spindlenotch.kernel import outcomes
 
 #: A larger answer is not kept to be given again, in bytes. Chosen, not
@@ -22,8 +21,6 @@
 #: not measured.
 TABLE_FULL_RETRY_S = 1.0
 
-Mint = tickets.Mint
-
 OnceKey = typing.NewType("OnceKey", str)
 
 
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -15,10 +15,6 @@
 from spindlenotch.forwarding import exchanges, granting, jobs, race, sending
 from spindlenotch.kernel import outcomes
 
-Job = jobs.Job
-Labels = jobs.Labels
-Exchange = exchanges.Exchange
-
 
 class PathState(granting.GrantState, race.UpstreamState, typing.Protocol):
     """What the data path needs of the process that it runs in."""
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -16,7 +16,7 @@
 
 from spindlenotch import headers, ids, ports
 from spindlenotch.decisions import balancer
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.gateway import (
     dialect as dialects,
     request_log,
@@ -187,7 +187,7 @@
         return answer
 
     async def _answer(
-        self, request: web_request.BaseRequest, job: data_path.Job
+        self, request: web_request.BaseRequest, job: jobs.Job
     ) -> web_response.StreamResponse | outcomes.Refusal:
         found = await self.path.begin(job)
         while not isinstance(found, outcomes.Refusal):
@@ -203,7 +203,7 @@
         return found
 
     async def _whole(
-        self, exchange: data_path.Exchange
+        self, exchange: exchanges.Exchange
     ) -> "WholeAnswer | bytes | None":
         """Return the answer, its first part if it is long, None if cut short."""
         pieces: list[bytes] = []
@@ -227,8 +227,8 @@
     def _pass_on(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
-        exchange: data_path.Exchange,
+        job: jobs.Job,
+        exchange: exchanges.Exchange,
         whole: WholeAnswer,
     ) -> web_response.Response | outcomes.Refusal:
         if whole.status in PROMISES:
@@ -247,7 +247,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        exchange: data_path.Exchange,
+        exchange: exchanges.Exchange,
         first: bytes,
     ) -> web_response.StreamResponse:
         answer = exchange.answer
@@ -286,7 +286,7 @@
     def _refuse(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
+        job: jobs.Job,
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
@@ -302,7 +302,7 @@
     def _failed(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
+        job: jobs.Job,
         status: int,
         reason: outcomes.Reason,
     ) -> web_response.Response:
@@ -314,7 +314,7 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: "bytes | abc.AsyncIterable[bytes] | None",
-    ) -> data_path.Job:
+    ) -> jobs.Job:
         now = self.state.clock.now()
         name = self.state.turns.next(route)
         deadline = ids.later(now, self._patience_s(request))
@@ -340,7 +340,7 @@
         request_id = request.headers.get(self.dialect.request_id)
         if request_id is not None:
             kept.append((self.dialect.request_id, request_id))
-        return data_path.Job(
+        return jobs.Job(
             balancer=self.state.balancer_by_service[name],
             call=call,
             method=request.method,
@@ -385,18 +385,16 @@
 
 def labels(
     dialect: dialects.Dialect,
-) -> abc.Callable[[data_path.Job, balancer.Grant, float], data_path.Labels]:
+) -> jobs.Labeller:
     """Return what names each try in that dialect."""
 
-    def label(
-        job: data_path.Job, grant: balancer.Grant, left_s: float
-    ) -> data_path.Labels:
+    def label(job: jobs.Job, grant: balancer.Grant, left_s: float) -> jobs.Labels:
         found = dict(job.headers)
         request_id = found.get(dialect.request_id, "")
         extra = [(dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
         if dialect.expect_upstream is not None:
             extra.append((dialect.expect_upstream, grant.upstream.spec.id))
-        return data_path.Labels(request_id, extra)
+        return jobs.Labels(request_id, extra)
 
     return label
 
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -8,7 +8,7 @@
 import zlib
 
 from spindlenotch import events
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import exchanges, jobs
 from spindlenotch.gateway import state as states
 from spindlenotch.kernel import outcomes
 
@@ -24,7 +24,7 @@
         self.state = state
 
     def served(
-        self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
+        self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
         """Tell of an answer that was passed on, if its id is in the sample."""
         if zlib.crc32(request_id.encode()) % SERVED_SAMPLE:
@@ -45,7 +45,7 @@
         )
 
     def failed_upstream(
-        self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
+        self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
         """Tell of an upstream's own failure that was passed on."""
         events.emit(
@@ -60,7 +60,7 @@
     def refused(
         self,
         request_id: str,
-        job: data_path.Job,
+        job: jobs.Job,
         refusal: outcomes.Refusal,
         wait_s: float,
     ) -> None:
@@ -80,7 +80,7 @@
     def failed(
         self,
         request_id: str,
-        job: data_path.Job,
+        job: jobs.Job,
         status: int,
         reason: outcomes.Reason,
     ) -> None:
@@ -97,12 +97,12 @@
         )
 
     def count(
-        self, job: data_path.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
+        self, job: jobs.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
     ) -> None:
         """Count the end of a request."""
         service = job.balancer.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._took_s(job))
 
-    def _took_s(self, job: data_path.Job) -> float:
+    def _took_s(self, job: jobs.Job) -> float:
         return self.state.clock.now() - job.call.arrived_at
