--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -25,6 +25,7 @@
     front,
     once,
     once_path,
+    once_runs,
     prober,
     settings,
     texts,
@@ -82,8 +83,9 @@
             fakes.FakeHostList(everything.hosts),
             typing.cast(typing.Any, make_link),
         )
-        self.path = data_path.DataPath(self.state, port)
-        self.path.on_drain_notice = self.control.spread_drain_notice
+        self.path = data_path.DataPath(
+            self.state, port, on_drain_notice=self.control.spread_drain_notice
+        )
         self.claims = claims.Claims(self.state, self.store)
         self.once_path = once_path.OncePath(self.state, self.path, self.claims)
         self.front = front.Front(
@@ -127,7 +129,7 @@
         fields = dict(pairs)
         incoming = front.Incoming(method, raw_path, fields, pairs)
         admitted = self.front.check(incoming)
-        result: once_path.Result
+        result: once_runs.Result
         if isinstance(admitted, outcomes.Refusal):
             result = admitted
         else:
@@ -143,7 +145,7 @@
 
 
 async def _answer(
-    result: once_path.Result, call_id: ids.CallId
+    result: once_runs.Result, call_id: ids.CallId
 ) -> fake_upstreams.Answer:
     marks = [(headers.REQUEST_ID, str(call_id))]
     if isinstance(result, outcomes.Refusal):
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -138,7 +138,7 @@
 
     async def _respond(self, request: ports.UpstreamRequest) -> aiohttp.ClientResponse:
         """Send over the first idle connection that can be used, or a new one."""
-        session = self._session(fresh=request.fresh)
+        session = self._session(fresh=request.needs_new_connection)
         while True:
             try:
                 return await session.request(
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -22,6 +22,7 @@
     once,
     readiness,
     settings,
+    tickets,
 )
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
 from spindlenotch.peers import documents, gossip, messages
@@ -73,7 +74,7 @@
             self.gossip, self.balancer_by_service
         )
         self.once = once.OnceTable(config.once_capacity)
-        self.mint = once.Mint(config.host, self.incarnation, secrets.token_bytes(32))
+        self.mint = tickets.Mint(config.host, self.incarnation, secrets.token_bytes(32))
         self.metrics = metrics.Metrics()
         self.counters = Counters()
         self.started_at = now
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -11,19 +11,33 @@
 from collections import abc
 
 from spindlenotch import headers, ids
-from spindlenotch.entry import admit, entry_state, once, once_path, readiness
-from spindlenotch.forwarding import data_path
+from spindlenotch.entry import (
+    admit,
+    entry_state,
+    once,
+    once_identity,
+    once_path,
+    once_runs,
+    readiness,
+)
+from spindlenotch.forwarding import data_path, jobs
 from spindlenotch.kernel import outcomes, waiting
 
-#: When a caller that meets an entry which is not ready should come back.
-NOT_READY_S = 0.5
+#: When a caller may ask an entry again that is not ready, in seconds. Chosen,
+#: not measured.
+NOT_READY_RETRY_S = 0.5
 
 Body = bytes | abc.AsyncIterable[bytes] | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Incoming:
-    """A request as it came. ``fields`` finds headers whatever their case."""
+    """
+    A request as it was read, before any check.
+
+    ``pairs`` are its headers in order; ``fields`` finds them whatever their
+    case.
+    """
 
     method: str
     raw_path: str
@@ -32,22 +46,27 @@
 
 
 class Front:
-    """Brings requests to their results for one entry."""
+    """
+    Brings requests to their results for one entry.
+
+    ``on_pause`` is called when a request finds that the process stood still
+    for longer than its bundle can be trusted.
+    """
 
     def __init__(
         self,
         state: entry_state.EntryState,
         path: data_path.DataPath,
-        ids_path: once_path.OncePath,
+        at_most_once: once_path.OncePath,
         on_pause: abc.Callable[[], None],
     ) -> None:
         self.state = state
         self.path = path
-        self.once_path = ids_path
+        self.once_path = at_most_once
         self.on_pause = on_pause
 
     def arrived(self) -> ids.Instant:
-        """Note that a request was read; return when it may have been sent."""
+        """Note that a request was read; return the earliest it can have been sent."""
         now = self.state.clock.now()
         if self.state.readiness.observe(now) is readiness.Gap.PAUSE:
             self.on_pause()
@@ -62,7 +81,7 @@
             current, incoming.method, incoming.raw_path, incoming.fields
         )
         if isinstance(admitted, outcomes.Refusal):
-            return _before_home(incoming.fields, admitted)
+            return _refuse_before_home(incoming.fields, admitted)
         return admitted
 
     def not_ready(self, fields: abc.Mapping[str, str]) -> outcomes.Refusal:
@@ -70,8 +89,8 @@
         reason = outcomes.Reason.NOT_READY
         if self.state.bundle is not None:
             reason = outcomes.Reason.RESYNCHRONISING
-        retry_at = ids.later(self.state.clock.now(), NOT_READY_S)
-        return _before_home(fields, outcomes.not_run(reason, retry_at))
+        retry_at = ids.later(self.state.clock.now(), NOT_READY_RETRY_S)
+        return _refuse_before_home(fields, outcomes.not_run(reason, retry_at))
 
     async def run(
         self,
@@ -80,20 +99,20 @@
         call_id: ids.CallId,
         sent_at: ids.Instant,
         body: Body,
-    ) -> once_path.Result:
+    ) -> once_runs.Result:
         """Carry an admitted request to its result."""
         job = self._job(incoming, admitted, call_id, sent_at, body)
         has_id = bool(admitted.ticket or admitted.chosen_id)
         if admitted.operation.repeatable or not has_id:
             return await self.path.dispatch(job)
-        identity = once_path.Identity(
-            admitted.caller,
-            admitted.ticket,
-            admitted.chosen_id,
-            admitted.attempt,
-            admitted.first_attempt,
-            admitted.forwarded,
-            incoming.fields.get(headers.KEY, ""),
+        identity = once_identity.Identity(
+            client_account=admitted.client_account,
+            ticket=admitted.ticket,
+            chosen=admitted.chosen_id,
+            attempt=admitted.attempt,
+            first_attempt=admitted.first_attempt,
+            forwarded=admitted.forwarded,
+            key=incoming.fields.get(headers.KEY, ""),
         )
         return await self.once_path.run(job, identity)
 
@@ -104,34 +123,40 @@
         call_id: ids.CallId,
         sent_at: ids.Instant,
         body: Body,
-    ) -> data_path.Job:
-        whole = isinstance(body, (bytes, type(None)))
+    ) -> jobs.Job:
         operation = admitted.operation
+        # A body that streams in is gone once it is sent.
+        can_resend = operation.repeatable and isinstance(body, (bytes, type(None)))
         call = waiting.Call(
             id=call_id,
             priority=admitted.rank,
-            repeatable=operation.repeatable and whole and not admitted.no_retry,
+            repeatable=can_resend and not admitted.no_retry,
             deadline=ids.later(sent_at, admitted.timeout_s),
             latency_key=operation.name,
             arrived_at=sent_at,
         )
-        return data_path.Job(
-            service=self.state.balancer_by_service[admitted.service.name],
+        return jobs.Job(
+            balancer=self.state.balancer_by_service[admitted.service.name],
             call=call,
             method=incoming.method,
             target=admitted.target,
             headers=headers.end_to_end(incoming.pairs, headers.OWN),
             body=body,
-            hops=admitted.hops + 1,
-            fresh=not (operation.repeatable and whole),
+            needs_new_connection=not can_resend,
+            hop_count=admitted.hops + 1,
         )
 
 
-def _before_home(
+def _refuse_before_home(
     fields: abc.Mapping[str, str], refusal: outcomes.Refusal
 ) -> outcomes.Refusal:
-    """Say "unknown" where an earlier attempt may be running elsewhere."""
-    return once.before_home(
+    """
+    Refuse a request that is not admitted here.
+
+    Says "unknown" where an earlier attempt may be running elsewhere. The
+    headers are read as they stand: they may not have been checked yet.
+    """
+    return once.refuse_before_home(
         refusal.reason,
         has_id=headers.TICKET in fields or headers.IDEMPOTENCY_KEY in fields,
         first_attempt=fields.get(headers.ATTEMPT) == "1",
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -16,7 +16,7 @@
 
 from spindlenotch import headers, ids, ports
 from spindlenotch.decisions import balancer
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.gateway import (
     dialect as dialects,
     request_log,
@@ -47,7 +47,6 @@
 BACKLOG = 1024
 #: Statuses that promise that a request has not run.
 PROMISES = frozenset({408, 421, 429, 503})
-FAILED_STATUS = 500
 #: Final answers of our own that promise nothing.
 UNKNOWN_STATUS = 502
 LATE_STATUS = 504
@@ -182,13 +181,13 @@
                 request.transport.abort()
             raise asyncio.CancelledError from None
         finally:
-            job.service.forget(job.call.id)
+            job.balancer.forget(job.call.id)
         if isinstance(answer, outcomes.Refusal):
             return self._refuse(request, job, answer)
         return answer
 
     async def _answer(
-        self, request: web_request.BaseRequest, job: data_path.Job
+        self, request: web_request.BaseRequest, job: jobs.Job
     ) -> web_response.StreamResponse | outcomes.Refusal:
         found = await self.path.begin(job)
         while not isinstance(found, outcomes.Refusal):
@@ -204,7 +203,7 @@
         return found
 
     async def _whole(
-        self, exchange: data_path.Exchange
+        self, exchange: exchanges.Exchange
     ) -> "WholeAnswer | bytes | None":
         """Return the answer, its first part if it is long, None if cut short."""
         pieces: list[bytes] = []
@@ -228,15 +227,15 @@
     def _pass_on(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
-        exchange: data_path.Exchange,
+        job: jobs.Job,
+        exchange: exchanges.Exchange,
         whole: WholeAnswer,
     ) -> web_response.Response | outcomes.Refusal:
         if whole.status in PROMISES:
             # The upstream did not say that it has not run, and would have.
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if whole.status >= FAILED_STATUS:
+        if whole.status >= outcomes.FIRST_FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
@@ -248,7 +247,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        exchange: data_path.Exchange,
+        exchange: exchanges.Exchange,
         first: bytes,
     ) -> web_response.StreamResponse:
         answer = exchange.answer
@@ -287,7 +286,7 @@
     def _refuse(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
+        job: jobs.Job,
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
@@ -303,7 +302,7 @@
     def _failed(
         self,
         request: web_request.BaseRequest,
-        job: data_path.Job,
+        job: jobs.Job,
         status: int,
         reason: outcomes.Reason,
     ) -> web_response.Response:
@@ -315,7 +314,7 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: "bytes | abc.AsyncIterable[bytes] | None",
-    ) -> data_path.Job:
+    ) -> jobs.Job:
         now = self.state.clock.now()
         name = self.state.turns.next(route)
         deadline = ids.later(now, self._patience_s(request))
@@ -341,15 +340,14 @@
         request_id = request.headers.get(self.dialect.request_id)
         if request_id is not None:
             kept.append((self.dialect.request_id, request_id))
-        return data_path.Job(
-            self.state.balancer_by_service[name],
-            call,
-            request.method,
-            request.raw_path,
-            kept,
-            body,
-            0,
-            not route.repeatable or body is not None,
+        return jobs.Job(
+            balancer=self.state.balancer_by_service[name],
+            call=call,
+            method=request.method,
+            target=request.raw_path,
+            headers=kept,
+            body=body,
+            needs_new_connection=not route.repeatable or body is not None,
         )
 
     async def _body(
@@ -387,18 +385,16 @@
 
 def labels(
     dialect: dialects.Dialect,
-) -> abc.Callable[[data_path.Job, balancer.Grant, float], data_path.Labels]:
+) -> jobs.Labeller:
     """Return what names each try in that dialect."""
 
-    def label(
-        job: data_path.Job, grant: balancer.Grant, left_s: float
-    ) -> data_path.Labels:
+    def label(job: jobs.Job, grant: balancer.Grant, left_s: float) -> jobs.Labels:
         found = dict(job.headers)
         request_id = found.get(dialect.request_id, "")
         extra = [(dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
         if dialect.expect_upstream is not None:
             extra.append((dialect.expect_upstream, grant.upstream.spec.id))
-        return data_path.Labels(request_id, extra)
+        return jobs.Labels(request_id, extra)
 
     return label
 
--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -8,7 +8,7 @@
 import zlib
 
 from spindlenotch import events
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import exchanges, jobs
 from spindlenotch.gateway import state as states
 from spindlenotch.kernel import outcomes
 
@@ -24,7 +24,7 @@
         self.state = state
 
     def served(
-        self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
+        self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
         """Tell of an answer that was passed on, if its id is in the sample."""
         if zlib.crc32(request_id.encode()) % SERVED_SAMPLE:
@@ -34,7 +34,7 @@
             events.Event.REQUEST_SERVED,
             request=request_id,
             route=job.call.latency_key,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             upstream=grant.upstream.spec.id,
             kind=grant.kind.value,
             status=exchange.answer.status,
@@ -45,13 +45,13 @@
         )
 
     def failed_upstream(
-        self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
+        self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
         """Tell of an upstream's own failure that was passed on."""
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             upstream=exchange.grant.upstream.spec.id,
             status=exchange.answer.status,
             reason=UPSTREAM_FAILED,
@@ -60,7 +60,7 @@
     def refused(
         self,
         request_id: str,
-        job: data_path.Job,
+        job: jobs.Job,
         refusal: outcomes.Refusal,
         wait_s: float,
     ) -> None:
@@ -69,10 +69,10 @@
         events.emit(
             events.Event.REQUEST_REFUSED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             reason=refusal.reason.value,
-            waiting=len(job.service.queue),
-            usable=len(job.service.pool.usable_order),
+            waiting=len(job.balancer.queue),
+            usable=len(job.balancer.pool.usable_order),
             version=self.state.version,
             retry_after_s=round(wait_s, 3),
         )
@@ -80,7 +80,7 @@
     def failed(
         self,
         request_id: str,
-        job: data_path.Job,
+        job: jobs.Job,
         status: int,
         reason: outcomes.Reason,
     ) -> None:
@@ -89,7 +89,7 @@
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
-            service=job.service.service.name,
+            service=job.balancer.service.name,
             status=status,
             reason=reason.value,
             after_s=round(self._took_s(job), 4),
@@ -97,12 +97,12 @@
         )
 
     def count(
-        self, job: data_path.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
+        self, job: jobs.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
     ) -> None:
         """Count the end of a request."""
-        service = job.service.service.name
+        service = job.balancer.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._took_s(job))
 
-    def _took_s(self, job: data_path.Job) -> float:
+    def _took_s(self, job: jobs.Job) -> float:
         return self.state.clock.now() - job.call.arrived_at
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -134,7 +134,7 @@
     headers: list[tuple[str, str]]
     body: bytes | abc.AsyncIterable[bytes] | None
     request_id: str
-    fresh: bool
+    needs_new_connection: bool
     may_send: abc.Callable[[], bool]
 
 
