--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -16,16 +16,10 @@
 from spindlenotch.bundles import bundle, bundle_seal
 from spindlenotch.decisions import balancer
 from spindlenotch.entry import once, readiness, settings
+from spindlenotch.forwarding import upstream_events
 from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
 from spindlenotch.peers import documents, gossip
 
-_EVENT_BY_STATE = {
-    upstreams.State.ACTIVE: events.Event.UPSTREAM_BACK,
-    upstreams.State.PROBATION: events.Event.UPSTREAM_PROBATION,
-    upstreams.State.EJECTED: events.Event.UPSTREAM_EJECTED,
-    upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
-}
-
 
 @dataclasses.dataclass(slots=True)
 class Counters:
@@ -98,13 +92,7 @@
         """Let ejections end and log what changed; a few times a second."""
         for name, service in self.balancer_by_service.items():
             service.pool.tick(now)
-            for change in service.pool.take_changes():
-                events.emit(
-                    _EVENT_BY_STATE[change.state],
-                    service=name,
-                    upstream=change.upstream,
-                    reason=change.reason,
-                )
+            upstream_events.report_changes(name, service.pool)
 
     def members_changed(self) -> None:
         """Cut slots anew after an entry came or went."""
--- /dev/null
+++ b/spindlenotch/forwarding/upstream_events.py
@@ -0,0 +1,29 @@
+"""
+Log events for the state changes of upstreams.
+
+Both daemons report what their pools decided through this module, so that an
+ejection reads the same in either log. Owns the map from an upstream's state
+to its event; relies on the kernel's pools, which keep their changes until
+they are taken.
+"""
+
+from spindlenotch import events, ids
+from spindlenotch.kernel import pool, upstreams
+
+EVENT_BY_STATE = {
+    upstreams.State.EJECTED: events.Event.UPSTREAM_EJECTED,
+    upstreams.State.ACTIVE: events.Event.UPSTREAM_BACK,
+    upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
+    upstreams.State.PROBATION: events.Event.UPSTREAM_PROBATION,
+}
+
+
+def report_changes(service: ids.ServiceName, changed: pool.Pool) -> None:
+    """Log every state change in a service's pool since the last call."""
+    for change in changed.take_changes():
+        events.emit(
+            EVENT_BY_STATE[change.state],
+            service=service,
+            upstream=change.upstream,
+            reason=change.reason,
+        )
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -14,6 +14,7 @@
 from spindlenotch import clock as clocks, events, ids, metrics
 from spindlenotch.bundles import bundle
 from spindlenotch.decisions import balancer, selection_paced
+from spindlenotch.forwarding import upstream_events
 from spindlenotch.gateway import (
     demand as demands,
     entry_choice,
@@ -242,13 +243,7 @@
 
     def _report_changes(self) -> None:
         for name, service in self.balancer_by_service.items():
-            for change in service.pool.take_changes():
-                events.emit(
-                    _EVENT_BY_STATE[change.state],
-                    service=name,
-                    upstream=change.upstream,
-                    reason=change.reason,
-                )
+            upstream_events.report_changes(name, service.pool)
 
     def _report_bad(self, items: tuple[sources.BadItem, ...]) -> None:
         for item in items:
@@ -287,14 +282,6 @@
     """Stand in for a listener that is not set."""
 
 
-_EVENT_BY_STATE = {
-    upstreams.State.EJECTED: events.Event.UPSTREAM_EJECTED,
-    upstreams.State.ACTIVE: events.Event.UPSTREAM_BACK,
-    upstreams.State.LEAVING: events.Event.UPSTREAM_LEAVING,
-    upstreams.State.PROBATION: events.Event.UPSTREAM_PROBATION,
-}
-
-
 def _service(name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]) -> bundle.Service:
     """Return what the kernel needs to know of a service."""
     return bundle.Service(
