--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -179,6 +179,7 @@
                 typing.cast(typing.Any, state),
                 typing.cast(typing.Any, None),
                 typing.cast(typing.Any, None),
+                typing.cast(typing.Any, None),
             )
             asking += made._is_mine(one, hosts)
         assert asking == 1
--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -6,7 +6,13 @@
 
 from features.steps import kernel
 from spindlenotch import clock, ids
-from spindlenotch.gateway import fleet as fleets, relay, settings, state as states
+from spindlenotch.gateway import (
+    fleet as fleets,
+    membership,
+    relay,
+    settings,
+    state as states,
+)
 from spindlenotch.peers import documents, gossip
 
 ME = "127.0.0.1:9001"
@@ -29,7 +35,8 @@
     config = settings.read(given, {})
     assert isinstance(config, settings.GatewaySettings), config
     state = states.GatewayState(config, clock.ManualClock())
-    return state, relay.Relay(state, fleets.Fleet(state))
+    fleet = fleets.Fleet(state)
+    return state, relay.Relay(state, fleet, membership.Membership(state))
 
 
 def peer(state: states.GatewayState, name: str, status: gossip.Status) -> None:
@@ -79,7 +86,7 @@
         state, passing = gateway(SEED)
         peer(state, "p", gossip.Status.READY)
         told: list[ids.Address] = []
-        passing.fleet.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
+        passing.membership.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
             targets
         )
         state.reads_source = reads
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -310,7 +310,6 @@
     by_id = {one.id: one for one in recorded_samples.listed()}
     bad = (sources.BadItem("servers/up-9", "a reason"),)
     snapshot = sources.Snapshot(5, recorded_samples.configuration(), by_id, bad)
-    state.on_change = lambda revision, *, swept=False: None
     state.apply_snapshot(snapshot)
     news = recorded_samples.member(2, gossip.Status.READY)
     state.gossip.handle(gossip.Message(news, 1), state.clock.now())
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -22,6 +22,7 @@
 from spindlenotch.gateway import (
     fleet as fleets,
     introducer,
+    membership,
     relay,
     routing,
     settings as gateway_settings,
@@ -236,7 +237,8 @@
     config = gateway_settings.read(given, {})
     assert isinstance(config, gateway_settings.GatewaySettings), config
     state = states.GatewayState(config, clock.ManualClock())
-    return state, relay.Relay(state, fleets.Fleet(state))
+    fleet = fleets.Fleet(state)
+    return state, relay.Relay(state, fleet, membership.Membership(state))
 
 
 def handed_out(kind: documents.DocumentKind) -> bytes:
@@ -246,7 +248,8 @@
         state, passing = gateway()
         by_id = {one.id: one for one in listed()}
         state.apply_snapshot(sources.Snapshot(5, configuration(), by_id))
-        return passing.fleet.on_frame(frame(kind, b"")).body
+        passing.publish(5)
+        return passing.membership._on_frame(frame(kind, b"")).body
 
     return run(publish())
 
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -6,91 +6,23 @@
 gateways see most of what an upstream does, and the others stand by.
 """
 
-import asyncio
-from collections import abc
-
-from spindlenotch import events, ids
+from spindlenotch import ids
 from spindlenotch.gateway import entry_choice, state as states
 from spindlenotch.kernel import ownership
-from spindlenotch.peers import (
-    documents,
-    gossip,
-    peer_codec_msgpack,
-    peer_link,
-    peer_seal,
-    workload,
-)
+from spindlenotch.peers import gossip, workload
 
-#: A gateway that starts asks the peers of its settings so often, so far apart.
-GREETINGS = 8
-GREETING_PAUSE_S = 0.05
 #: The choice of entries is asked for many times a second and grows with the
 #: fleet; it stands for this long.
 ENTRIES_KEPT_S = 0.05
 
 
 class Fleet:
-    """Runs the gossip of one gateway and answers who is where."""
+    """Answers who is where, from what gossip holds."""
 
     def __init__(self, state: states.GatewayState) -> None:
         self.state = state
         self._entries_key: tuple[int, states.Phase, int] | None = None
         self._entry_zones: dict[ids.HostId, ids.ZoneName] = {}
-        self.on_message: abc.Callable[[gossip.Message, gossip.Handled], None] = _ignore
-        self.on_loads: abc.Callable[[gossip.Message], None] = _no_loads
-        self.on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document] = (
-            _nothing_held
-        )
-        self.link = peer_link.PeerLink(
-            peer_seal.Sealer(state.config.peer_keys),
-            state.metrics,
-            self._on_gossip,
-            lambda frame: self.on_frame(frame),
-            peer_codec_msgpack.MSGPACK,
-        )
-
-    async def start(self) -> None:
-        """Open the link to peers."""
-        await self.link.start(self.state.config.peer_listen)
-
-    async def stop(self) -> None:
-        """Close the link to peers."""
-        await self.link.stop()
-
-    async def run(self) -> None:
-        """Ask peers in turn until cancelled, all those in the settings first."""
-        state = self.state
-        await self._greet()
-        while True:
-            targets = state.gossip.targets(state.config.peers, state.clock.now())
-            targets += self._introduced_strangers(targets)
-            self.link.tell(state.gossip.compose(wants_reply=True), targets)
-            for news in state.gossip.sweep(state.clock.now()):
-                events.emit(events.Event.PEER_GONE, host=news.host)
-            period = state.gossip.timing.period_s
-            await asyncio.sleep(period * state.rng.uniform(0.9, 1.1))
-
-    async def _greet(self) -> None:
-        """
-        Ask the peers of the settings until one has answered, for a short time.
-
-        Where all hosts start together, they may be up a moment later.
-        """
-        state = self.state
-        others = [a for a in state.config.peers if a != state.config.peer_listen]
-        for _ in range(GREETINGS):
-            if state.gossip.known_by_host or not others:
-                return
-            self.link.tell(state.gossip.compose(wants_reply=True), others)
-            await asyncio.sleep(GREETING_PAUSE_S)
-
-    def announce(self) -> None:
-        """Tell every known peer at once what changed here."""
-        everyone = [
-            known.record.peer_address
-            for known in self.state.gossip.known_by_host.values()
-        ]
-        self.link.tell(self.state.gossip.compose(), everyone)
 
     def members(self) -> list[ownership.Member]:
         """Return the gateways that are believed to serve, this one included."""
@@ -154,16 +86,6 @@
             for zone, hosts in hosts_by_zone.items()
         }
 
-    def _introduced_strangers(self, asked: list[ids.Address]) -> list[ids.Address]:
-        """Return the peers that the source names and nobody else has yet."""
-        gossip_state = self.state.gossip
-        met = {k.record.peer_address for k in gossip_state.known_by_host.values()}
-        met.update(asked, [gossip_state.local.peer_address])
-        introductions = self.state.introduction_by_zone.values()
-        return [
-            one.peer_address for one in introductions if one.peer_address not in met
-        ]
-
     def _ready_records(self) -> list[gossip.MemberRecord]:
         """Return the news of the gateways that are believed to serve."""
         return self._records_of(gossip.Status.READY)
@@ -183,30 +105,3 @@
             if state.gossip.local.status is status
             else found
         )
-
-    def _on_gossip(self, message: gossip.Message) -> None:
-        handled = self.state.gossip.handle(message, self.state.clock.now())
-        if handled.reply is not None:
-            self.link.tell(handled.reply, [message.sender.peer_address])
-        self.on_message(message, handled)
-        if message.loads:
-            self.on_loads(message)
-        if handled.members_changed:
-            events.emit(
-                events.Event.PEER_SEEN,
-                host=message.sender.host,
-                status=message.sender.status.name,
-            )
-
-
-def _ignore(message: gossip.Message, handled: gossip.Handled) -> None:
-    """Stand in for a listener that is not set."""
-
-
-def _no_loads(message: gossip.Message) -> None:
-    """Stand in for a listener that is not set."""
-
-
-def _nothing_held(frame: peer_seal.DocumentFrame) -> documents.Document:
-    """Stand in for a holder of documents that is not set."""
-    return documents.Document(frame.document.kind, 0, ids.Digest(""), b"")
--- a/spindlenotch/gateway/follower.py
+++ b/spindlenotch/gateway/follower.py
@@ -36,10 +36,12 @@
         state: states.GatewayState,
         source: sources.Source,
         must_read: abc.Callable[[], bool],
+        publish: abc.Callable[[int], None],
     ) -> None:
         self.state = state
         self.source = source
         self.must_read = must_read
+        self.publish = publish
         self.revision: int | None = None
         self.lost = False
         self._backoff = backoff.Backoff(state.rng, BACKOFF_LEAST_S, BACKOFF_MOST_S)
@@ -73,6 +75,7 @@
                 return snapshot
             self.revision = snapshot.revision
             self.state.apply_snapshot(snapshot)
+            self.publish(snapshot.revision)
             return None
         self.state.metrics.store_calls.labels("follow").inc()
         changes = await self.source.follow(self.revision, WAIT_S)
@@ -80,6 +83,7 @@
             return changes
         self.revision = max(self.revision, changes.revision)
         if self.state.apply_changes(changes):
+            self.publish(changes.revision)
             await asyncio.sleep(GATHER_S)
         return None
 
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -14,6 +14,7 @@
     follower,
     ingress,
     introducer,
+    membership as memberships,
     prober,
     relay,
     settings,
@@ -54,20 +55,24 @@
         self.ingress = ingress.Ingress(state, path, dialect)
         self.fleet = fleets.Fleet(state)
         self.side_ports = side_ports.SidePorts(state, self.fleet, dialect)
-        self.relay = relay.Relay(state, self.fleet)
-        self.follower = follower.Follower(state, source, self.relay.must_read)
+        self.membership = memberships.Membership(state)
+        self.relay = relay.Relay(state, self.fleet, self.membership)
+        self.follower = follower.Follower(
+            state, source, self.relay.must_read, self.relay.publish
+        )
         self.introducer = introducer.Introducer(state, source, self.relay.is_reader)
-        self.prober = prober.Prober(state, self.fleet, port)
-        self.fleet.on_loads = self.prober.take
+        self.prober = prober.Prober(state, self.fleet, self.membership, port)
+        self.membership.add_listener(self.relay)
+        self.membership.add_listener(self.prober)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Open all ports and start the loops."""
         await self.ingress.start()
         await self.side_ports.start()
-        await self.fleet.start()
+        await self.membership.start()
         loops = (
-            self.fleet.run,
+            self.membership.run,
             self.relay.run,
             self.follower.run,
             self.introducer.run,
@@ -93,7 +98,7 @@
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
         self.state.leave()
-        self.fleet.announce()
+        self.membership.announce()
         loop = asyncio.get_running_loop()
         end = loop.time() + config.stop_limit_s - MARGIN_S
         longest = config.stop_limit_s - CLOSING_S
@@ -112,14 +117,15 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.side_ports.stop()
-        await self.fleet.stop()
+        await self.membership.stop()
         await self.port.close()
         await self.source.close()
         events.emit(events.Event.STOPPED, host=self.state.config.host)
 
     async def _tick(self) -> None:
         while True:
-            self.state.tick()
+            if self.state.tick() and self.state.reads_source:
+                self.relay.publish_expiry()
             await asyncio.sleep(TICK_S)
 
 
--- /dev/null
+++ b/spindlenotch/gateway/membership.py
@@ -0,0 +1,126 @@
+"""
+The link to the other gateways and the gossip that runs over it.
+
+Owns the socket, the periodic questions to peers and the first contact with a
+fleet (peers of the settings, discovery records of the source). Who is in the
+fleet is kept by ``peers.gossip``; what a message means beyond membership is
+left to listeners.
+"""
+
+import asyncio
+import typing
+
+from spindlenotch import events, ids
+from spindlenotch.gateway import state as states
+from spindlenotch.peers import (
+    documents,
+    gossip,
+    peer_codec_msgpack,
+    peer_link,
+    peer_seal,
+)
+
+#: How many times, and how far apart in seconds, a starting gateway asks the
+#: peers of its settings before the periodic questions begin. Chosen, not
+#: measured: hosts that start together may be up a moment later.
+BOOTSTRAP_ROUNDS = 8
+BOOTSTRAP_PAUSE_S = 0.05
+
+
+class MessageListener(typing.Protocol):
+    """Something that acts on peer messages beyond membership."""
+
+    def message_received(
+        self, message: gossip.Message, handled: gossip.Handled
+    ) -> None:
+        """Handle an authentic message that gossip has handled already."""
+
+
+class Membership:
+    """
+    Runs the gossip of one gateway.
+
+    Invariant: a peer that asks for a document gets the one in ``state.fence``.
+    """
+
+    def __init__(self, state: states.GatewayState) -> None:
+        self.state = state
+        self._listeners: list[MessageListener] = []
+        self.link = peer_link.PeerLink(
+            peer_seal.Sealer(state.config.peer_keys),
+            state.metrics,
+            self._on_gossip,
+            self._on_frame,
+            peer_codec_msgpack.MSGPACK,
+        )
+
+    def add_listener(self, listener: MessageListener) -> None:
+        """Pass every later message to ``listener``, after the earlier ones."""
+        self._listeners.append(listener)
+
+    async def start(self) -> None:
+        """Open the link to peers."""
+        await self.link.start(self.state.config.peer_listen)
+
+    async def stop(self) -> None:
+        """Close the link to peers."""
+        await self.link.stop()
+
+    async def run(self) -> None:
+        """Ask a few peers each period until cancelled."""
+        state = self.state
+        await self._bootstrap()
+        while True:
+            targets = state.gossip.targets(state.config.peers, state.clock.now())
+            targets += self._undiscovered(targets)
+            self.link.tell(state.gossip.compose(wants_reply=True), targets)
+            for record in state.gossip.sweep(state.clock.now()):
+                events.emit(events.Event.PEER_GONE, host=record.host)
+            period = state.gossip.timing.period_s
+            await asyncio.sleep(period * state.rng.uniform(0.9, 1.1))
+
+    def announce(self) -> None:
+        """Send the own record to every known peer at once."""
+        everyone = [
+            peer.record.peer_address
+            for peer in self.state.gossip.known_by_host.values()
+        ]
+        self.link.tell(self.state.gossip.compose(), everyone)
+
+    async def _bootstrap(self) -> None:
+        """Ask the peers of the settings until one has answered, for a short time."""
+        state = self.state
+        others = [a for a in state.config.peers if a != state.config.peer_listen]
+        for _ in range(BOOTSTRAP_ROUNDS):
+            if state.gossip.known_by_host or not others:
+                return
+            self.link.tell(state.gossip.compose(wants_reply=True), others)
+            await asyncio.sleep(BOOTSTRAP_PAUSE_S)
+
+    def _undiscovered(self, asked: list[ids.Address]) -> list[ids.Address]:
+        """Return the peers that only the source's discovery records name."""
+        local = self.state.gossip
+        reached = {peer.record.peer_address for peer in local.known_by_host.values()}
+        reached.update(asked, [local.local.peer_address])
+        records = self.state.introduction_by_zone.values()
+        return [
+            record.peer_address
+            for record in records
+            if record.peer_address not in reached
+        ]
+
+    def _on_gossip(self, message: gossip.Message) -> None:
+        handled = self.state.gossip.handle(message, self.state.clock.now())
+        if handled.reply is not None:
+            self.link.tell(handled.reply, [message.sender.peer_address])
+        for listener in self._listeners:
+            listener.message_received(message, handled)
+        if handled.members_changed:
+            events.emit(
+                events.Event.PEER_SEEN,
+                host=message.sender.host,
+                status=message.sender.status.name,
+            )
+
+    def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
+        return self.state.fence.held(frame.document.kind)
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -13,7 +13,11 @@
 
 from spindlenotch import ids, ports
 from spindlenotch.decisions import balancer
-from spindlenotch.gateway import fleet as fleets, state as states
+from spindlenotch.gateway import (
+    fleet as fleets,
+    membership as memberships,
+    state as states,
+)
 from spindlenotch.kernel import ownership, rendezvous, upstreams
 from spindlenotch.peers import gossip, workload
 
@@ -38,10 +42,15 @@
     """
 
     def __init__(
-        self, state: states.GatewayState, fleet: fleets.Fleet, port: ports.UpstreamPort
+        self,
+        state: states.GatewayState,
+        fleet: fleets.Fleet,
+        membership: memberships.Membership,
+        port: ports.UpstreamPort,
     ) -> None:
         self.state = state
         self.fleet = fleet
+        self.membership = membership
         self.port = port
         self._task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
         self._told_by_id: dict[ids.UpstreamId, ids.Instant] = {}
@@ -67,8 +76,12 @@
                 # Neither probes nor is told: most of a large fleet.
                 await asyncio.sleep(IDLE_S)
 
-    def take(self, message: gossip.Message) -> None:
-        """Take in what another entry heard."""
+    def message_received(
+        self, message: gossip.Message, handled: gossip.Handled
+    ) -> None:
+        """Take in the load reports that another gateway passes on."""
+        if not message.loads:
+            return
         now = self.state.clock.now()
         for load in message.loads:
             for service in self.state.balancer_by_service.values():
@@ -97,7 +110,7 @@
                 reads_source=self.state.reads_source,
                 loads=loads,
             )
-            self.fleet.link.tell(message, targets)
+            self.membership.link.tell(message, targets)
 
     def _audience(
         self, zone_by_host: dict[ids.HostId, ids.ZoneName]
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -15,12 +15,13 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import (
     fleet as fleets,
+    membership as memberships,
     routing,
     sources,
     state as states,
 )
 from spindlenotch.kernel import ownership, rendezvous
-from spindlenotch.peers import documents, gossip, peer_seal
+from spindlenotch.peers import documents, gossip
 
 DUTY = "source"
 #: A follower asks its reader this often, and reads for itself when it has
@@ -35,8 +36,9 @@
 #: News is passed on at once, and so many times again.
 EAGER_ROUNDS = 2
 EAGER_PAUSE_S = 0.1
-#: Changes of the list that no revision of the source stands for.
-SWEEPS_PER_REVISION = 256
+#: Versions of the list between two revisions of the source, for leases that
+#: expire meanwhile. Chosen, not measured.
+EXPIRIES_PER_REVISION = 256
 
 
 class Relay:
@@ -46,19 +48,21 @@
     Invariant: a document replaces only one of a lower version.
     """
 
-    def __init__(self, state: states.GatewayState, fleet: fleets.Fleet) -> None:
+    def __init__(
+        self,
+        state: states.GatewayState,
+        fleet: fleets.Fleet,
+        membership: memberships.Membership,
+    ) -> None:
         self.state = state
         self.fleet = fleet
-        self.fence = documents.Fence()
+        self.membership = membership
         self.reader_heard_at = ids.Instant(float("-inf"))
         self.started_at = state.clock.now()
         self._chosen: ids.HostId | None = None
         self._chosen_until = ids.Instant(float("-inf"))
         self._pulling: set[documents.DocumentKind] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        fleet.on_message = self._on_message
-        fleet.on_frame = self._on_frame
-        state.on_change = self.publish
 
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
@@ -86,15 +90,18 @@
             reader = self._reader()
             if reader is not None:
                 message = self.state.gossip.compose(wants_reply=True)
-                self.fleet.link.tell(message, [reader.peer_address])
+                self.membership.link.tell(message, [reader.peer_address])
             await asyncio.sleep(ASK_S * self.state.rng.uniform(0.9, 1.1))
 
-    def publish(self, revision: int, *, swept: bool = False) -> None:
-        """
-        Offer what was read from the source up to ``revision`` to the peers.
+    def publish(self, revision: int) -> None:
+        """Offer what was read from the source up to ``revision`` to the peers."""
+        self._publish(revision * EXPIRIES_PER_REVISION)
 
-        ``swept``: the list has changed since without a change in the source.
-        """
+    def publish_expiry(self) -> None:
+        """Offer the list after a lease has expired without a change in the source."""
+        self._publish(self.state.fence.version(documents.DocumentKind.HOSTS) + 1)
+
+    def _publish(self, listing_version: int) -> None:
         state = self.state
         if state.table is not None:
             configuration = state.table.configuration
@@ -104,10 +111,8 @@
         if not state.listed_once:
             return
         kind = documents.DocumentKind.HOSTS
-        version = revision * SWEEPS_PER_REVISION
-        if swept:
-            version = self.fence.version(kind) + 1
-        self._offer_own(kind, version, state.listing.listed(state.clock.now()))
+        listed = state.listing.listed(state.clock.now())
+        self._offer_own(kind, listing_version, listed)
 
     def _reader(self) -> gossip.MemberRecord | None:
         """Return the reader of this zone, or None where it is this gateway."""
@@ -134,12 +139,12 @@
     def _offer_own(
         self, kind: documents.DocumentKind, version: int, content: object
     ) -> None:
-        if version > self.fence.version(kind):
+        if version > self.state.fence.version(kind):
             body = msgspec.json.encode(content)
             self._offer(documents.Document(kind, version, ids.Digest(""), body))
 
     def _offer(self, document: documents.Document) -> None:
-        if self.fence.offer(document) is not documents.Offer.APPLIED:
+        if self.state.fence.offer(document) is not documents.Offer.APPLIED:
             return
         self.state.gossip.advertise(
             gossip.DocumentVersion(document.kind, document.version, document.digest)
@@ -159,7 +164,7 @@
                 return
             targets = set(state.gossip.random_targets(gossip.FANOUT))
             targets.update(self._zone_addresses())
-            self.fleet.link.tell(state.gossip.compose(), sorted(targets))
+            self.membership.link.tell(state.gossip.compose(), sorted(targets))
             await asyncio.sleep(EAGER_PAUSE_S)
 
     def _zone_addresses(self) -> list[ids.Address]:
@@ -169,7 +174,10 @@
             if known.record.zone == self.state.config.zone
         ]
 
-    def _on_message(self, message: gossip.Message, handled: gossip.Handled) -> None:
+    def message_received(
+        self, message: gossip.Message, handled: gossip.Handled
+    ) -> None:
+        """Note that the reader lives; fetch documents that are newer there."""
         sender = message.sender
         if message.reads_source and sender.zone == self.state.config.zone:
             reader = self._reader()
@@ -182,7 +190,7 @@
     async def _pull(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._pulling.add(kind)
         try:
-            document = await self.fleet.link.ask(source, kind)
+            document = await self.membership.link.ask(source, kind)
         finally:
             self._pulling.discard(kind)
         if document is not None and document.kind is kind:
@@ -190,7 +198,7 @@
 
     def _take(self, document: documents.Document) -> None:
         """Put a peer's document in force where it is newer."""
-        if document.version <= self.fence.version(document.kind):
+        if document.version <= self.state.fence.version(document.kind):
             return
         try:
             if document.kind is documents.DocumentKind.BUNDLE:
@@ -210,11 +218,6 @@
             return
         self._offer(document)
 
-    def _on_frame(self, frame: peer_seal.DocumentFrame) -> documents.Document:
-        kind = frame.document.kind
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
-        return self.fence.document_by_kind.get(kind, nothing)
-
     def _spawn(self, work: "abc.Coroutine[None, None, None]") -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -8,7 +8,6 @@
 import dataclasses
 import enum
 import random
-import typing
 from collections import abc
 
 from spindlenotch import clock as clocks, events, ids, metrics
@@ -24,7 +23,7 @@
     sources,
 )
 from spindlenotch.kernel import budgets, ownership, upstreams
-from spindlenotch.peers import gossip
+from spindlenotch.peers import documents, gossip
 
 POLICY = selection_paced.NAME
 #: What a request is taken to need before any was measured, as a share of the
@@ -51,13 +50,6 @@
     LEAVING = "leaving"
 
 
-class ChangeListener(typing.Protocol):
-    """Is told the revision of the source after a change was taken from it."""
-
-    def __call__(self, revision: int, *, swept: bool = False) -> None:
-        """Take note; ``swept``: the list changed without the source."""
-
-
 class GatewayState:
     """
     The beliefs of one process.
@@ -80,9 +72,7 @@
         self.gossip = gossip.Gossip(self._own_record(), self.rng, GOSSIP_TIMING)
         self.demand = demands.DemandMeter()
         self.listed_once = False
-        #: Told the revision of the source after a change was taken from it.
-        self.on_change: ChangeListener = _nothing
-        self.source_revision = 0
+        self.fence = documents.Fence()
         self.introduction_by_zone: dict[ids.ZoneName, sources.Introduction] = {}
 
     @property
@@ -138,8 +128,6 @@
             self.apply_configuration(snapshot.configuration)
         self.listing.replace(snapshot.upstream_by_id.values(), self.clock.now())
         self._listed()
-        self.source_revision = snapshot.revision
-        self.on_change(snapshot.revision)
 
     def apply_listing(self, listed: abc.Iterable[sources.ListedUpstream]) -> None:
         """Take in the whole list that a peer holds."""
@@ -157,11 +145,8 @@
             self.listing.add(changes.listed, now)
             self.listing.remove(changes.gone, now)
             self._listed()
-        if changes.configuration is None and not changes.listed and not changes.gone:
-            return False
-        self.source_revision = changes.revision
-        self.on_change(changes.revision)
-        return True
+        configured = changes.configuration is not None
+        return configured or bool(changes.listed or changes.gone)
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
@@ -172,18 +157,22 @@
         self._report_changes()
         return news
 
-    def tick(self) -> None:
-        """Let ejections and lapsed entries end; called a few times a second."""
+    def tick(self) -> bool:
+        """
+        Let ejections and expired leases end; called a few times a second.
+
+        Tell whether the list of upstreams has changed by that.
+        """
         now = self.clock.now()
-        if self.listing.sweep(now):
+        expired = self.listing.sweep(now)
+        if expired:
             self._refresh_upstreams()
-            if self.reads_source:
-                self.on_change(self.source_revision, swept=True)
         for service in self.balancer_by_service.values():
             service.pool.tick(now)
         if self.demand.news(now):
             self.gossip.set_demand(self.demand.told)
         self._report_changes()
+        return expired
 
     def take_settings(self, config: settings.GatewaySettings) -> None:
         """
@@ -278,10 +267,6 @@
         )
 
 
-def _nothing(revision: int, *, swept: bool = False) -> None:
-    """Stand in for a listener that is not set."""
-
-
 def _service(name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]) -> bundle.Service:
     """Return what the kernel needs to know of a service."""
     return bundle.Service(
--- a/spindlenotch/peers/documents.py
+++ b/spindlenotch/peers/documents.py
@@ -59,6 +59,10 @@
         document = self.document_by_kind.get(kind)
         return document.version if document else 0
 
+    def held(self, kind: DocumentKind) -> Document:
+        """Return the document in force; one of version zero where there is none."""
+        return self.document_by_kind.get(kind, Document(kind, 0, ids.Digest(""), b""))
+
     def judge(self, document: Document) -> Offer:
         """Say what ``offer`` would say, and change nothing."""
         current = self.document_by_kind.get(document.kind)
