--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -3,7 +3,6 @@
 import json
 import os
 import types
-import typing
 
 import hypothesis
 from hypothesis import strategies
@@ -11,8 +10,15 @@
 from features.steps import kernel
 from features.support import hostile as hostile_bytes, platform_fleet
 from spindlenotch import events, ids
-from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
-from spindlenotch.kernel import budgets, ownership, upstreams
+from spindlenotch.gateway import (
+    duties,
+    listing,
+    log_sink,
+    routing,
+    settings,
+    sources,
+)
+from spindlenotch.kernel import budgets, upstreams
 from spindlenotch.peers import gossip, peer_codec_msgpack, peer_seal, workload
 from spindlenotch_platform import documents, speech
 
@@ -173,15 +179,7 @@
         one = upstreams.Upstream(spec, 1, NOW)
         asking = 0
         for host in hosts[ZONE]:
-            local_member = ownership.Member(ZONE, host)
-            state = types.SimpleNamespace(local_member=local_member)
-            made = prober.Prober(
-                typing.cast(typing.Any, state),
-                typing.cast(typing.Any, None),
-                typing.cast(typing.Any, None),
-                typing.cast(typing.Any, None),
-            )
-            asking += made._is_mine(one, hosts)
+            asking += duties.is_prober(host, one.spec, hosts)
         assert asking == 1
 
 
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -7,7 +7,7 @@
 """
 
 from spindlenotch import ids
-from spindlenotch.gateway import entry_choice, state as states
+from spindlenotch.gateway import duties, entry_choice, state as states
 from spindlenotch.kernel import ownership
 from spindlenotch.peers import gossip, workload
 
@@ -33,11 +33,11 @@
         address_by_host = {one.host: one.address for one in self._ready_records()}
         return {
             host: address_by_host[host]
-            for host in self.entry_zones()
+            for host in self.active_zones()
             if host in address_by_host
         }
 
-    def entry_zones(self) -> dict[ids.HostId, ids.ZoneName]:
+    def active_zones(self) -> dict[ids.HostId, ids.ZoneName]:
         """Return the zones of the gateways that callers are sent to."""
         state = self.state
         span = int(state.clock.now() / ENTRIES_KEPT_S)
@@ -60,31 +60,23 @@
         chosen = entry_choice.choose(candidates, demand, least)
         return {one.host: one.zone for one in chosen}
 
-    def readers_by_zone(self) -> dict[ids.ZoneName, list[ids.HostId]]:
+    def reader(self) -> ids.HostId | None:
         """
-        Return who may read the source for its zone.
+        Return the gateway that reads the source for this zone.
 
-        Those that stand by; where none is ready yet, those that are starting,
-        since a fleet that starts is not ready before somebody has read.
+        A standby one; where none is ready yet, one that is starting, since a
+        fleet that starts is not ready before somebody has read.
         """
-        starting: dict[ids.ZoneName, list[ids.HostId]] = {}
-        for one in self._records_of(gossip.Status.STARTING):
-            starting.setdefault(one.zone, []).append(one.host)
-        return {**starting, **self.standing_by()}
+        zone = self.state.config.zone
+        hosts = self.standby_by_zone().get(zone)
+        if hosts is None:
+            starting = self._records_of(gossip.Status.STARTING)
+            hosts = [record.host for record in starting if record.zone == zone]
+        return duties.reader(zone, hosts)
 
-    def standing_by(self) -> dict[ids.ZoneName, list[ids.HostId]]:
-        """
-        Return who takes on a zone's other duties: those that callers are not
-        sent to, or all where there are no others.
-        """
-        entries = self.entry_zones()
-        hosts_by_zone: dict[ids.ZoneName, list[ids.HostId]] = {}
-        for member in self.members():
-            hosts_by_zone.setdefault(member.zone, []).append(member.host)
-        return {
-            zone: sorted(h for h in hosts if h not in entries) or sorted(hosts)
-            for zone, hosts in hosts_by_zone.items()
-        }
+    def standby_by_zone(self) -> duties.HostsByZone:
+        """Return the gateways of each zone that carry its duties."""
+        return duties.standby_hosts(self.members(), self.active_zones())
 
     def _ready_records(self) -> list[gossip.MemberRecord]:
         """Return the news of the gateways that are believed to serve."""
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -14,6 +14,7 @@
     follower,
     ingress,
     introducer,
+    load_sharing,
     membership as memberships,
     prober,
     relay,
@@ -61,9 +62,12 @@
             state, source, self.relay.must_read, self.relay.publish
         )
         self.introducer = introducer.Introducer(state, source, self.relay.is_reader)
-        self.prober = prober.Prober(state, self.fleet, self.membership, port)
+        self.prober = prober.Prober(state, self.fleet, port)
+        self.load_sharing = load_sharing.LoadSharing(
+            state, self.fleet, self.membership, self.prober.task_by_id.keys()
+        )
         self.membership.add_listener(self.relay)
-        self.membership.add_listener(self.prober)
+        self.membership.add_listener(self.load_sharing)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -77,7 +81,7 @@
             self.follower.run,
             self.introducer.run,
             self.prober.run,
-            self.prober.tell,
+            self.load_sharing.run,
             self._tick,
         )
         for loop in loops:
--- /dev/null
+++ b/spindlenotch/gateway/load_sharing.py
@@ -0,0 +1,150 @@
+"""
+Passes load reports of upstreams on between gateways.
+
+A prober sends what its upstreams reported to the active gateways of its zone;
+these send the reports of their zone to the active gateways of the others.
+Relies on the pools, which hold the newest report of each upstream, and on the
+age that travels with a report instead of a time, as hosts' clocks differ.
+"""
+
+import asyncio
+from collections import abc
+
+from spindlenotch import ids
+from spindlenotch.gateway import (
+    fleet as fleets,
+    membership as memberships,
+    state as states,
+)
+from spindlenotch.kernel import upstreams
+from spindlenotch.peers import gossip, workload
+
+#: Time between two rounds of sending. Chosen, not measured.
+SEND_PERIOD_S = 0.04
+#: The same where a gateway has nothing to send; most of a large fleet. An idle
+#: process takes 0.73 to 0.87% of a core with it (docs/MEASUREMENTS.md, round 20).
+IDLE_PERIOD_S = 0.25
+#: Reports older than this are not passed on. Chosen, not measured.
+MOST_AGE_S = 0.5
+
+
+class LoadSharing:
+    """
+    Sends and receives load reports.
+
+    ``probed`` holds the upstreams that this gateway probes itself. Invariant:
+    a report is sent at most once by each gateway.
+    """
+
+    def __init__(
+        self,
+        state: states.GatewayState,
+        fleet: fleets.Fleet,
+        membership: memberships.Membership,
+        probed: abc.Collection[ids.UpstreamId],
+    ) -> None:
+        self.state = state
+        self.fleet = fleet
+        self.membership = membership
+        self.probed = probed
+        self._sent_report_at: dict[ids.UpstreamId, ids.Instant] = {}
+
+    async def run(self) -> None:
+        """Send new reports until cancelled."""
+        while True:
+            active_zones = self.fleet.active_zones()
+            if self.probed or self.state.local_member.host in active_zones:
+                self._send(active_zones)
+                await asyncio.sleep(SEND_PERIOD_S)
+            else:
+                await asyncio.sleep(IDLE_PERIOD_S)
+
+    def message_received(
+        self, message: gossip.Message, handled: gossip.Handled
+    ) -> None:
+        """Put the reports of a message into the pools where they are newer."""
+        if not message.loads:
+            return
+        now = self.state.clock.now()
+        for load in message.loads:
+            for service in self.state.balancer_by_service.values():
+                upstream = service.pool.upstream_by_id.get(load.upstream)
+                if upstream is None:
+                    continue
+                report_at = ids.Instant(now - load.age_s)
+                if report_at > upstream.report_at:
+                    report = upstreams.LoadReport(
+                        load.running, load.queued, load.slowdown
+                    )
+                    service.pool.reported(upstream, report, report_at)
+
+    def _send(self, active_zones: dict[ids.HostId, ids.ZoneName]) -> None:
+        targets = self._targets(active_zones)
+        records = self._records(active_zones)
+        for start in range(0, len(records), gossip.LOADS_PER_MESSAGE):
+            message = gossip.Message(
+                self.state.gossip.local,
+                0,
+                reads_source=self.state.reads_source,
+                loads=tuple(records[start : start + gossip.LOADS_PER_MESSAGE]),
+            )
+            self.membership.link.tell(message, targets)
+
+    def _targets(
+        self, active_zones: dict[ids.HostId, ids.ZoneName]
+    ) -> list[ids.Address]:
+        """Return the active gateways: all of them for an active one, else its zone's."""
+        local_member = self.state.local_member
+        known = self.state.gossip.known_by_host
+        return [
+            known[host].record.peer_address
+            for host, zone in active_zones.items()
+            if host in known
+            and (local_member.host in active_zones or zone == local_member.zone)
+        ]
+
+    def _records(
+        self, active_zones: dict[ids.HostId, ids.ZoneName]
+    ) -> list[workload.LoadRecord]:
+        """Return the reports that are to be sent now."""
+        now = self.state.clock.now()
+        return [
+            _record(upstream, now)
+            for service in self.state.balancer_by_service.values()
+            for upstream in service.pool.usable_order
+            if self._is_sender(upstream, active_zones) and self._is_due(upstream, now)
+        ]
+
+    def _is_sender(
+        self,
+        upstream: upstreams.Upstream,
+        active_zones: dict[ids.HostId, ids.ZoneName],
+    ) -> bool:
+        """Tell whether this gateway sends the reports of an upstream."""
+        if upstream.spec.id in self.probed:
+            return True
+        local_member = self.state.local_member
+        return (
+            local_member.host in active_zones
+            and upstream.spec.zone == local_member.zone
+        )
+
+    def _is_due(self, upstream: upstreams.Upstream, now: ids.Instant) -> bool:
+        """Tell whether a report is recent and not sent yet; it counts as sent then."""
+        if now - upstream.report_at > MOST_AGE_S:
+            return False
+        if self._sent_report_at.get(upstream.spec.id) == upstream.report_at:
+            return False
+        self._sent_report_at[upstream.spec.id] = upstream.report_at
+        return True
+
+
+def _record(upstream: upstreams.Upstream, now: ids.Instant) -> workload.LoadRecord:
+    report = upstream.report
+    return workload.LoadRecord(
+        upstream=upstream.spec.id,
+        running=report.running,
+        queued=report.queued,
+        slowdown=report.slowdown,
+        age_s=now - upstream.report_at,
+    )
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -1,36 +1,43 @@
 """
-Asks upstreams how fast they work just now, and passes the answers on.
+Asks upstreams how fast they work at the moment.
 
-Each upstream is asked by one gateway of its own zone, one that callers are not
-sent to if there is any: probing then takes no time from requests, and does not
-cross zones. What is heard goes to the entries of the zone, and from there to
-those of the others.
+Each upstream is asked by one gateway of its own zone, a standby one if there
+is any (see ``duties``): probing then takes no time from requests and does not
+cross zones. Owns one task for each upstream that falls to this gateway; what
+upstreams report goes into their pools, and from there to other gateways (see
+``load_sharing``).
 """
 
 import asyncio
-import collections
-import math
+import dataclasses
 
 from spindlenotch import ids, ports
-from spindlenotch.decisions import balancer
-from spindlenotch.gateway import (
-    fleet as fleets,
-    membership as memberships,
-    state as states,
-)
-from spindlenotch.kernel import ownership, rendezvous, upstreams
-from spindlenotch.peers import gossip, workload
+from spindlenotch.gateway import duties, fleet as fleets, state as states
+from spindlenotch.kernel import pool, upstreams
 
+#: Longest wait for the answer to a probe. Chosen, not measured.
 PROBE_TIMEOUT_S = 0.3
-IDLE_S = 0.25
-#: So many upstreams are worth a prober of their own: each one tells its zone's
-#: entries many times a second, which must not grow with the fleet.
-UPSTREAMS_PER_PROBER = 6
-DUTY = "probes"
-#: How often what was heard is passed on to the other entries.
-TELL_S = 0.04
-#: Reports older than this are not passed on.
-TELL_FRESH_S = 0.5
+#: Time between two looks at which upstreams fall to this gateway. Chosen, not
+#: measured.
+MATCH_PERIOD_S = 0.25
+#: A probing task ends after about this long and is begun anew with the settings
+#: of that moment. Chosen, not measured.
+TASK_S = 1.0
+#: Probes come within these shares of their period, so that gateways do not
+#: fall into step. Chosen, not measured.
+LEAST_JITTER = 0.9
+MOST_JITTER = 1.1
+#: Keeps the period finite where the setting is nearly zero.
+LEAST_PROBES_PER_S = 0.001
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Target:
+    """An upstream to probe, with its service and pool."""
+
+    service: ids.ServiceName
+    pool: pool.Pool
+    upstream: upstreams.Upstream
 
 
 class Prober:
@@ -42,194 +49,67 @@
     """
 
     def __init__(
-        self,
-        state: states.GatewayState,
-        fleet: fleets.Fleet,
-        membership: memberships.Membership,
-        port: ports.UpstreamPort,
+        self, state: states.GatewayState, fleet: fleets.Fleet, port: ports.UpstreamPort
     ) -> None:
         self.state = state
         self.fleet = fleet
-        self.membership = membership
         self.port = port
-        self._task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
-        self._told_by_id: dict[ids.UpstreamId, ids.Instant] = {}
+        self.task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Keep one task for each upstream that falls to this gateway."""
         try:
             while True:
                 self._match_tasks()
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(MATCH_PERIOD_S)
         finally:
-            for task in self._task_by_id.values():
+            for task in self.task_by_id.values():
                 task.cancel()
 
-    async def tell(self) -> None:
-        """Pass on what was heard to the other entries until cancelled."""
-        while True:
-            zone_by_host = self.fleet.entry_zones()
-            if self._task_by_id or self.state.local_member.host in zone_by_host:
-                self._tell(zone_by_host)
-                await asyncio.sleep(TELL_S)
-            else:
-                # Neither probes nor is told: most of a large fleet.
-                await asyncio.sleep(IDLE_S)
-
-    def message_received(
-        self, message: gossip.Message, handled: gossip.Handled
-    ) -> None:
-        """Take in the load reports that another gateway passes on."""
-        if not message.loads:
-            return
-        now = self.state.clock.now()
-        for load in message.loads:
-            for service in self.state.balancer_by_service.values():
-                upstream = service.pool.upstream_by_id.get(load.upstream)
-                if upstream is not None:
-                    said_at = ids.Instant(now - load.age_s)
-                    if said_at > upstream.report_at:
-                        report = upstreams.LoadReport(
-                            load.running, load.queued, load.slowdown
-                        )
-                        service.pool.reported(upstream, report, said_at)
-
-    def _tell(self, zone_by_host: dict[ids.HostId, ids.ZoneName]) -> None:
-        now = self.state.clock.now()
-        targets = self._audience(zone_by_host)
-        news: list[workload.LoadRecord] = []
-        for service in self.state.balancer_by_service.values():
-            for upstream in service.pool.usable_order:
-                if self._speaks_for(upstream, zone_by_host):
-                    self._add_news(news, upstream, now)
-        for start in range(0, len(news), gossip.LOADS_PER_MESSAGE):
-            loads = tuple(news[start : start + gossip.LOADS_PER_MESSAGE])
-            message = gossip.Message(
-                self.state.gossip.local,
-                0,
-                reads_source=self.state.reads_source,
-                loads=loads,
-            )
-            self.membership.link.tell(message, targets)
-
-    def _audience(
-        self, zone_by_host: dict[ids.HostId, ids.ZoneName]
-    ) -> list[ids.Address]:
-        """Return whom to tell: entries tell entries, others those of their zone."""
-        local_member = self.state.local_member
-        known = self.state.gossip.known_by_host
-        return [
-            known[host].record.peer_address
-            for host, zone in zone_by_host.items()
-            if host in known
-            and (local_member.host in zone_by_host or zone == local_member.zone)
-        ]
-
-    def _speaks_for(
-        self,
-        upstream: upstreams.Upstream,
-        zone_by_host: dict[ids.HostId, ids.ZoneName],
-    ) -> bool:
-        """Tell whether news of an upstream is passed on from here."""
-        if upstream.spec.id in self._task_by_id:
-            return True
-        local_member = self.state.local_member
-        return (
-            local_member.host in zone_by_host
-            and upstream.spec.zone == local_member.zone
-        )
-
-    def _add_news(
-        self,
-        news: list[workload.LoadRecord],
-        upstream: upstreams.Upstream,
-        now: ids.Instant,
-    ) -> None:
-        upstream_id = upstream.spec.id
-        age_s = now - upstream.report_at
-        if age_s > TELL_FRESH_S:
-            return
-        if self._told_by_id.get(upstream_id) == upstream.report_at:
-            return
-        self._told_by_id[upstream_id] = upstream.report_at
-        report = upstream.report
-        news.append(
-            workload.LoadRecord(
-                upstream_id, report.running, report.queued, report.slowdown, age_s
-            )
-        )
-
     def _match_tasks(self) -> None:
-        wanted: dict[ids.UpstreamId, tuple[balancer.Balancer, upstreams.Upstream]] = {}
-        if self.state.config.probes_per_s > 0 and self.state.ready:
-            probers = self._probers()
-            for service in self.state.balancer_by_service.values():
-                for upstream in service.pool.usable_order:
-                    if self._is_mine(upstream, probers):
-                        wanted[upstream.spec.id] = (service, upstream)
-        period_s = 1.0 / max(0.001, self.state.config.probes_per_s)
-        for gone in set(self._task_by_id) - set(wanted):
-            self._task_by_id.pop(gone).cancel()
-        for upstream_id, (service, upstream) in wanted.items():
-            task = self._task_by_id.get(upstream_id)
+        targets = self._targets()
+        for gone in set(self.task_by_id) - set(targets):
+            self.task_by_id.pop(gone).cancel()
+        for upstream_id, target in targets.items():
+            task = self.task_by_id.get(upstream_id)
             if task is None or task.done():
-                work = self._probe(service, upstream, period_s)
-                self._task_by_id[upstream_id] = asyncio.ensure_future(work)
-
-    def _probers(self) -> dict[ids.ZoneName, list[ids.HostId]]:
-        """Return who probes in each zone: as many as its upstreams are worth."""
-        count_by_zone = collections.Counter(
-            upstream.spec.zone
-            for service in self.state.balancer_by_service.values()
+                work = self._probe(target)
+                self.task_by_id[upstream_id] = asyncio.ensure_future(work)
+
+    def _targets(self) -> dict[ids.UpstreamId, Target]:
+        """Return the upstreams that fall to this gateway."""
+        if self.state.config.probes_per_s <= 0 or not self.state.ready:
+            return {}
+        usable = [
+            Target(name, service.pool, upstream)
+            for name, service in self.state.balancer_by_service.items()
             for upstream in service.pool.usable_order
-        )
+        ]
+        specs = [target.upstream.spec for target in usable]
+        probers_by_zone = duties.probers(self.fleet.standby_by_zone(), specs)
+        local_host = self.state.local_member.host
         return {
-            zone: rendezvous.chosen(
-                [ownership.Member(zone, host) for host in hosts],
-                zone,
-                DUTY,
-                math.ceil(max(1, count_by_zone[zone]) / UPSTREAMS_PER_PROBER),
-            )
-            for zone, hosts in self.fleet.standing_by().items()
+            target.upstream.spec.id: target
+            for target in usable
+            if duties.is_prober(local_host, target.upstream.spec, probers_by_zone)
         }
 
-    def _is_mine(
-        self,
-        upstream: upstreams.Upstream,
-        probers: dict[ids.ZoneName, list[ids.HostId]],
-    ) -> bool:
-        hosts = probers.get(upstream.spec.zone)
-        if hosts is None:
-            hosts = sorted(h for some in probers.values() for h in some)
-        if self.state.local_member.host not in hosts:
-            return False
-        members = [
-            ownership.Member(self.state.local_member.zone, host) for host in hosts
-        ]
-        chosen = rendezvous.chosen(
-            members, self.state.local_member.zone, upstream.spec.id, 1
-        )
-        return chosen == [self.state.local_member.host]
-
-    async def _probe(
-        self,
-        service: balancer.Balancer,
-        upstream: upstreams.Upstream,
-        period_s: float,
-    ) -> None:
+    async def _probe(self, target: Target) -> None:
         rng = self.state.rng
+        period_s = 1.0 / max(LEAST_PROBES_PER_S, self.state.config.probes_per_s)
         await asyncio.sleep(rng.uniform(0, period_s))
-        spec = upstream.spec
         table = self.state.table
         if table is None:
             return
-        known = table.configuration.service_by_name.get(service.service.name)
-        path = None if known is None else known.health_path
-        name = service.service.name
-        # Ended after a while, so that a new rate or path is taken in.
-        for _ in range(max(1, int(1.0 / period_s))):
-            self.state.metrics.probes.labels(name).inc()
-            report = await self.port.probe(spec.address, PROBE_TIMEOUT_S, path)
+        spec = table.configuration.service_by_name.get(target.service)
+        health_path = None if spec is None else spec.health_path
+        address = target.upstream.spec.address
+        for _ in range(max(1, int(TASK_S / period_s))):
+            self.state.metrics.probes.labels(target.service).inc()
+            report = await self.port.probe(address, PROBE_TIMEOUT_S, health_path)
+            # A fault leaves the last report; how old it is counts where
+            # upstreams are compared.
             if isinstance(report, upstreams.LoadReport):
-                service.pool.reported(upstream, report, self.state.clock.now())
-            await asyncio.sleep(period_s * rng.uniform(0.9, 1.1))
+                now = self.state.clock.now()
+                target.pool.reported(target.upstream, report, now)
+            await asyncio.sleep(period_s * rng.uniform(LEAST_JITTER, MOST_JITTER))
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -8,7 +8,6 @@
 """
 
 import asyncio
-from collections import abc
 
 import msgspec
 
@@ -20,10 +19,8 @@
     sources,
     state as states,
 )
-from spindlenotch.kernel import ownership, rendezvous
-from spindlenotch.peers import documents, gossip
+from spindlenotch.peers import document_exchange, documents, gossip
 
-DUTY = "source"
 #: A follower asks its reader this often, and reads for itself when it has
 #: heard nothing for the second time.
 ASK_S = 0.3
@@ -61,8 +58,7 @@
         self.started_at = state.clock.now()
         self._chosen: ids.HostId | None = None
         self._chosen_until = ids.Instant(float("-inf"))
-        self._pulling: set[documents.DocumentKind] = set()
-        self._tasks: set[asyncio.Task[None]] = set()
+        self.exchange = document_exchange.DocumentExchange(membership.link, self._take)
 
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
@@ -127,15 +123,9 @@
         now = self.state.clock.now()
         if now >= self._chosen_until:
             self._chosen_until = ids.later(now, CHOSEN_S)
-            self._chosen = self._choose_reading_host()
+            self._chosen = self.fleet.reader()
         return self._chosen
 
-    def _choose_reading_host(self) -> ids.HostId | None:
-        zone = self.state.config.zone
-        hosts = self.fleet.readers_by_zone().get(zone, [])
-        members = [ownership.Member(zone, host) for host in hosts]
-        return next(iter(rendezvous.chosen(members, zone, DUTY, 1)), None)
-
     def _offer_own(
         self, kind: documents.DocumentKind, version: int, content: object
     ) -> None:
@@ -149,7 +139,7 @@
         self.state.gossip.advertise(
             gossip.DocumentVersion(document.kind, document.version, document.digest)
         )
-        self._spawn(self._spread())
+        self.exchange.spawn(self._spread())
 
     async def _spread(self) -> None:
         """
@@ -183,18 +173,7 @@
             reader = self._reader()
             if reader is not None and sender.host == reader.host:
                 self.reader_heard_at = self.state.clock.now()
-        for news in handled.newer:
-            if news.kind not in self._pulling:
-                self._spawn(self._pull(sender.peer_address, news.kind))
-
-    async def _pull(self, source: ids.Address, kind: documents.DocumentKind) -> None:
-        self._pulling.add(kind)
-        try:
-            document = await self.membership.link.ask(source, kind)
-        finally:
-            self._pulling.discard(kind)
-        if document is not None and document.kind is kind:
-            self._take(document)
+        self.exchange.fetch(sender.peer_address, handled.newer)
 
     def _take(self, document: documents.Document) -> None:
         """Put a peer's document in force where it is newer."""
@@ -217,8 +196,3 @@
             )
             return
         self._offer(document)
-
-    def _spawn(self, work: "abc.Coroutine[None, None, None]") -> None:
-        task = asyncio.ensure_future(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
