--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -36,7 +36,7 @@
     assert isinstance(config, settings.GatewaySettings), config
     state = states.GatewayState(config, clock.ManualClock())
     fleet = fleets.Fleet(state)
-    return state, relay.Relay(state, fleet, membership.Membership(state))
+    return state, relay.Relay(state, fleet, membership.Membership(state).link)
 
 
 def peer(state: states.GatewayState, name: str, status: gossip.Status) -> None:
@@ -86,7 +86,7 @@
         state, passing = gateway(SEED)
         peer(state, "p", gossip.Status.READY)
         told: list[ids.Address] = []
-        passing.membership.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
+        passing.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
             targets
         )
         state.reads_source = reads
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -238,7 +238,7 @@
     assert isinstance(config, gateway_settings.GatewaySettings), config
     state = states.GatewayState(config, clock.ManualClock())
     fleet = fleets.Fleet(state)
-    return state, relay.Relay(state, fleet, membership.Membership(state))
+    return state, relay.Relay(state, fleet, membership.Membership(state).link)
 
 
 def handed_out(kind: documents.DocumentKind) -> bytes:
@@ -249,7 +249,7 @@
         by_id = {one.id: one for one in listed()}
         state.apply_snapshot(sources.Snapshot(5, configuration(), by_id))
         passing.publish(5)
-        return passing.membership._on_frame(frame(kind, b"")).body
+        return passing.link.on_frame(frame(kind, b"")).body
 
     return run(publish())
 
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -15,7 +15,7 @@
     ingress,
     introducer,
     load_sharing,
-    membership as memberships,
+    membership,
     prober,
     relay,
     settings,
@@ -56,15 +56,16 @@
         self.ingress = ingress.Ingress(state, path, dialect)
         self.fleet = fleets.Fleet(state)
         self.side_ports = side_ports.SidePorts(state, self.fleet, dialect)
-        self.membership = memberships.Membership(state)
-        self.relay = relay.Relay(state, self.fleet, self.membership)
+        self.membership = membership.Membership(state)
+        link = self.membership.link
+        self.relay = relay.Relay(state, self.fleet, link)
         self.follower = follower.Follower(
             state, source, self.relay.must_read, self.relay.publish
         )
         self.introducer = introducer.Introducer(state, source, self.relay.is_reader)
         self.prober = prober.Prober(state, self.fleet, port)
         self.load_sharing = load_sharing.LoadSharing(
-            state, self.fleet, self.membership, self.prober.task_by_id.keys()
+            state, self.fleet, link, self.prober.task_by_id.keys()
         )
         self.membership.add_listener(self.relay)
         self.membership.add_listener(self.load_sharing)
--- a/spindlenotch/gateway/load_sharing.py
+++ b/spindlenotch/gateway/load_sharing.py
@@ -11,13 +11,9 @@
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.gateway import (
-    fleet as fleets,
-    membership as memberships,
-    state as states,
-)
+from spindlenotch.gateway import fleet as fleets, state as states
 from spindlenotch.kernel import upstreams
-from spindlenotch.peers import gossip, workload
+from spindlenotch.peers import gossip, peer_link, workload
 
 #: Time between two rounds of sending. Chosen, not measured.
 SEND_PERIOD_S = 0.04
@@ -40,12 +36,12 @@
         self,
         state: states.GatewayState,
         fleet: fleets.Fleet,
-        membership: memberships.Membership,
+        link: peer_link.PeerLink,
         probed: abc.Collection[ids.UpstreamId],
     ) -> None:
         self.state = state
         self.fleet = fleet
-        self.membership = membership
+        self.link = link
         self.probed = probed
         self._sent_report_at: dict[ids.UpstreamId, ids.Instant] = {}
 
@@ -88,12 +84,12 @@
                 reads_source=self.state.reads_source,
                 loads=tuple(records[start : start + gossip.LOADS_PER_MESSAGE]),
             )
-            self.membership.link.tell(message, targets)
+            self.link.tell(message, targets)
 
     def _targets(
         self, active_zones: dict[ids.HostId, ids.ZoneName]
     ) -> list[ids.Address]:
-        """Return the active gateways: all of them for an active one, else its zone's."""
+        """Return all active gateways, or those of its zone for a standby one."""
         local_member = self.state.local_member
         known = self.state.gossip.known_by_host
         return [
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -14,12 +14,11 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import (
     fleet as fleets,
-    membership as memberships,
     routing,
     sources,
     state as states,
 )
-from spindlenotch.peers import document_exchange, documents, gossip
+from spindlenotch.peers import document_exchange, documents, gossip, peer_link
 
 #: A follower asks its reader this often, and reads for itself when it has
 #: heard nothing for the second time.
@@ -49,16 +48,16 @@
         self,
         state: states.GatewayState,
         fleet: fleets.Fleet,
-        membership: memberships.Membership,
+        link: peer_link.PeerLink,
     ) -> None:
         self.state = state
         self.fleet = fleet
-        self.membership = membership
+        self.link = link
         self.reader_heard_at = ids.Instant(float("-inf"))
         self.started_at = state.clock.now()
         self._chosen: ids.HostId | None = None
         self._chosen_until = ids.Instant(float("-inf"))
-        self.exchange = document_exchange.DocumentExchange(membership.link, self._take)
+        self.exchange = document_exchange.DocumentExchange(link, self._take)
 
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
@@ -86,7 +85,7 @@
             reader = self._reader()
             if reader is not None:
                 message = self.state.gossip.compose(wants_reply=True)
-                self.membership.link.tell(message, [reader.peer_address])
+                self.link.tell(message, [reader.peer_address])
             await asyncio.sleep(ASK_S * self.state.rng.uniform(0.9, 1.1))
 
     def publish(self, revision: int) -> None:
@@ -154,7 +153,7 @@
                 return
             targets = set(state.gossip.random_targets(gossip.FANOUT))
             targets.update(self._zone_addresses())
-            self.membership.link.tell(state.gossip.compose(), sorted(targets))
+            self.link.tell(state.gossip.compose(), sorted(targets))
             await asyncio.sleep(EAGER_PAUSE_S)
 
     def _zone_addresses(self) -> list[ids.Address]:
