--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -149,9 +149,9 @@
     found.replace([listed("w0")], back)
     assert len(found.specs()[SERVICE]) == 6
     # Those that live are back about two seconds after the store is.
-    found.sweep(ids.later(back, 2.0))
+    found.drop_expired(ids.later(back, 2.0))
     assert len(found.specs()[SERVICE]) == 6
-    found.sweep(ids.later(back, 2.5))
+    found.drop_expired(ids.later(back, 2.5))
     assert len(found.specs()[SERVICE]) == 1
 
 
@@ -166,9 +166,9 @@
     # One that vanishes alone after an outage has left.
     found.remove([ids.UpstreamId("w3")], ids.later(NOW, 1.0))
     assert {spec.id for spec in found.specs()[SERVICE]} == {"w0", "w4", "w5"}
-    before = found.known_by_id[ids.UpstreamId("w2")].spec.generation
+    before = found.lease_by_id[ids.UpstreamId("w2")].spec.generation
     found.add([listed("w2")], NOW)
-    assert found.known_by_id[ids.UpstreamId("w2")].spec.generation > before
+    assert found.lease_by_id[ids.UpstreamId("w2")].spec.generation > before
 
 
 @kernel.PROPERTIES.register("a probed upstream has one prober with equal views")
--- a/spindlenotch/gateway/listing.py
+++ b/spindlenotch/gateway/listing.py
@@ -1,9 +1,9 @@
 """
-The upstreams that may get work, from what the source lists and no longer lists.
+The upstreams of each service, and when one that vanished is still believed in.
 
-Pure. One rule beyond bookkeeping: entries that vanish together right after the
-source was out of reach have more likely lapsed in its outage than left, so
-they keep getting work until they are listed again or a time is over.
+Pure. An upstream holds a lease in the source; the rule on expired leases is
+``_is_expiry_in_outage``. Owns the generation of each upstream, which rises
+when it is listed anew.
 """
 
 import dataclasses
@@ -13,123 +13,153 @@
 from spindlenotch.gateway import sources
 from spindlenotch.kernel import upstreams
 
-#: A source that failed this recently may have dropped entries that still live.
-DOUBT_AFTER_FAULT_S = 4.0
-#: How long a vanished entry is believed to live on. Upstreams that live are
-#: listed again about two seconds after the source is back (users' issue 15).
-LAPSED_KEPT_S = 2.2
-#: Vanished at once above this share of a service, entries are taken for lapsed.
-LAPSED_SHARE = 0.3
+#: Leases that vanish this soon after the source was out of reach may have
+#: expired because they could not be renewed. Chosen, not measured.
+AFTER_OUTAGE_S = 4.0
+#: How long an upstream whose lease expired in an outage still gets work. Those
+#: that live are listed again about two seconds after the source's return, as
+#: its operators say (commit 25a8df1).
+GRACE_S = 2.2
+#: More than this share of a service must vanish at once to count as expired
+#: in the outage; fewer have left. Chosen, not measured.
+EXPIRY_SHARE = 0.3
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
-    """One upstream; ``lapsed_until`` is set while it is doubted, else NEVER."""
+class Lease:
+    """
+    One upstream as the source lists it.
+
+    ``drop_at`` is NEVER while it is listed; else the end of its grace.
+    """
 
     listed: sources.ListedUpstream
     spec: upstreams.UpstreamSpec
-    lapsed_until: ids.Instant = ids.NEVER
+    drop_at: ids.Instant = ids.NEVER
 
 
 class Listing:
     """
     Upstreams by id.
 
-    Invariants: an upstream that says it is draining, or that was removed while
-    the source was sound, is not in ``specs``; one that is listed again gets a
-    higher generation.
+    Invariants: an upstream that says it is draining, or whose lease vanished
+    while the source was in reach, is not in ``specs``; one that is listed
+    again gets a higher generation.
     """
 
     def __init__(self) -> None:
-        self.known_by_id: dict[ids.UpstreamId, Known] = {}
-        self.faulted_at = ids.Instant(float("-inf"))
+        self.lease_by_id: dict[ids.UpstreamId, Lease] = {}
+        self.fault_at = ids.Instant(float("-inf"))
         self._generation = 0
 
     def note_fault(self, now: ids.Instant) -> None:
         """Note that the source could not be read."""
-        self.faulted_at = now
+        self.fault_at = now
 
     def replace(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Take in a whole list."""
-        listed_by_id = {one.id: one for one in listed}
-        missing = [i for i in self.known_by_id if i not in listed_by_id]
+        """Put the source's whole list in place of what is known."""
+        listed_by_id = {upstream.id: upstream for upstream in listed}
+        missing = [i for i in self.lease_by_id if i not in listed_by_id]
         self.add(listed_by_id.values(), now)
         self.remove(missing, now)
 
     def replace_by_peer(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Take in a peer's whole list, in which what lapsed is judged already."""
-        listed_by_id = {one.id: one for one in listed}
-        for upstream_id in [i for i in self.known_by_id if i not in listed_by_id]:
-            del self.known_by_id[upstream_id]
+        """Put a peer's whole list in place; the peer has judged expired leases."""
+        listed_by_id = {upstream.id: upstream for upstream in listed}
+        for upstream_id in [i for i in self.lease_by_id if i not in listed_by_id]:
+            del self.lease_by_id[upstream_id]
         self.add(listed_by_id.values(), now)
 
     def listed(self, now: ids.Instant) -> tuple[sources.ListedUpstream, ...]:
-        """Return the whole list for a peer; cold times count from now."""
+        """Return the whole list for a peer; ``cold_s`` counts from now."""
         return tuple(
             dataclasses.replace(
-                known.listed, cold_s=max(0.0, known.spec.cold_until - now)
+                lease.listed, cold_s=max(0.0, lease.spec.cold_until - now)
             )
-            for known in self.known_by_id.values()
+            for lease in self.lease_by_id.values()
         )
 
     def add(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Take in entries that are new or have changed."""
-        for one in listed:
-            known = self.known_by_id.get(one.id)
-            back = known is not None and known.listed.state is not one.state
-            if known is None or back or known.listed.address != one.address:
-                self._generation += 1
-                generation = self._generation
-            else:
-                generation = known.spec.generation
-            cold_until = ids.later(now, one.cold_s)
-            if known is not None and not back:
-                cold_until = known.spec.cold_until
-            spec = upstreams.UpstreamSpec(
-                one.id, one.zone, one.address, generation, one.slots, cold_until
-            )
-            self.known_by_id[one.id] = Known(one, spec)
+        """Add upstreams that are new or have changed; end the grace of all given."""
+        for upstream in listed:
+            lease = self.lease_by_id.get(upstream.id)
+            self.lease_by_id[upstream.id] = self._renewed(lease, upstream, now)
 
     def remove(self, gone: abc.Iterable[ids.UpstreamId], now: ids.Instant) -> None:
-        """Take in that entries are no longer listed."""
-        removed = [i for i in gone if i in self.known_by_id]
-        doubted = now - self.faulted_at < DOUBT_AFTER_FAULT_S
-        for upstream_id in removed:
-            known = self.known_by_id[upstream_id]
-            ready = known.listed.state is sources.UpstreamState.READY
-            service = known.listed.service
-            if doubted and ready and self._many(removed, service):
-                if known.lapsed_until == ids.NEVER:
-                    known.lapsed_until = ids.later(now, LAPSED_KEPT_S)
-            else:
-                known.lapsed_until = now
-        self.sweep(now)
-
-    def sweep(self, now: ids.Instant) -> bool:
-        """Drop lapsed entries whose time is over; tell whether any was."""
-        over = [i for i, k in self.known_by_id.items() if k.lapsed_until <= now]
-        for upstream_id in over:
-            del self.known_by_id[upstream_id]
-        return bool(over)
+        """Drop upstreams that the source no longer lists, or begin their grace."""
+        vanished = [i for i in gone if i in self.lease_by_id]
+        for upstream_id in vanished:
+            lease = self.lease_by_id[upstream_id]
+            if not self._is_expiry_in_outage(lease, vanished, now):
+                lease.drop_at = now
+            elif lease.drop_at == ids.NEVER:
+                lease.drop_at = ids.later(now, GRACE_S)
+        self.drop_expired(now)
+
+    def drop_expired(self, now: ids.Instant) -> bool:
+        """Drop upstreams whose grace is over; tell whether there was any."""
+        expired = [i for i, lease in self.lease_by_id.items() if lease.drop_at <= now]
+        for upstream_id in expired:
+            del self.lease_by_id[upstream_id]
+        return bool(expired)
 
     def specs(self) -> dict[ids.ServiceName, list[upstreams.UpstreamSpec]]:
         """Return the upstreams that may get work, by service."""
-        found: dict[ids.ServiceName, list[upstreams.UpstreamSpec]] = {}
-        for known in self.known_by_id.values():
-            specs = found.setdefault(known.listed.service, [])
-            if known.listed.state is sources.UpstreamState.READY:
-                specs.append(known.spec)
-        return found
-
-    def _many(
-        self, removed: abc.Iterable[ids.UpstreamId], service: ids.ServiceName
+        specs_by_service: dict[ids.ServiceName, list[upstreams.UpstreamSpec]] = {}
+        for lease in self.lease_by_id.values():
+            specs = specs_by_service.setdefault(lease.listed.service, [])
+            if lease.listed.state is sources.UpstreamState.READY:
+                specs.append(lease.spec)
+        return specs_by_service
+
+    def _renewed(
+        self,
+        lease: Lease | None,
+        listed: sources.ListedUpstream,
+        now: ids.Instant,
+    ) -> Lease:
+        """Return the lease of a listed upstream that held ``lease`` before."""
+        restarted = lease is not None and lease.listed.state is not listed.state
+        if lease is None or restarted or lease.listed.address != listed.address:
+            self._generation += 1
+            generation = self._generation
+        else:
+            generation = lease.spec.generation
+        cold_until = ids.later(now, listed.cold_s)
+        if lease is not None and not restarted:
+            cold_until = lease.spec.cold_until
+        spec = upstreams.UpstreamSpec(
+            id=listed.id,
+            zone=listed.zone,
+            address=listed.address,
+            generation=generation,
+            slots=listed.slots,
+            cold_until=cold_until,
+        )
+        return Lease(listed, spec)
+
+    def _is_expiry_in_outage(
+        self, lease: Lease, vanished: list[ids.UpstreamId], now: ids.Instant
     ) -> bool:
-        vanished = sum(self.known_by_id[i].listed.service == service for i in removed)
-        total = sum(k.listed.service == service for k in self.known_by_id.values())
-        return vanished > LAPSED_SHARE * total
+        """
+        Tell whether a lease expired in an outage of the source and its upstream lives.
+
+        ``vanished`` are all upstreams that vanished at once. Many of one service
+        that vanish together right after an outage could more likely not renew
+        their leases than left; to drop them would leave the service without
+        upstreams. One that was draining has left.
+        """
+        if now - self.fault_at >= AFTER_OUTAGE_S:
+            return False
+        if lease.listed.state is not sources.UpstreamState.READY:
+            return False
+        service = lease.listed.service
+        gone = sum(self.lease_by_id[i].listed.service == service for i in vanished)
+        total = sum(one.listed.service == service for one in self.lease_by_id.values())
+        return gone > EXPIRY_SHARE * total
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -164,7 +164,7 @@
         Tell whether the list of upstreams has changed by that.
         """
         now = self.clock.now()
-        expired = self.listing.sweep(now)
+        expired = self.listing.drop_expired(now)
         if expired:
             self._refresh_upstreams()
         for service in self.balancer_by_service.values():
@@ -213,7 +213,7 @@
         self._settle_phase()
 
     def _settle_phase(self) -> None:
-        known = self.table is not None and bool(self.listing.known_by_id)
+        known = self.table is not None and bool(self.listing.lease_by_id)
         if self.phase is Phase.STARTING and known:
             self.phase = Phase.SERVING
             events.emit(events.Event.READY, host=self.config.host)
