--- a/features/steps/gateway_entries.py
+++ b/features/steps/gateway_entries.py
@@ -8,7 +8,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.gateway import active_set, demand as demands
+from spindlenotch.gateway import active_set, demand_meter
 from spindlenotch.peers import workload
 
 ZONES = kernel.ZONES
@@ -74,16 +74,16 @@
 
 @kernel.PROPERTIES.register("what callers ask rises at once and falls late")
 def rises_and_falls() -> None:
-    meter = demands.DemandMeter()
+    meter = demand_meter.DemandMeter()
     now = kernel.NOW
-    meter.news(now)
+    meter.update(now)
     for _ in range(100):
         meter.count(1_000)
-    now = ids.later(now, demands.SPAN_S)
-    assert meter.news(now)
-    assert meter.told == workload.Work(100.0, 100_000.0)
-    for _ in range(demands.SPANS_KEPT - 1):
-        now = ids.later(now, demands.SPAN_S)
-        assert not meter.news(now)
-    assert meter.news(ids.later(now, demands.SPAN_S))
-    assert math.isclose(meter.told.requests_per_s, 0.0)
+    now = ids.later(now, demand_meter.SPAN_S)
+    assert meter.update(now)
+    assert meter.reported == workload.Work(100.0, 100_000.0)
+    for _ in range(demand_meter.SPANS_KEPT - 1):
+        now = ids.later(now, demand_meter.SPAN_S)
+        assert not meter.update(now)
+    assert meter.update(ids.later(now, demand_meter.SPAN_S))
+    assert math.isclose(meter.reported.requests_per_s, 0.0)
--- a/spindlenotch/gateway/demand.py
+++ b/spindlenotch/gateway/demand_meter.py
@@ -1,8 +1,9 @@
 """
-How much callers ask of this gateway: the busiest of the last seconds.
+How much callers ask of this gateway: the busiest second of the last few.
 
-Pure. Rises at once and falls late, so that entries step in fast and do not
-come and go with each wave.
+Pure. The demand rises at once and falls late, so that standby gateways become
+active fast and do not come and go with each burst. Counted by ``ingress``,
+sent to peers with this gateway's record, used by ``active_set``.
 """
 
 import collections
@@ -10,22 +11,25 @@
 from spindlenotch import ids
 from spindlenotch.peers import workload
 
+#: Length of one span of counting. Chosen, not measured.
 SPAN_S = 1.0
+#: Spans of which the busiest counts. Chosen, not measured.
 SPANS_KEPT = 8
-#: A change by less than this share is not told to peers.
-NEWS_SHARE = 0.2
+#: Changes by a smaller share than this are not reported to peers. Chosen, not
+#: measured.
+REPORTED_CHANGE_SHARE = 0.2
 
 
 class DemandMeter:
     """
     Counts requests and bytes in spans of a second.
 
-    Invariant: ``told`` is within ``NEWS_SHARE`` of the busiest kept span once
-    ``news`` has been asked.
+    Invariant: ``reported`` is within ``REPORTED_CHANGE_SHARE`` of the busiest
+    kept span after each ``update``.
     """
 
     def __init__(self) -> None:
-        self.told = workload.Work(0.0, 0.0)
+        self.reported = workload.Work(0.0, 0.0)
         self._spans: collections.deque[workload.Work] = collections.deque(
             maxlen=SPANS_KEPT
         )
@@ -34,12 +38,12 @@
         self._span_end = ids.Instant(float("-inf"))
 
     def count(self, size: int) -> None:
-        """Count one request whose bodies, its own and the answer's, are so long."""
+        """Count one request; ``size`` is the bytes of its body and the answer's."""
         self._requests += 1
         self._bytes += size
 
-    def news(self, now: ids.Instant) -> bool:
-        """Close spans that are over; tell whether peers should hear of a change."""
+    def update(self, now: ids.Instant) -> bool:
+        """Close a span that is over; tell whether ``reported`` has changed."""
         if now < self._span_end:
             return False
         self._span_end = ids.later(now, SPAN_S)
@@ -49,9 +53,9 @@
             max(span.requests_per_s for span in self._spans),
             max(span.bytes_per_s for span in self._spans),
         )
-        if not _differs(busiest, self.told):
+        if not _differs(busiest, self.reported):
             return False
-        self.told = busiest
+        self.reported = busiest
         return True
 
 
@@ -60,4 +64,4 @@
         (new.requests_per_s, old.requests_per_s),
         (new.bytes_per_s, old.bytes_per_s),
     )
-    return any(abs(a - b) > NEWS_SHARE * max(a, b) for a, b in pairs)
+    return any(abs(a - b) > REPORTED_CHANGE_SHARE * max(a, b) for a, b in pairs)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -16,7 +16,7 @@
 from spindlenotch.forwarding import upstream_events
 from spindlenotch.gateway import (
     active_set,
-    demand as demands,
+    demand_meter,
     listing,
     routing,
     settings,
@@ -70,7 +70,7 @@
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
         self.local_member = ownership.Member(config.zone, config.host)
         self.gossip = gossip.Gossip(self._own_record(), self.rng, GOSSIP_TIMING)
-        self.demand = demands.DemandMeter()
+        self.demand = demand_meter.DemandMeter()
         self.listed_once = False
         self.fence = documents.Fence()
         self.introduction_by_zone: dict[ids.ZoneName, sources.Introduction] = {}
@@ -169,8 +169,8 @@
             self._refresh_upstreams()
         for service in self.balancer_by_service.values():
             service.pool.tick(now)
-        if self.demand.news(now):
-            self.gossip.set_demand(self.demand.told)
+        if self.demand.update(now):
+            self.gossip.set_demand(self.demand.reported)
         self._report_changes()
         return expired
 
