--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -20,8 +20,8 @@
 from spindlenotch.drivers import store_http
 from spindlenotch.entry import claims, entry_state, once, plugins, settings
 from spindlenotch.gateway import (
+    discovery,
     fleet as fleets,
-    introducer,
     membership,
     relay,
     routing,
@@ -681,7 +681,7 @@
         standing = sources.Introduction(ZONE, OTHER, INTRODUCTION.revision)
         state.introduction_by_zone[ZONE] = standing
         source, session = platform_source(b'{"revision":42}')
-        await introducer.Introducer(state, source, passing.is_reader)._introduce()
+        await discovery.DiscoveryWriter(state, source, passing.is_reader).write()
         return recorded.pretty(session.calls[0])
 
     return run(introduce())
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -10,16 +10,16 @@
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect as dialects,
+    discovery,
     fleet as fleets,
-    follower,
     ingress,
-    introducer,
     load_sharing,
     membership,
     prober,
     relay,
     settings,
     side_ports,
+    source_reader,
     sources,
     state as states,
 )
@@ -59,10 +59,8 @@
         self.membership = membership.Membership(state)
         link = self.membership.link
         self.relay = relay.Relay(state, self.fleet, link)
-        self.follower = follower.Follower(
-            state, source, self.relay.must_read, self.relay.publish
-        )
-        self.introducer = introducer.Introducer(state, source, self.relay.is_reader)
+        self.source_reader = source_reader.SourceReader(state, source, self.relay)
+        self.discovery = discovery.DiscoveryWriter(state, source, self.relay.is_reader)
         self.prober = prober.Prober(state, self.fleet, port)
         self.load_sharing = load_sharing.LoadSharing(
             state, self.fleet, link, self.prober.task_by_id.keys()
@@ -79,8 +77,8 @@
         loops = (
             self.membership.run,
             self.relay.run,
-            self.follower.run,
-            self.introducer.run,
+            self.source_reader.run,
+            self.discovery.run,
             self.prober.run,
             self.load_sharing.run,
             self._tick,
--- /dev/null
+++ b/spindlenotch/gateway/source_reader.py
@@ -0,0 +1,122 @@
+"""
+Reads the source of configuration and upstreams while it is this gateway's duty.
+
+Reads everything once, then follows what changes; what changed is put into the
+state and published to the peers that do not read (see ``relay``). The wait of
+one call is bounded, so that an answer that was lost on the way blinds the
+gateway for a known time only.
+"""
+
+import asyncio
+import typing
+
+from spindlenotch import events
+from spindlenotch.gateway import sources, state as states
+from spindlenotch.kernel import backoff
+
+#: Longest wait of one call; also bounds how long a lost answer goes unseen.
+#: Chosen, not measured; a longer wait costs fewer calls (commit fb5d18b).
+WAIT_S = 2.4
+#: Changes within this time of each other are fetched by one call. Chosen, not
+#: measured; docs/CAPACITY.md, "The gateway on the grown site", has the calls.
+GATHER_S = 0.1
+#: Time between two looks whether this gateway must read. Chosen, not measured;
+#: docs/MEASUREMENTS.md, round 20, has what idle loops cost.
+OFF_DUTY_S = 0.2
+#: Bounds of the wait after a call that failed. Chosen, not measured.
+BACKOFF_LEAST_S = 0.15
+BACKOFF_MOST_S = 0.8
+
+
+class Publisher(typing.Protocol):
+    """What decides who reads, and passes on to peers what was read."""
+
+    def must_read(self) -> bool:
+        """Tell whether this gateway has to read the source itself."""
+
+    def publish(self, revision: int) -> None:
+        """Offer what was read up to ``revision`` of the source to the peers."""
+
+
+class SourceReader:
+    """
+    Follows one source.
+
+    Invariant: after a fault nothing that was in force is dropped; what
+    changed meanwhile is read when the source answers again.
+    """
+
+    def __init__(
+        self,
+        state: states.GatewayState,
+        source: sources.Source,
+        publisher: Publisher,
+    ) -> None:
+        self.state = state
+        self.source = source
+        self.publisher = publisher
+        self.revision: int | None = None
+        self.lost = False
+        self._backoff = backoff.Backoff(state.rng, BACKOFF_LEAST_S, BACKOFF_MOST_S)
+
+    async def run(self) -> None:
+        """Read and follow the source, while it is this gateway's duty."""
+        while True:
+            if self.publisher.must_read():
+                await self._read_or_wait()
+            else:
+                # What changes meanwhile comes from peers.
+                self.state.reads_source = False
+                self.revision = None
+                await asyncio.sleep(OFF_DUTY_S)
+
+    async def _read_or_wait(self) -> None:
+        """Make one call; wait a while after one that failed."""
+        fault = await self._call()
+        self.state.reads_source = fault is None
+        if fault is None:
+            self._backoff.reset()
+            self._report(lost=False, reason="")
+        elif fault is sources.SourceFault.HISTORY_GONE:
+            # Changes since the last revision are no longer held: read anew.
+            self.revision = None
+        else:
+            self.state.listing.note_fault(self.state.clock.now())
+            self._report(lost=True, reason=fault.value)
+            await asyncio.sleep(self._backoff.next())
+
+    async def _call(self) -> sources.SourceFault | None:
+        if self.revision is None:
+            return await self._read()
+        return await self._follow(self.revision)
+
+    async def _read(self) -> sources.SourceFault | None:
+        self.state.metrics.store_calls.labels("read").inc()
+        snapshot = await self.source.read()
+        if isinstance(snapshot, sources.SourceFault):
+            return snapshot
+        self.revision = snapshot.revision
+        self.state.apply_snapshot(snapshot)
+        self.publisher.publish(snapshot.revision)
+        return None
+
+    async def _follow(self, after: int) -> sources.SourceFault | None:
+        self.state.metrics.store_calls.labels("follow").inc()
+        changes = await self.source.follow(after, WAIT_S)
+        if isinstance(changes, sources.SourceFault):
+            return changes
+        self.revision = max(after, changes.revision)
+        if self.state.apply_changes(changes):
+            self.publisher.publish(changes.revision)
+            await asyncio.sleep(GATHER_S)
+        return None
+
+    def _report(self, *, lost: bool, reason: str) -> None:
+        """Log when the source was lost or answers again."""
+        if lost == self.lost:
+            return
+        self.lost = lost
+        if lost:
+            events.emit(events.Event.STORE_LOST, reason=reason)
+        else:
+            events.emit(events.Event.STORE_BACK)
