--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -28,6 +28,7 @@
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect,
+    lifecycle,
     log_sink,
     request_log,
     routing,
@@ -450,7 +451,7 @@
         "rules of selection": selection.Rule,
         "states of upstreams": upstreams.State,
         "phases of an entry": readiness.Phase,
-        "phases of a gateway": states.Phase,
+        "phases of a gateway": lifecycle.Phase,
         "offers of documents": documents.Offer,
         "faults of peers' bytes": peer_seal.CodecFault,
         "faults of envelopes": bundle_seal.SealFault,
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -7,7 +7,7 @@
 """
 
 from spindlenotch import ids
-from spindlenotch.gateway import active_set, duties, state as states
+from spindlenotch.gateway import active_set, duties, lifecycle, state as states
 from spindlenotch.kernel import ownership
 from spindlenotch.peers import gossip, workload
 
@@ -21,7 +21,7 @@
 
     def __init__(self, state: states.GatewayState) -> None:
         self.state = state
-        self._active_key: tuple[int, states.Phase, int] | None = None
+        self._active_key: tuple[int, lifecycle.Phase, int] | None = None
         self._active_zones: dict[ids.HostId, ids.ZoneName] = {}
 
     def members(self) -> list[ownership.Member]:
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -1,5 +1,9 @@
 """
-One gateway: its beliefs, loops and ports put together.
+One gateway: its state, loops and ports put together.
+
+Owns the order of starting and stopping, and the tasks of the loops. ``create``
+builds a gateway from settings with the drivers that they name; what the parts
+decide lies in their modules.
 """
 
 import asyncio
@@ -13,6 +17,7 @@
     discovery,
     fleet as fleets,
     ingress,
+    lifecycle,
     load_sharing,
     membership,
     prober,
@@ -24,14 +29,15 @@
     state as states,
 )
 
+#: Time between two ticks of the state, and before a loop that failed is begun
+#: anew. Chosen, not measured; docs/MEASUREMENTS.md, round 20, has what idle
+#: loops cost.
 TICK_S = 0.2
-#: Callers may keep an answer this many times as long as they were told.
-KEPT_FACTOR = 3.0
-#: Left of the longest planned stop when nothing more is taken, so that what
-#: was taken comes to its end.
-CLOSING_S = 3.0
-#: Left of it when the process ends whatever is in flight.
-MARGIN_S = 0.4
+#: Time between two looks at the requests in flight of a planned stop. Chosen,
+#: not measured.
+DRAIN_CHECK_S = 0.02
+#: Least time that connections get to close. Chosen, not measured.
+LEAST_CLOSE_S = 0.05
 
 
 class Gateway:
@@ -103,15 +109,15 @@
         self.state.leave()
         self.membership.announce()
         loop = asyncio.get_running_loop()
-        end = loop.time() + config.stop_limit_s - MARGIN_S
-        longest = config.stop_limit_s - CLOSING_S
-        await asyncio.sleep(min(KEPT_FACTOR * config.hand_out_s + 0.5, longest))
+        schedule = lifecycle.stop_schedule(config.hand_out_s, config.stop_limit_s)
+        end = loop.time() + schedule.end_s
+        await asyncio.sleep(schedule.listen_s)
         self.ingress.stop_listening()
         while self.ingress.in_flight and loop.time() < end:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(DRAIN_CHECK_S)
         if self.ingress.in_flight:
             events.emit(events.Event.STOP_FORCED, in_flight=self.ingress.in_flight)
-        await self.ingress.stop(max(0.05, end - loop.time()))
+        await self.ingress.stop(max(LEAST_CLOSE_S, end - loop.time()))
         await self.close()
 
     async def close(self) -> None:
--- /dev/null
+++ b/spindlenotch/gateway/reloading.py
@@ -0,0 +1,27 @@
+"""
+Which settings of a running gateway may change without a restart.
+
+Pure. Addresses, the host's name and whatever shaped objects at start stay as
+they were.
+"""
+
+import dataclasses
+
+from spindlenotch.gateway import settings
+
+RELOADABLE = (
+    "hand_out_s",
+    "stop_limit_s",
+    "probes_per_s",
+    "entries_per_zone",
+    "peers",
+)
+
+
+def reloaded(
+    running: settings.GatewaySettings, read: settings.GatewaySettings
+) -> settings.GatewaySettings:
+    """Return the running settings with the reloadable ones of those just read."""
+    return dataclasses.replace(
+        running, **{name: getattr(read, name) for name in RELOADABLE}
+    )
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -5,8 +5,6 @@
 the ports and the loops read it.
 """
 
-import dataclasses
-import enum
 import random
 from collections import abc
 
@@ -17,7 +15,9 @@
 from spindlenotch.gateway import (
     active_set,
     demand_meter,
+    lifecycle,
     listing,
+    reloading,
     routing,
     settings,
     sources,
@@ -42,12 +42,12 @@
 GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
 
-class Phase(enum.Enum):
-    """Where a gateway is in its life."""
-
-    STARTING = "starting"
-    SERVING = "serving"
-    LEAVING = "leaving"
+STATUS_BY_PHASE = {
+    lifecycle.Phase.STARTING: gossip.Status.STARTING,
+    lifecycle.Phase.SERVING: gossip.Status.READY,
+    lifecycle.Phase.LEAVING: gossip.Status.LEAVING,
+}
+Phase = lifecycle.Phase
 
 
 class GatewayState:
@@ -63,7 +63,7 @@
         self.clock = clock
         self.rng = random.Random(config.seed or None)
         self.metrics = metrics.Metrics()
-        self.phase = Phase.STARTING
+        self.phase = lifecycle.Phase.STARTING
         self.table: routing.RouteTable | None = None
         self.turns = routing.WeightedTurns()
         self.listing = listing.Listing()
@@ -78,7 +78,7 @@
     @property
     def ready(self) -> bool:
         """Tell whether callers may be sent here."""
-        return self.phase is Phase.SERVING
+        return self.phase is lifecycle.Phase.SERVING
 
     @property
     def reads_source(self) -> bool:
@@ -175,33 +175,17 @@
         return expired
 
     def take_settings(self, config: settings.GatewaySettings) -> None:
-        """
-        Take in changed settings.
-
-        Addresses and the host's name stay as they were: they need a restart.
-        """
-        self.config = dataclasses.replace(
-            self.config,
-            hand_out_s=config.hand_out_s,
-            stop_limit_s=config.stop_limit_s,
-            probes_per_s=config.probes_per_s,
-            entries_per_zone=config.entries_per_zone,
-            peers=config.peers,
-        )
+        """Take in the settings that may change without a restart."""
+        self.config = reloading.reloaded(self.config, config)
 
     def leave(self) -> None:
         """Begin a planned stop."""
-        self.phase = Phase.LEAVING
+        self.phase = lifecycle.Phase.LEAVING
         self.publish_status()
 
     def publish_status(self) -> None:
         """Put this gateway's phase and version into its news for peers."""
-        status = {
-            Phase.STARTING: gossip.Status.STARTING,
-            Phase.SERVING: gossip.Status.READY,
-            Phase.LEAVING: gossip.Status.LEAVING,
-        }[self.phase]
-        self.gossip.set_status(status, self.version)
+        self.gossip.set_status(STATUS_BY_PHASE[self.phase], self.version)
 
     def _add_member(self, introductions: abc.Iterable[sources.Introduction]) -> None:
         for introduction in introductions:
@@ -213,9 +197,13 @@
         self._settle_phase()
 
     def _settle_phase(self) -> None:
-        known = self.table is not None and bool(self.listing.lease_by_id)
-        if self.phase is Phase.STARTING and known:
-            self.phase = Phase.SERVING
+        before = self.phase
+        self.phase = lifecycle.phase_after(
+            before,
+            configured=self.table is not None,
+            upstreams_known=bool(self.listing.lease_by_id),
+        )
+        if self.phase is not before:
             events.emit(events.Event.READY, host=self.config.host)
         self.publish_status()
 
@@ -253,17 +241,18 @@
         return made
 
     def _own_record(self) -> gossip.MemberRecord:
+        config = self.config
         return gossip.MemberRecord(
-            self.config.host,
-            self.config.zone,
-            ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
-            self.config.listen,
-            self.config.peer_listen,
-            int(self.clock.unix_s() * 1000),
-            0,
-            gossip.Status.STARTING,
-            0,
-            active_set.capacity_of(self.config.cores, self.config.link_mbps),
+            host=config.host,
+            zone=config.zone,
+            incarnation=ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
+            address=config.listen,
+            peer_address=config.peer_listen,
+            epoch=int(self.clock.unix_s() * 1000),
+            heartbeat=0,
+            status=gossip.Status.STARTING,
+            configuration_version=0,
+            capacity=active_set.capacity_of(config.cores, config.link_mbps),
         )
 
 
