--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -55,7 +55,7 @@
     state, passing = gateway(SEED)
     assert not passing.must_read()
     assert isinstance(state.clock, clock.ManualClock)
-    state.clock.advance(relay.FIRST_PEER_S + 0.01)
+    state.clock.advance(relay.FIRST_PEER_WAIT_S + 0.01)
     assert passing.must_read()
     for seeds in (f"{ME},{SEED}", ""):
         _, alone = gateway(seeds)
@@ -66,18 +66,18 @@
 def starting() -> None:
     state, passing = gateway(SEED)
     assert isinstance(state.clock, clock.ManualClock)
-    state.clock.advance(relay.FIRST_PEER_S + 0.01)
+    state.clock.advance(relay.FIRST_PEER_WAIT_S + 0.01)
     for number in range(9):
         peer(state, f"p{number}", gossip.Status.STARTING)
     readers = state.gossip.known_by_host.keys() | {state.config.host}
-    chosen = passing._reading_host()
+    chosen = passing.reader_host()
     assert chosen in readers
     if chosen != state.config.host:
         passing.reader_heard_at = state.clock.now()
         assert not passing.must_read()
     peer(state, "ready", gossip.Status.READY)
-    state.clock.advance(relay.CHOSEN_S + 0.01)
-    assert passing._reading_host() == "ready"
+    state.clock.advance(relay.READER_KEPT_S + 0.01)
+    assert passing.reader_host() == "ready"
 
 
 @kernel.PROPERTIES.register("only who reads the source passes news on at once")
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -259,7 +259,7 @@
 
     async def take() -> object:
         state, passing = gateway()
-        passing._take(documents.Document(kind, 9, ids.Digest(""), body))
+        passing._receive(documents.Document(kind, 9, ids.Digest(""), body))
         if kind is documents.DocumentKind.HOSTS:
             return state.listing.listed(state.clock.now())
         return None if state.table is None else state.table.configuration
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -1,10 +1,11 @@
 """
-What gateways pass on to each other, so that few of them read the source.
+Passes configuration and upstream list between gateways, so that few read them.
 
-In each zone one gateway reads; the others ask it a few times a second whether
-there is news and fetch documents from it or from whoever has newer ones. A
-gateway that hears no reader for a while reads for itself. Readers that are too
-many or none for a moment do no harm: versions only grow.
+In each zone one gateway reads the source; the others ask it a few times a
+second which versions it holds, and fetch documents from it or from whoever has
+newer ones. A gateway that hears nothing of its reader for a while reads for
+itself. Too many readers or none for a moment do no harm: versions only grow.
+Relies on ``fleet`` for who the reader is; the documents lie in ``state.fence``.
 """
 
 import asyncio
@@ -20,18 +21,26 @@
 )
 from spindlenotch.peers import document_exchange, documents, gossip, peer_link
 
-#: A follower asks its reader this often, and reads for itself when it has
-#: heard nothing for the second time.
-ASK_S = 0.3
+#: Time between two questions to the zone's reader. Chosen, not measured.
+ASK_PERIOD_S = 0.3
+#: Questions come within these shares of the period, so that gateways do not
+#: fall into step. Chosen, not measured.
+LEAST_JITTER = 0.9
+MOST_JITTER = 1.1
+#: A reader that was silent for this long, two questions, counts as lost. Chosen,
+#: not measured.
 READER_LOST_S = 0.8
-#: The choice of the reader, asked for with every message, stands for this long.
-CHOSEN_S = 0.2
-#: A gateway that starts waits this long for a peer that has read already, so
-#: that a fleet that starts together does not read as often as it has members.
-FIRST_PEER_S = 0.2
-#: News is passed on at once, and so many times again.
-EAGER_ROUNDS = 2
-EAGER_PAUSE_S = 0.1
+#: How long a choice of the reader stands, which is asked for with every message.
+#: Chosen, not measured; docs/MEASUREMENTS.md, round 20, has what it saves.
+READER_KEPT_S = 0.2
+#: How long a starting gateway waits for a peer that has read already, so that a
+#: fleet that starts together does not read as often as it has members. Measured:
+#: docs/MEASUREMENTS.md, round 18 (0.4 s refused requests after a loss of all).
+FIRST_PEER_WAIT_S = 0.2
+#: How many times, and how far apart in seconds, a reader announces a new
+#: document at once. Chosen, not measured.
+ANNOUNCE_ROUNDS = 2
+ANNOUNCE_PAUSE_S = 0.1
 #: Versions of the list between two revisions of the source, for leases that
 #: expire meanwhile. Chosen, not measured.
 EXPIRIES_PER_REVISION = 256
@@ -39,7 +48,7 @@
 
 class Relay:
     """
-    Hands documents around.
+    Decides whether this gateway reads, and offers and fetches documents.
 
     Invariant: a document replaces only one of a lower version.
     """
@@ -53,43 +62,67 @@
         self.state = state
         self.fleet = fleet
         self.link = link
+        self.exchange = document_exchange.DocumentExchange(link, self._receive)
         self.reader_heard_at = ids.Instant(float("-inf"))
         self.started_at = state.clock.now()
-        self._chosen: ids.HostId | None = None
-        self._chosen_until = ids.Instant(float("-inf"))
-        self.exchange = document_exchange.DocumentExchange(link, self._take)
+        self._reader_host: ids.HostId | None = None
+        self._reader_host_until = ids.Instant(float("-inf"))
+
+    async def run(self) -> None:
+        """Ask the zone's reader for newer documents until cancelled."""
+        while True:
+            reader = self._reader()
+            if reader is not None:
+                message = self.state.gossip.compose(wants_reply=True)
+                self.link.tell(message, [reader.peer_address])
+            jitter = self.state.rng.uniform(LEAST_JITTER, MOST_JITTER)
+            await asyncio.sleep(ASK_PERIOD_S * jitter)
+
+    # Who reads
 
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
         if self._awaits_first_peer():
             return False
-        reader = self._reader()
-        if reader is None:
+        if self._reader() is None:
             return True
         return self.state.clock.now() - self.reader_heard_at > READER_LOST_S
 
+    def is_reader(self) -> bool:
+        """Tell whether reading for its zone is this gateway's duty."""
+        return self.reader_host() == self.state.config.host
+
+    def reader_host(self) -> ids.HostId | None:
+        """Return the gateway that should read for this zone."""
+        now = self.state.clock.now()
+        if now >= self._reader_host_until:
+            self._reader_host_until = ids.later(now, READER_KEPT_S)
+            self._reader_host = self.fleet.reader()
+        return self._reader_host
+
     def _awaits_first_peer(self) -> bool:
-        """Tell whether a peer may yet spare this one's first reading."""
+        """
+        Tell whether a peer may yet spare this gateway's first reading.
+
+        Seeds do not wait: somebody has to read first.
+        """
         config = self.state.config
         if not config.peers or config.peer_listen in config.peers:
             return False
-        return self.state.clock.now() - self.started_at < FIRST_PEER_S
+        return self.state.clock.now() - self.started_at < FIRST_PEER_WAIT_S
 
-    def is_reader(self) -> bool:
-        """Tell whether reading for its zone is this gateway's duty."""
-        return self._reading_host() == self.state.config.host
+    def _reader(self) -> gossip.MemberRecord | None:
+        """Return the reader of this zone, or None where it is this gateway."""
+        host = self.reader_host()
+        if host is None or host == self.state.config.host:
+            return None
+        peer = self.state.gossip.known_by_host.get(host)
+        return None if peer is None else peer.record
 
-    async def run(self) -> None:
-        """Ask the zone's reader for news until cancelled."""
-        while True:
-            reader = self._reader()
-            if reader is not None:
-                message = self.state.gossip.compose(wants_reply=True)
-                self.link.tell(message, [reader.peer_address])
-            await asyncio.sleep(ASK_S * self.state.rng.uniform(0.9, 1.1))
+    # Offering
 
     def publish(self, revision: int) -> None:
-        """Offer what was read from the source up to ``revision`` to the peers."""
+        """Offer what was read up to ``revision`` of the source to the peers."""
         self._publish(revision * EXPIRIES_PER_REVISION)
 
     def publish_expiry(self) -> None:
@@ -103,27 +136,9 @@
             self._offer_own(
                 documents.DocumentKind.BUNDLE, configuration.version, configuration
             )
-        if not state.listed_once:
-            return
-        kind = documents.DocumentKind.HOSTS
-        listed = state.listing.listed(state.clock.now())
-        self._offer_own(kind, listing_version, listed)
-
-    def _reader(self) -> gossip.MemberRecord | None:
-        """Return the reader of this zone, or None where it is this gateway."""
-        host = self._reading_host()
-        if host is None or host == self.state.config.host:
-            return None
-        known = self.state.gossip.known_by_host.get(host)
-        return None if known is None else known.record
-
-    def _reading_host(self) -> ids.HostId | None:
-        """Return who should read for this zone; one that stands by, if any."""
-        now = self.state.clock.now()
-        if now >= self._chosen_until:
-            self._chosen_until = ids.later(now, CHOSEN_S)
-            self._chosen = self.fleet.reader()
-        return self._chosen
+        if state.listed_once:
+            listed = state.listing.listed(state.clock.now())
+            self._offer_own(documents.DocumentKind.HOSTS, listing_version, listed)
 
     def _offer_own(
         self, kind: documents.DocumentKind, version: int, content: object
@@ -138,35 +153,37 @@
         self.state.gossip.advertise(
             gossip.DocumentVersion(document.kind, document.version, document.digest)
         )
-        self.exchange.spawn(self._spread())
+        self.exchange.spawn(self._announce())
 
-    async def _spread(self) -> None:
+    async def _announce(self) -> None:
         """
-        Tell those who follow this gateway, and a few others.
+        Send a new version to a few peers and those of the zone at once, then again.
 
-        Only readers do: followers would send as many messages again for each
-        member of the fleet.
+        Only readers do: were every gateway that fetches a document to announce
+        it, one change would cost many messages for each member of the fleet.
         """
-        state = self.state
-        for _ in range(EAGER_ROUNDS):
-            if not state.reads_source:
+        gossip_state = self.state.gossip
+        for _ in range(ANNOUNCE_ROUNDS):
+            if not self.state.reads_source:
                 return
-            targets = set(state.gossip.random_targets(gossip.FANOUT))
+            targets = set(gossip_state.random_targets(gossip.FANOUT))
             targets.update(self._zone_addresses())
-            self.link.tell(state.gossip.compose(), sorted(targets))
-            await asyncio.sleep(EAGER_PAUSE_S)
+            self.link.tell(gossip_state.compose(), sorted(targets))
+            await asyncio.sleep(ANNOUNCE_PAUSE_S)
 
     def _zone_addresses(self) -> list[ids.Address]:
         return [
-            known.record.peer_address
-            for known in self.state.gossip.known_by_host.values()
-            if known.record.zone == self.state.config.zone
+            peer.record.peer_address
+            for peer in self.state.gossip.known_by_host.values()
+            if peer.record.zone == self.state.config.zone
         ]
 
+    # Fetching
+
     def message_received(
         self, message: gossip.Message, handled: gossip.Handled
     ) -> None:
-        """Note that the reader lives; fetch documents that are newer there."""
+        """Note that the reader lives; fetch documents that are newer at the sender."""
         sender = message.sender
         if message.reads_source and sender.zone == self.state.config.zone:
             reader = self._reader()
@@ -174,24 +191,29 @@
                 self.reader_heard_at = self.state.clock.now()
         self.exchange.fetch(sender.peer_address, handled.newer)
 
-    def _take(self, document: documents.Document) -> None:
+    def _receive(self, document: documents.Document) -> None:
         """Put a peer's document in force where it is newer."""
         if document.version <= self.state.fence.version(document.kind):
             return
         try:
-            if document.kind is documents.DocumentKind.BUNDLE:
-                configuration = msgspec.json.decode(
-                    document.body, type=routing.Configuration
-                )
-                self.state.apply_configuration(configuration)
-            else:
-                listed = msgspec.json.decode(
-                    document.body, type=tuple[sources.ListedUpstream, ...]
-                )
-                self.state.apply_listing(listed)
+            self._apply(document)
         except msgspec.MsgspecError as error:
-            events.emit(
-                events.Event.PEER_DROPPED, reason=f"{document.kind.name}: {error}"
-            )
+            # One that a peer of another release writes in another form: what is
+            # in force stays.
+            reason = f"{document.kind.name}: {error}"
+            events.emit(events.Event.PEER_DROPPED, reason=reason)
             return
         self._offer(document)
+
+    def _apply(self, document: documents.Document) -> None:
+        """Decode a document and put it in force; raise MsgspecError if that fails."""
+        if document.kind is documents.DocumentKind.BUNDLE:
+            configuration = msgspec.json.decode(
+                document.body, type=routing.Configuration
+            )
+            self.state.apply_configuration(configuration)
+        else:
+            listed = msgspec.json.decode(
+                document.body, type=tuple[sources.ListedUpstream, ...]
+            )
+            self.state.apply_listing(listed)
