--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -1,8 +1,11 @@
 """
-What one gateway believes: configuration, upstreams, peers and its own phase.
+The state of one gateway: configuration, upstreams, peers and its own phase.
 
-Changes come in through a few methods that log what changed; the data path,
-the ports and the loops read it.
+Owns these and the balancers of the services, and keeps them in step with each
+other: what the source or a peer says comes in through the ``apply_`` methods,
+which log what changed. The data path, the ports and the loops read it. What is
+decided about them lies in ``listing``, ``lifecycle``, ``active_set`` and the
+kernel.
 """
 
 import random
@@ -26,22 +29,26 @@
 from spindlenotch.peers import documents, gossip
 
 POLICY = selection_paced.NAME
-#: What a request is taken to need before any was measured, as a share of the
-#: time within which it should be answered.
-USUAL_OF_TARGET = 0.35
+#: Typical latency of a route's requests before any was measured, as a share of
+#: the route's target. Chosen, not measured.
+TYPICAL_SHARE_OF_TARGET = 0.35
+#: The same where the route has no target. Chosen, not measured.
 USUAL_UNKNOWN_S = 0.1
+#: Most waiting requests of a service. Chosen, not measured.
 QUEUE_LIMIT = 2000
+#: Largest share of a service's upstreams that may be ejected. Chosen, not
+#: measured.
 EJECT_SHARE = 0.5
-#: The fleet's extra requests are kept this far below what is allowed.
+#: Share of the allowed retries and hedges that the fleet uses at most. Chosen,
+#: not measured.
 EXTRA_MARGIN = 0.9
-#: So many gateways share the reserve of extra requests in equal parts.
+#: Gateways that share the reserve of retries and hedges in equal parts. Chosen,
+#: not measured.
 RESERVE_PARTS = 24
-
-
-#: Callers fail over by themselves within a second; the fleet is a bit slower.
+#: Callers fail over by themselves within a second; peers are dropped a bit
+#: later. Chosen, not measured.
 GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
-
 STATUS_BY_PHASE = {
     lifecycle.Phase.STARTING: gossip.Status.STARTING,
     lifecycle.Phase.SERVING: gossip.Status.READY,
@@ -52,7 +59,7 @@
 
 class GatewayState:
     """
-    The beliefs of one process.
+    What one process knows and believes.
 
     Invariants: the version of the configuration in force never falls; a
     gateway is ready only with a configuration and a list of upstreams.
@@ -82,7 +89,7 @@
 
     @property
     def reads_source(self) -> bool:
-        """Tell whether this gateway hears from the source itself just now."""
+        """Tell whether this gateway reads the source itself at the moment."""
         return self.gossip.reads_source
 
     @reads_source.setter
@@ -95,7 +102,7 @@
         return 0 if self.table is None else self.table.configuration.version
 
     def apply_configuration(self, configuration: routing.Configuration) -> bool:
-        """Put a configuration into force if it is newer; tell whether it was."""
+        """Put a configuration in force if it is newer; tell whether it was."""
         if self.table is not None and configuration.version <= self.version:
             return False
         self.table = routing.RouteTable(configuration)
@@ -104,12 +111,10 @@
             if name not in self.balancer_by_service:
                 self.balancer_by_service[name] = self._new_balancer(name)
         for route in configuration.routes:
-            usual = USUAL_UNKNOWN_S
-            if route.target_s is not None:
-                usual = USUAL_OF_TARGET * route.target_s
+            typical_s = _typical_latency_s(route)
             for part in route.parts:
-                service = self.balancer_by_service[part.service]
-                service.pool.learn_operation(route.name, usual)
+                pool = self.balancer_by_service[part.service].pool
+                pool.learn_operation(route.name, typical_s)
         self.metrics.bundle_version.set(configuration.version)
         events.emit(
             events.Event.CONFIGURATION_APPLIED,
@@ -121,41 +126,41 @@
         return True
 
     def apply_snapshot(self, snapshot: sources.Snapshot) -> None:
-        """Take in everything the source holds."""
+        """Put everything that the source holds in force."""
         self._report_bad(snapshot.bad)
-        self._add_member(snapshot.introductions)
+        self._store_discovery_records(snapshot.introductions)
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
         self.listing.replace(snapshot.upstream_by_id.values(), self.clock.now())
-        self._listed()
+        self._listing_changed()
 
     def apply_listing(self, listed: abc.Iterable[sources.ListedUpstream]) -> None:
-        """Take in the whole list that a peer holds."""
+        """Put the whole list that a peer holds in force."""
         self.listing.replace_by_peer(listed, self.clock.now())
-        self._listed()
+        self._listing_changed()
 
     def apply_changes(self, changes: sources.Changes) -> bool:
-        """Take in what has changed in the source; tell whether anything had."""
+        """Put what has changed in the source in force; tell whether anything had."""
         self._report_bad(changes.bad)
-        self._add_member(changes.introductions)
+        self._store_discovery_records(changes.introductions)
         now = self.clock.now()
         if changes.configuration is not None:
             self.apply_configuration(changes.configuration)
         if changes.listed or changes.gone:
             self.listing.add(changes.listed, now)
             self.listing.remove(changes.gone, now)
-            self._listed()
+            self._listing_changed()
         configured = changes.configuration is not None
         return configured or bool(changes.listed or changes.gone)
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Give an upstream no new work; tell whether that was news."""
+        """Give an upstream no new work; tell whether that is a change."""
         pool = self.balancer_by_service[service].pool
-        news = pool.leave(spec.id, spec.generation, reason)
+        changed = pool.leave(spec.id, spec.generation, reason)
         self._report_changes()
-        return news
+        return changed
 
     def tick(self) -> bool:
         """
@@ -184,14 +189,16 @@
         self.publish_status()
 
     def publish_status(self) -> None:
-        """Put this gateway's phase and version into its news for peers."""
+        """Put this gateway's phase and version into its record for peers."""
         self.gossip.set_status(STATUS_BY_PHASE[self.phase], self.version)
 
-    def _add_member(self, introductions: abc.Iterable[sources.Introduction]) -> None:
-        for introduction in introductions:
-            self.introduction_by_zone[introduction.zone] = introduction
+    def _store_discovery_records(
+        self, records: abc.Iterable[sources.Introduction]
+    ) -> None:
+        for record in records:
+            self.introduction_by_zone[record.zone] = record
 
-    def _listed(self) -> None:
+    def _listing_changed(self) -> None:
         self.listed_once = True
         self._refresh_upstreams()
         self._settle_phase()
@@ -256,6 +263,13 @@
         )
 
 
+def _typical_latency_s(route: routing.Route) -> float:
+    """Return what a request of a route is taken to need before any was measured."""
+    if route.target_s is None:
+        return USUAL_UNKNOWN_S
+    return TYPICAL_SHARE_OF_TARGET * route.target_s
+
+
 def _service(name: ids.ServiceName, zones: tuple[ids.ZoneName, ...]) -> bundle.Service:
     """Return what the kernel needs to know of a service."""
     return bundle.Service(
