--- a/spindlenotch/gateway/discovery.py
+++ b/spindlenotch/gateway/discovery.py
@@ -13,7 +13,7 @@
 from collections import abc
 
 from spindlenotch import events, ids
-from spindlenotch.gateway import sources, state as states
+from spindlenotch.gateway import sources, state
 
 #: Time between two looks at the record of the zone. Chosen, not measured.
 LOOK_PERIOD_S = 1.0
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        state: states.GatewayState,
+        gateway_state: state.GatewayState,
         source: sources.Source,
         is_reader: abc.Callable[[], bool],
     ) -> None:
-        self.state = state
+        self.state = gateway_state
         self.source = source
         self.is_reader = is_reader
         self.write_at = ids.NEVER
@@ -84,8 +84,10 @@
 
     def _is_wanted(self) -> bool:
         """Tell whether this gateway reads for its zone and another's address stands."""
-        state = self.state
-        if not (state.ready and state.reads_source and self.is_reader()):
+        gateway_state = self.state
+        if not (
+            gateway_state.ready and gateway_state.reads_source and self.is_reader()
+        ):
             return False
-        record = state.introduction_by_zone.get(state.config.zone)
-        return record is None or record.peer_address != state.config.peer_listen
+        record = gateway_state.introduction_by_zone.get(gateway_state.config.zone)
+        return record is None or record.peer_address != gateway_state.config.peer_listen
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -7,7 +7,7 @@
 """
 
 from spindlenotch import ids
-from spindlenotch.gateway import active_set, duties, lifecycle, state as states
+from spindlenotch.gateway import active_set, duties, lifecycle, state
 from spindlenotch.kernel import ownership
 from spindlenotch.peers import gossip, workload
 
@@ -19,8 +19,8 @@
 class Fleet:
     """Answers who is where, from what gossip holds."""
 
-    def __init__(self, state: states.GatewayState) -> None:
-        self.state = state
+    def __init__(self, gateway_state: state.GatewayState) -> None:
+        self.state = gateway_state
         self._active_key: tuple[int, lifecycle.Phase, int] | None = None
         self._active_zones: dict[ids.HostId, ids.ZoneName] = {}
 
@@ -38,9 +38,9 @@
 
     def active_zones(self) -> dict[ids.HostId, ids.ZoneName]:
         """Return the zones of the active gateways."""
-        state = self.state
-        span = int(state.clock.now() / ACTIVE_KEPT_S)
-        key = (span, state.phase, len(state.gossip.known_by_host))
+        gateway_state = self.state
+        span = int(gateway_state.clock.now() / ACTIVE_KEPT_S)
+        key = (span, gateway_state.phase, len(gateway_state.gossip.known_by_host))
         if key != self._active_key:
             self._active_key = key
             self._active_zones = self._choose_active()
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -13,9 +13,9 @@
 from spindlenotch.drivers import upstream_http
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
-    dialect as dialects,
+    dialect,
     discovery,
-    fleet as fleets,
+    fleet,
     ingress,
     lifecycle,
     load_sharing,
@@ -26,7 +26,7 @@
     side_ports,
     source_reader,
     sources,
-    state as states,
+    state,
 )
 
 #: Time between two ticks of the state, and before a loop that failed is begun
@@ -50,26 +50,32 @@
 
     def __init__(
         self,
-        state: states.GatewayState,
+        gateway_state: state.GatewayState,
         source: sources.Source,
         port: ports.UpstreamPort,
-        dialect: dialects.Dialect,
+        gateway_dialect: dialect.Dialect,
     ) -> None:
-        self.state = state
+        self.state = gateway_state
         self.source = source
         self.port = port
-        path = data_path.DataPath(state, port, ingress.labels(dialect))
-        self.ingress = ingress.Ingress(state, path, dialect)
-        self.fleet = fleets.Fleet(state)
-        self.side_ports = side_ports.SidePorts(state, self.fleet, dialect)
-        self.membership = membership.Membership(state)
+        path = data_path.DataPath(gateway_state, port, ingress.labels(gateway_dialect))
+        self.ingress = ingress.Ingress(gateway_state, path, gateway_dialect)
+        self.fleet = fleet.Fleet(gateway_state)
+        self.side_ports = side_ports.SidePorts(
+            gateway_state, self.fleet, gateway_dialect
+        )
+        self.membership = membership.Membership(gateway_state)
         link = self.membership.link
-        self.relay = relay.Relay(state, self.fleet, link)
-        self.source_reader = source_reader.SourceReader(state, source, self.relay)
-        self.discovery = discovery.DiscoveryWriter(state, source, self.relay.is_reader)
-        self.prober = prober.Prober(state, self.fleet, port)
+        self.relay = relay.Relay(gateway_state, self.fleet, link)
+        self.source_reader = source_reader.SourceReader(
+            gateway_state, source, self.relay
+        )
+        self.discovery = discovery.DiscoveryWriter(
+            gateway_state, source, self.relay.is_reader
+        )
+        self.prober = prober.Prober(gateway_state, self.fleet, port)
         self.load_sharing = load_sharing.LoadSharing(
-            state, self.fleet, link, self.prober.task_by_id.keys()
+            gateway_state, self.fleet, link, self.prober.task_by_id.keys()
         )
         self.membership.add_listener(self.relay)
         self.membership.add_listener(self.load_sharing)
@@ -150,11 +156,11 @@
 
 def create(config: settings.GatewaySettings) -> Gateway:
     """Build a gateway from settings with the drivers that they name."""
-    dialect = dialects.DIALECTS.get(config.dialect)()
-    state = states.GatewayState(config, clock.CLOCKS.get("boottime")())
+    gateway_dialect = dialect.DIALECTS.get(config.dialect)()
+    gateway_state = state.GatewayState(config, clock.CLOCKS.get("boottime")())
     return Gateway(
-        state,
+        gateway_state,
         sources.SOURCES.get(config.source_driver)(config.source),
-        upstream_http.HttpUpstreamPort(dialect.upstream),
-        dialect,
+        upstream_http.HttpUpstreamPort(gateway_dialect.upstream),
+        gateway_dialect,
     )
--- a/spindlenotch/gateway/load_sharing.py
+++ b/spindlenotch/gateway/load_sharing.py
@@ -11,7 +11,7 @@
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.gateway import fleet as fleets, state as states
+from spindlenotch.gateway import fleet, state
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import gossip, peer_link, workload
 
@@ -34,13 +34,13 @@
 
     def __init__(
         self,
-        state: states.GatewayState,
-        fleet: fleets.Fleet,
+        gateway_state: state.GatewayState,
+        gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
         probed: abc.Collection[ids.UpstreamId],
     ) -> None:
-        self.state = state
-        self.fleet = fleet
+        self.state = gateway_state
+        self.fleet = gateway_fleet
         self.link = link
         self.probed = probed
         self._sent_report_at: dict[ids.UpstreamId, ids.Instant] = {}
--- a/spindlenotch/gateway/membership.py
+++ b/spindlenotch/gateway/membership.py
@@ -11,7 +11,7 @@
 import typing
 
 from spindlenotch import events, ids
-from spindlenotch.gateway import state as states
+from spindlenotch.gateway import state
 from spindlenotch.peers import (
     documents,
     gossip,
@@ -43,12 +43,12 @@
     Invariant: a peer that asks for a document gets the one in ``state.fence``.
     """
 
-    def __init__(self, state: states.GatewayState) -> None:
-        self.state = state
+    def __init__(self, gateway_state: state.GatewayState) -> None:
+        self.state = gateway_state
         self._listeners: list[MessageListener] = []
         self.link = peer_link.PeerLink(
-            peer_seal.Sealer(state.config.peer_keys),
-            state.metrics,
+            peer_seal.Sealer(gateway_state.config.peer_keys),
+            gateway_state.metrics,
             self._on_gossip,
             self._on_frame,
             peer_codec_msgpack.MSGPACK,
@@ -68,16 +68,18 @@
 
     async def run(self) -> None:
         """Ask a few peers each period until cancelled."""
-        state = self.state
+        gateway_state = self.state
         await self._bootstrap()
         while True:
-            targets = state.gossip.targets(state.config.peers, state.clock.now())
+            targets = gateway_state.gossip.targets(
+                gateway_state.config.peers, gateway_state.clock.now()
+            )
             targets += self._undiscovered(targets)
-            self.link.tell(state.gossip.compose(wants_reply=True), targets)
-            for record in state.gossip.sweep(state.clock.now()):
+            self.link.tell(gateway_state.gossip.compose(wants_reply=True), targets)
+            for record in gateway_state.gossip.sweep(gateway_state.clock.now()):
                 events.emit(events.Event.PEER_GONE, host=record.host)
-            period = state.gossip.timing.period_s
-            await asyncio.sleep(period * state.rng.uniform(0.9, 1.1))
+            period = gateway_state.gossip.timing.period_s
+            await asyncio.sleep(period * gateway_state.rng.uniform(0.9, 1.1))
 
     def announce(self) -> None:
         """Send the own record to every known peer at once."""
@@ -89,12 +91,16 @@
 
     async def _bootstrap(self) -> None:
         """Ask the peers of the settings until one has answered, for a short time."""
-        state = self.state
-        others = [a for a in state.config.peers if a != state.config.peer_listen]
+        gateway_state = self.state
+        others = [
+            a
+            for a in gateway_state.config.peers
+            if a != gateway_state.config.peer_listen
+        ]
         for _ in range(BOOTSTRAP_ROUNDS):
-            if state.gossip.known_by_host or not others:
+            if gateway_state.gossip.known_by_host or not others:
                 return
-            self.link.tell(state.gossip.compose(wants_reply=True), others)
+            self.link.tell(gateway_state.gossip.compose(wants_reply=True), others)
             await asyncio.sleep(BOOTSTRAP_PAUSE_S)
 
     def _undiscovered(self, asked: list[ids.Address]) -> list[ids.Address]:
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -12,7 +12,7 @@
 import dataclasses
 
 from spindlenotch import ids, ports
-from spindlenotch.gateway import duties, fleet as fleets, state as states
+from spindlenotch.gateway import duties, fleet, state
 from spindlenotch.kernel import pool, upstreams
 
 #: Longest wait for the answer to a probe. Chosen, not measured.
@@ -49,10 +49,13 @@
     """
 
     def __init__(
-        self, state: states.GatewayState, fleet: fleets.Fleet, port: ports.UpstreamPort
+        self,
+        gateway_state: state.GatewayState,
+        gateway_fleet: fleet.Fleet,
+        port: ports.UpstreamPort,
     ) -> None:
-        self.state = state
-        self.fleet = fleet
+        self.state = gateway_state
+        self.fleet = gateway_fleet
         self.port = port
         self.task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
 
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -14,10 +14,10 @@
 
 from spindlenotch import events, ids
 from spindlenotch.gateway import (
-    fleet as fleets,
+    fleet,
     routing,
     sources,
-    state as states,
+    state,
 )
 from spindlenotch.peers import document_exchange, documents, gossip, peer_link
 
@@ -55,16 +55,16 @@
 
     def __init__(
         self,
-        state: states.GatewayState,
-        fleet: fleets.Fleet,
+        gateway_state: state.GatewayState,
+        gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
     ) -> None:
-        self.state = state
-        self.fleet = fleet
+        self.state = gateway_state
+        self.fleet = gateway_fleet
         self.link = link
         self.exchange = document_exchange.DocumentExchange(link, self._receive)
         self.reader_heard_at = ids.Instant(float("-inf"))
-        self.started_at = state.clock.now()
+        self.started_at = gateway_state.clock.now()
         self._reader_host: ids.HostId | None = None
         self._reader_host_until = ids.Instant(float("-inf"))
 
@@ -130,14 +130,14 @@
         self._publish(self.state.fence.version(documents.DocumentKind.HOSTS) + 1)
 
     def _publish(self, listing_version: int) -> None:
-        state = self.state
-        if state.table is not None:
-            configuration = state.table.configuration
+        gateway_state = self.state
+        if gateway_state.table is not None:
+            configuration = gateway_state.table.configuration
             self._offer_own(
                 documents.DocumentKind.BUNDLE, configuration.version, configuration
             )
-        if state.listed_once:
-            listed = state.listing.listed(state.clock.now())
+        if gateway_state.listed_once:
+            listed = gateway_state.listing.listed(gateway_state.clock.now())
             self._offer_own(documents.DocumentKind.HOSTS, listing_version, listed)
 
     def _offer_own(
--- a/spindlenotch/gateway/source_reader.py
+++ b/spindlenotch/gateway/source_reader.py
@@ -11,7 +11,7 @@
 import typing
 
 from spindlenotch import events
-from spindlenotch.gateway import sources, state as states
+from spindlenotch.gateway import sources, state
 from spindlenotch.kernel import backoff
 
 #: Longest wait of one call; also bounds how long a lost answer goes unseen.
@@ -48,16 +48,18 @@
 
     def __init__(
         self,
-        state: states.GatewayState,
+        gateway_state: state.GatewayState,
         source: sources.Source,
         publisher: Publisher,
     ) -> None:
-        self.state = state
+        self.state = gateway_state
         self.source = source
         self.publisher = publisher
         self.revision: int | None = None
         self.lost = False
-        self._backoff = backoff.Backoff(state.rng, BACKOFF_LEAST_S, BACKOFF_MOST_S)
+        self._backoff = backoff.Backoff(
+            gateway_state.rng, BACKOFF_LEAST_S, BACKOFF_MOST_S
+        )
 
     async def run(self) -> None:
         """Read and follow the source, while it is this gateway's duty."""
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -11,7 +11,7 @@
 import random
 from collections import abc
 
-from spindlenotch import clock as clocks, events, ids, metrics
+from spindlenotch import clock, events, ids, metrics
 from spindlenotch.bundles import bundle
 from spindlenotch.decisions import balancer, selection_paced
 from spindlenotch.forwarding import upstream_events
@@ -65,9 +65,11 @@
     gateway is ready only with a configuration and a list of upstreams.
     """
 
-    def __init__(self, config: settings.GatewaySettings, clock: clocks.Clock) -> None:
+    def __init__(
+        self, config: settings.GatewaySettings, gateway_clock: clock.Clock
+    ) -> None:
         self.config = config
-        self.clock = clock
+        self.clock = gateway_clock
         self.rng = random.Random(config.seed or None)
         self.metrics = metrics.Metrics()
         self.phase = lifecycle.Phase.STARTING
