--- a/spindlenotch/gateway/discovery.py
+++ b/spindlenotch/gateway/discovery.py
@@ -13,14 +13,10 @@
 from collections import abc
 
 from spindlenotch import events, ids
-from spindlenotch.gateway import sources, state
+from spindlenotch.gateway import jitter, sources, state
 
 #: Time between two looks at the record of the zone. Chosen, not measured.
 LOOK_PERIOD_S = 1.0
-#: Looks come within these shares of the period, so that gateways do not fall
-#: into step. Chosen, not measured.
-LEAST_JITTER = 0.9
-MOST_JITTER = 1.1
 #: How long a new reader waits before it writes: views differ while a fleet
 #: starts or heals. Chosen, not measured.
 SETTLE_S = 3.0
@@ -51,8 +47,7 @@
     async def run(self) -> None:
         """Look after the record until cancelled."""
         while True:
-            jitter = self.state.rng.uniform(LEAST_JITTER, MOST_JITTER)
-            await asyncio.sleep(LOOK_PERIOD_S * jitter)
+            await asyncio.sleep(jitter.jittered(LOOK_PERIOD_S, self.state.rng))
             if self.due(self.state.clock.now()):
                 await self.write()
 
--- /dev/null
+++ b/spindlenotch/gateway/jitter.py
@@ -0,0 +1,16 @@
+"""
+Periods that vary a little, so that gateways do not fall into step.
+
+Pure; the loops that ask peers, the source or upstreams sleep for them.
+"""
+
+import random
+
+#: A jittered period lies within these shares of the period. Chosen, not measured.
+LEAST_SHARE = 0.9
+MOST_SHARE = 1.1
+
+
+def jittered(period_s: float, rng: random.Random) -> float:
+    """Return a period near ``period_s``, in seconds; one draw of ``rng``."""
+    return period_s * rng.uniform(LEAST_SHARE, MOST_SHARE)
--- a/spindlenotch/gateway/membership.py
+++ b/spindlenotch/gateway/membership.py
@@ -11,7 +11,7 @@
 import typing
 
 from spindlenotch import events, ids
-from spindlenotch.gateway import state
+from spindlenotch.gateway import jitter, state
 from spindlenotch.peers import (
     documents,
     gossip,
@@ -78,8 +78,8 @@
             self.link.tell(gateway_state.gossip.compose(wants_reply=True), targets)
             for record in gateway_state.gossip.sweep(gateway_state.clock.now()):
                 events.emit(events.Event.PEER_GONE, host=record.host)
-            period = gateway_state.gossip.timing.period_s
-            await asyncio.sleep(period * gateway_state.rng.uniform(0.9, 1.1))
+            period_s = gateway_state.gossip.timing.period_s
+            await asyncio.sleep(jitter.jittered(period_s, gateway_state.rng))
 
     def announce(self) -> None:
         """Send the own record to every known peer at once."""
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -12,7 +12,7 @@
 import dataclasses
 
 from spindlenotch import ids, ports
-from spindlenotch.gateway import duties, fleet, state
+from spindlenotch.gateway import duties, fleet, jitter, state
 from spindlenotch.kernel import pool, upstreams
 
 #: Longest wait for the answer to a probe. Chosen, not measured.
@@ -23,10 +23,6 @@
 #: A probing task ends after about this long and is begun anew with the settings
 #: of that moment. Chosen, not measured.
 TASK_S = 1.0
-#: Probes come within these shares of their period, so that gateways do not
-#: fall into step. Chosen, not measured.
-LEAST_JITTER = 0.9
-MOST_JITTER = 1.1
 #: Keeps the period finite where the setting is nearly zero.
 LEAST_PROBES_PER_S = 0.001
 
@@ -115,4 +111,4 @@
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
                 target.pool.reported(target.upstream, report, now)
-            await asyncio.sleep(period_s * rng.uniform(LEAST_JITTER, MOST_JITTER))
+            await asyncio.sleep(jitter.jittered(period_s, rng))
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -15,6 +15,7 @@
 from spindlenotch import events, ids
 from spindlenotch.gateway import (
     fleet,
+    jitter,
     routing,
     sources,
     state,
@@ -23,10 +24,6 @@
 
 #: Time between two questions to the zone's reader. Chosen, not measured.
 ASK_PERIOD_S = 0.3
-#: Questions come within these shares of the period, so that gateways do not
-#: fall into step. Chosen, not measured.
-LEAST_JITTER = 0.9
-MOST_JITTER = 1.1
 #: A reader that was silent for this long, two questions, counts as lost. Chosen,
 #: not measured.
 READER_LOST_S = 0.8
@@ -75,8 +72,7 @@
             if reader is not None:
                 message = self.state.gossip.compose(wants_reply=True)
                 self.link.tell(message, [reader.peer_address])
-            jitter = self.state.rng.uniform(LEAST_JITTER, MOST_JITTER)
-            await asyncio.sleep(ASK_PERIOD_S * jitter)
+            await asyncio.sleep(jitter.jittered(ASK_PERIOD_S, self.state.rng))
 
     # Who reads
 
