--- /dev/null
+++ b/spindlenotch/gateway/own_record.py
@@ -0,0 +1,41 @@
+"""
+What a gateway says of itself to its peers.
+
+The record travels with every gossip message; its status and version follow the
+state's phase, its capacity is what ``active_set`` compares.
+"""
+
+import random
+
+from spindlenotch import clock, ids
+from spindlenotch.gateway import active_set, lifecycle, settings
+from spindlenotch.peers import gossip
+
+STATUS_BY_PHASE = {
+    lifecycle.Phase.STARTING: gossip.Status.STARTING,
+    lifecycle.Phase.SERVING: gossip.Status.READY,
+    lifecycle.Phase.LEAVING: gossip.Status.LEAVING,
+}
+
+
+def first(
+    config: settings.GatewaySettings, rng: random.Random, gateway_clock: clock.Clock
+) -> gossip.MemberRecord:
+    """
+    Return the record of a process that starts.
+
+    ``epoch`` is its start in milliseconds of Unix time: records of a later
+    process of the host replace it.
+    """
+    return gossip.MemberRecord(
+        host=config.host,
+        zone=config.zone,
+        incarnation=ids.Incarnation(f"{rng.getrandbits(64):016x}"),
+        address=config.listen,
+        peer_address=config.peer_listen,
+        epoch=int(gateway_clock.unix_s() * 1000),
+        heartbeat=0,
+        status=gossip.Status.STARTING,
+        configuration_version=0,
+        capacity=active_set.capacity_of(config.cores, config.link_mbps),
+    )
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -16,10 +16,10 @@
 from spindlenotch.decisions import balancer, selection_paced
 from spindlenotch.forwarding import upstream_events
 from spindlenotch.gateway import (
-    active_set,
     demand_meter,
     lifecycle,
     listing,
+    own_record,
     reloading,
     routing,
     settings,
@@ -49,11 +49,6 @@
 #: later. Chosen, not measured.
 GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
-STATUS_BY_PHASE = {
-    lifecycle.Phase.STARTING: gossip.Status.STARTING,
-    lifecycle.Phase.SERVING: gossip.Status.READY,
-    lifecycle.Phase.LEAVING: gossip.Status.LEAVING,
-}
 Phase = lifecycle.Phase
 
 
@@ -78,7 +73,8 @@
         self.listing = listing.Listing()
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
         self.local_member = ownership.Member(config.zone, config.host)
-        self.gossip = gossip.Gossip(self._own_record(), self.rng, GOSSIP_TIMING)
+        record = own_record.first(config, self.rng, gateway_clock)
+        self.gossip = gossip.Gossip(record, self.rng, GOSSIP_TIMING)
         self.demand = demand_meter.DemandMeter()
         self.listed_once = False
         self.fence = documents.Fence()
@@ -192,7 +188,8 @@
 
     def publish_status(self) -> None:
         """Put this gateway's phase and version into its record for peers."""
-        self.gossip.set_status(STATUS_BY_PHASE[self.phase], self.version)
+        status = own_record.STATUS_BY_PHASE[self.phase]
+        self.gossip.set_status(status, self.version)
 
     def _store_discovery_records(
         self, records: abc.Iterable[sources.Introduction]
@@ -249,21 +246,6 @@
         )
         return made
 
-    def _own_record(self) -> gossip.MemberRecord:
-        config = self.config
-        return gossip.MemberRecord(
-            host=config.host,
-            zone=config.zone,
-            incarnation=ids.Incarnation(f"{self.rng.getrandbits(64):016x}"),
-            address=config.listen,
-            peer_address=config.peer_listen,
-            epoch=int(self.clock.unix_s() * 1000),
-            heartbeat=0,
-            status=gossip.Status.STARTING,
-            configuration_version=0,
-            capacity=active_set.capacity_of(config.cores, config.link_mbps),
-        )
-
 
 def _typical_latency_s(route: routing.Route) -> float:
     """Return what a request of a route is taken to need before any was measured."""
