--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -145,7 +145,11 @@
 
 
 async def _guarded(loop: "abc.Callable[[], abc.Awaitable[None]]") -> None:
-    """Run a loop that never ends; begin it anew when it fails."""
+    """
+    Run a loop that never ends; log a failure and begin it anew.
+
+    A gateway without one of its loops would serve from a state that nobody updates.
+    """
     while True:
         try:
             await loop()
--- a/spindlenotch/gateway/sources.py
+++ b/spindlenotch/gateway/sources.py
@@ -21,12 +21,12 @@
     UNAVAILABLE = "unavailable"
     OVER_LIMIT = "over-limit"
     HISTORY_GONE = "history-gone"
-    #: Somebody else was first.
+    #: What was to be replaced has changed since it was read.
     CONFLICT = "conflict"
 
 
 class UpstreamState(enum.Enum):
-    """What the platform says of an upstream."""
+    """What the source says of an upstream."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -34,7 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedUpstream:
-    """An upstream as the platform lists it; ``cold_s`` counts from reading."""
+    """
+    An upstream as the source lists it.
+
+    ``slots`` is how many requests it runs at once; ``cold_s`` is for how many
+    seconds after reading it is still slow from its start.
+    """
 
     id: ids.UpstreamId
     service: ids.ServiceName
@@ -56,10 +61,10 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class Introduction:
     """
-    Where gateways that know no peer find one of a zone.
+    The address by which gateways that know no peer find one of a zone.
 
-    ``revision`` is the one of the source that it was written at; zero where
-    the source holds none yet.
+    ``revision`` is that of the source at which it was written; zero where the
+    source holds none yet.
     """
 
     zone: ids.ZoneName
@@ -84,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed up to ``revision``; newest state of each item."""
+    """What has changed up to ``revision``; only the newest state of each item."""
 
     revision: int
     configuration: routing.Configuration | None = None
@@ -101,10 +106,10 @@
         """Read everything."""
 
     async def follow(self, after: int, wait_s: float) -> Changes | SourceFault:
-        """Return what changed after a revision, at the latest in ``wait_s``."""
+        """Return what changed after a revision; wait ``wait_s`` seconds at most."""
 
     async def introduce(self, introduction: Introduction) -> SourceFault | None:
-        """Write one in place of that of its ``revision``, if it is still there."""
+        """Replace the record of the same zone if it is still of that ``revision``."""
 
     async def close(self) -> None:
         """Drop all connections."""
