--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -662,7 +662,7 @@
     return run(read())
 
 
-INTRODUCTION = sources.Introduction(zone=ZONE, peer_address=ME, revision=41)
+INTRODUCTION = sources.DiscoveryRecord(zone=ZONE, peer_address=ME, revision=41)
 
 
 def platform_source(body: bytes) -> tuple[store.PlatformSource, recorded.Session]:
@@ -678,8 +678,8 @@
 
     async def introduce() -> bytes:
         state, passing = gateway()
-        standing = sources.Introduction(ZONE, OTHER, INTRODUCTION.revision)
-        state.introduction_by_zone[ZONE] = standing
+        standing = sources.DiscoveryRecord(ZONE, OTHER, INTRODUCTION.revision)
+        state.discovery_record_by_zone[ZONE] = standing
         source, session = platform_source(b'{"revision":42}')
         await discovery.DiscoveryWriter(state, source, passing.is_reader).write()
         return recorded.pretty(session.calls[0])
@@ -696,7 +696,7 @@
         source, _ = platform_source(msgspec.json.encode({"events": [item], "at": 50}))
         changes = await source.follow(40, 1.0)
         assert isinstance(changes, sources.Changes), changes
-        return changes.introductions[0]
+        return changes.discovery_records[0]
 
     return run(read())
 
--- a/spindlenotch/gateway/discovery.py
+++ b/spindlenotch/gateway/discovery.py
@@ -64,12 +64,12 @@
         """Write the own address in place of the record that was read last."""
         config = self.state.config
         self.write_at = ids.later(self.state.clock.now(), REWRITE_S)
-        record = sources.Introduction(config.zone, config.peer_listen)
-        replaced = self.state.introduction_by_zone.get(config.zone)
+        record = sources.DiscoveryRecord(config.zone, config.peer_listen)
+        replaced = self.state.discovery_record_by_zone.get(config.zone)
         if replaced is not None:
             record = dataclasses.replace(record, revision=replaced.revision)
         self.state.metrics.store_calls.labels("introduce").inc()
-        fault = await self.source.introduce(record)
+        fault = await self.source.write_discovery_record(record)
         events.emit(
             events.Event.INTRODUCED,
             zone=config.zone,
@@ -84,5 +84,5 @@
             gateway_state.ready and gateway_state.reads_source and self.is_reader()
         ):
             return False
-        record = gateway_state.introduction_by_zone.get(gateway_state.config.zone)
+        record = gateway_state.discovery_record_by_zone.get(gateway_state.config.zone)
         return record is None or record.peer_address != gateway_state.config.peer_listen
--- a/spindlenotch/gateway/membership.py
+++ b/spindlenotch/gateway/membership.py
@@ -108,7 +108,7 @@
         local = self.state.gossip
         reached = {peer.record.peer_address for peer in local.known_by_host.values()}
         reached.update(asked, [local.local.peer_address])
-        records = self.state.introduction_by_zone.values()
+        records = self.state.discovery_record_by_zone.values()
         return [
             record.peer_address
             for record in records
--- a/spindlenotch/gateway/sources.py
+++ b/spindlenotch/gateway/sources.py
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Introduction:
+class DiscoveryRecord:
     """
     The address by which gateways that know no peer find one of a zone.
 
@@ -84,7 +84,7 @@
     configuration: routing.Configuration | None
     upstream_by_id: dict[ids.UpstreamId, ListedUpstream]
     bad: tuple[BadItem, ...] = ()
-    introductions: tuple[Introduction, ...] = ()
+    discovery_records: tuple[DiscoveryRecord, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
     listed: tuple[ListedUpstream, ...] = ()
     gone: tuple[ids.UpstreamId, ...] = ()
     bad: tuple[BadItem, ...] = ()
-    introductions: tuple[Introduction, ...] = ()
+    discovery_records: tuple[DiscoveryRecord, ...] = ()
 
 
 class Source(typing.Protocol):
@@ -108,7 +108,9 @@
     async def follow(self, after: int, wait_s: float) -> Changes | SourceFault:
         """Return what changed after a revision; wait ``wait_s`` seconds at most."""
 
-    async def introduce(self, introduction: Introduction) -> SourceFault | None:
+    async def write_discovery_record(
+        self, record: DiscoveryRecord
+    ) -> SourceFault | None:
         """Replace the record of the same zone if it is still of that ``revision``."""
 
     async def close(self) -> None:
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -78,7 +78,7 @@
         self.demand = demand_meter.DemandMeter()
         self.listed_once = False
         self.fence = documents.Fence()
-        self.introduction_by_zone: dict[ids.ZoneName, sources.Introduction] = {}
+        self.discovery_record_by_zone: dict[ids.ZoneName, sources.DiscoveryRecord] = {}
 
     @property
     def ready(self) -> bool:
@@ -126,7 +126,7 @@
     def apply_snapshot(self, snapshot: sources.Snapshot) -> None:
         """Put everything that the source holds in force."""
         self._report_bad(snapshot.bad)
-        self._store_discovery_records(snapshot.introductions)
+        self._store_discovery_records(snapshot.discovery_records)
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
         self.listing.replace(snapshot.upstream_by_id.values(), self.clock.now())
@@ -140,7 +140,7 @@
     def apply_changes(self, changes: sources.Changes) -> bool:
         """Put what has changed in the source in force; tell whether anything had."""
         self._report_bad(changes.bad)
-        self._store_discovery_records(changes.introductions)
+        self._store_discovery_records(changes.discovery_records)
         now = self.clock.now()
         if changes.configuration is not None:
             self.apply_configuration(changes.configuration)
@@ -192,10 +192,10 @@
         self.gossip.set_status(status, self.version)
 
     def _store_discovery_records(
-        self, records: abc.Iterable[sources.Introduction]
+        self, records: abc.Iterable[sources.DiscoveryRecord]
     ) -> None:
         for record in records:
-            self.introduction_by_zone[record.zone] = record
+            self.discovery_record_by_zone[record.zone] = record
 
     def _listing_changed(self) -> None:
         self.listed_once = True
