--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -31,7 +31,7 @@
             for record in self._ready_records()
         ]
 
-    def entries(self) -> dict[ids.HostId, ids.Address]:
+    def active_addresses(self) -> dict[ids.HostId, ids.Address]:
         """Return the addresses of the active gateways, for callers."""
         ready = {record.host: record.address for record in self._ready_records()}
         return {host: ready[host] for host in self.active_zones() if host in ready}
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -71,7 +71,7 @@
         return web_response.Response(status=200 if self.state.ready else 503)
 
     def _directory(self, request: web_request.BaseRequest) -> web_response.Response:
-        addresses = sorted(self.fleet.entries().values())
+        addresses = sorted(self.fleet.active_addresses().values())
         if not addresses:
             return web_response.Response(status=503, text="no gateway is ready\n")
         directory = dialects.Directory(tuple(addresses), self.state.config.hand_out_s)
@@ -100,7 +100,7 @@
         "phase": state.phase.value,
         "version": state.version,
         "reads_source": state.reads_source,
-        "entries": sorted(fleet.entries()),
+        "entries": sorted(fleet.active_addresses()),
         "peers": {
             host: {
                 "status": known.record.status.name,
