--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -19,6 +19,7 @@
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     dialect as dialects,
+    lifecycle,
     request_log,
     routing,
     state as states,
@@ -141,7 +142,7 @@
         try:
             response = await self._serve(request)
             self.state.demand.count(_bodies_length(request, response))
-            if self.state.phase is states.Phase.LEAVING and not response.prepared:
+            if self.state.phase is lifecycle.Phase.LEAVING and not response.prepared:
                 response.force_close()
             return response
         finally:
@@ -260,7 +261,7 @@
         )
         if answer.length is not None:
             response.content_length = answer.length
-        if self.state.phase is states.Phase.LEAVING:
+        if self.state.phase is lifecycle.Phase.LEAVING:
             response.force_close()
         try:
             await response.prepare(request)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -49,8 +49,6 @@
 #: later. Chosen, not measured.
 GOSSIP_TIMING = gossip.Timing(period_s=0.4, reply_s=0.25, suspect_s=1.0)
 
-Phase = lifecycle.Phase
-
 
 class GatewayState:
     """
