--- a/spindlenotch/gateway/lifecycle.py
+++ b/spindlenotch/gateway/lifecycle.py
@@ -44,7 +44,7 @@
 
 
 def phase_after(phase: Phase, *, configured: bool, upstreams_known: bool) -> Phase:
-    """Return the phase after news of the source: serving needs both documents."""
+    """Return the phase after a change: serving needs routes and upstreams."""
     if phase is Phase.STARTING and configured and upstreams_known:
         return Phase.SERVING
     return phase
--- a/spindlenotch/gateway/load_sharing.py
+++ b/spindlenotch/gateway/load_sharing.py
@@ -63,8 +63,8 @@
             return
         now = self.state.clock.now()
         for load in message.loads:
-            for service in self.state.balancer_by_service.values():
-                upstream = service.pool.upstream_by_id.get(load.upstream)
+            for service_balancer in self.state.balancer_by_service.values():
+                upstream = service_balancer.pool.upstream_by_id.get(load.upstream)
                 if upstream is None:
                     continue
                 report_at = ids.Instant(now - load.age_s)
@@ -72,7 +72,7 @@
                     report = upstreams.LoadReport(
                         load.running, load.queued, load.slowdown
                     )
-                    service.pool.reported(upstream, report, report_at)
+                    service_balancer.pool.reported(upstream, report, report_at)
 
     def _send(self, active_zones: dict[ids.HostId, ids.ZoneName]) -> None:
         targets = self._targets(active_zones)
@@ -106,8 +106,8 @@
         now = self.state.clock.now()
         return [
             _record(upstream, now)
-            for service in self.state.balancer_by_service.values()
-            for upstream in service.pool.usable_order
+            for service_balancer in self.state.balancer_by_service.values()
+            for upstream in service_balancer.pool.usable_order
             if self._is_sender(upstream, active_zones) and self._is_due(upstream, now)
         ]
 
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -80,9 +80,9 @@
         if self.state.config.probes_per_s <= 0 or not self.state.ready:
             return {}
         usable = [
-            Target(name, service.pool, upstream)
-            for name, service in self.state.balancer_by_service.items()
-            for upstream in service.pool.usable_order
+            Target(name, service_balancer.pool, upstream)
+            for name, service_balancer in self.state.balancer_by_service.items()
+            for upstream in service_balancer.pool.usable_order
         ]
         specs = [target.upstream.spec for target in usable]
         probers_by_zone = duties.probers(self.fleet.standby_by_zone(), specs)
