--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -47,7 +47,6 @@
 BACKLOG = 1024
 #: Statuses that promise that a request has not run.
 PROMISES = frozenset({408, 421, 429, 503})
-FAILED_STATUS = 500
 #: Final answers of our own that promise nothing.
 UNKNOWN_STATUS = 502
 LATE_STATUS = 504
@@ -236,7 +235,7 @@
             # The upstream did not say that it has not run, and would have.
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if whole.status >= FAILED_STATUS:
+        if whole.status >= outcomes.FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -11,6 +11,10 @@
 
 from spindlenotch import ids
 
+#: Answers with this HTTP status or a higher one are failures of the upstream
+#: that gave them (RFC 9110, section 15.6).
+FAILED_STATUS = 500
+
 
 class Outcome(enum.Enum):
     """What is known of a request when its answer is given."""
