--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -12,19 +12,19 @@
 from collections import abc
 
 import multidict
-from aiohttp import web_request, web_response, web_server
+from aiohttp import web_request, web_response
 
 from spindlenotch import headers, ids, ports
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
+    caller_listener,
     dialect as dialects,
     request_log,
     routing,
     state as states,
 )
 from spindlenotch.kernel import outcomes, upstreams, waiting
-from spindlenotch.peers import peer_link
 
 #: Bodies up to this size are read whole, so that they can be sent again.
 WHOLE_BODY = 1024 * 1024
@@ -42,9 +42,6 @@
 #: what others send there is known less well.
 CROSS_ZONE_S = 0.008
 CROSS_ZONE_S_PER_BYTE = 2.5e-6
-#: A resting connection is closed this long after the time that callers keep to.
-IDLE_MARGIN_S = 1.0
-BACKLOG = 1024
 #: Statuses that promise that a request has not run.
 PROMISES = frozenset({408, 421, 429, 503})
 #: Final answers of our own that promise nothing.
@@ -85,52 +82,28 @@
         self.in_flight = 0
         self.closing = False
         self._numbers = itertools.count()
-        self._server_by_idle_s: dict[float, web_server.Server] = {}
-        self._listener: asyncio.Server | None = None
+        self._listener = caller_listener.CallerListener(
+            self.handle, self._idle_timeout_s
+        )
 
     async def start(self) -> None:
-        """Listen for callers."""
-        host, port = peer_link.split(self.state.config.listen)
-        loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(
-            self._protocol, host, port, backlog=BACKLOG
-        )
+        """Listen for callers; raises ``OSError`` where the address can't be bound."""
+        await self._listener.start(self.state.config.listen)
 
     def stop_listening(self) -> None:
-        """Take no new connections; refuse what comes on those that are open."""
+        """Accept no new connections; refuse requests on those that are open."""
         self.closing = True
-        if self._listener is not None:
-            self._listener.close()
+        self._listener.stop_accepting()
 
     async def stop(self, limit_s: float) -> None:
-        """Close all connections when their requests are answered."""
+        """Close all connections when their requests are answered, or at the limit."""
         self.stop_listening()
-        servers = list(self._server_by_idle_s.values())
-        for server in servers:
-            for connection in server.connections:
-                # ``shutdown`` alone leaves those that rest open until its limit,
-                # and what is sent over them without an answer.
-                connection.close()
-        await asyncio.gather(*(server.shutdown(limit_s) for server in servers))
-
-    def _protocol(self) -> asyncio.BaseProtocol:
-        """Return the protocol of a new connection, by the limits in force."""
+        await self._listener.stop(limit_s)
+
+    def _idle_timeout_s(self) -> float:
         table = self.state.table
         limits = routing.Limits() if table is None else table.configuration.limits
-        idle_s = limits.idle_timeout_s
-        for other_s, other in list(self._server_by_idle_s.items()):
-            if other_s != idle_s and not other.connections:
-                del self._server_by_idle_s[other_s]
-        if idle_s not in self._server_by_idle_s:
-            self._server_by_idle_s[idle_s] = web_server.Server(
-                self.handle,
-                handler_cancellation=True,
-                keepalive_timeout=idle_s + IDLE_MARGIN_S,
-                max_line_size=64 * 1024,
-                max_field_size=64 * 1024,
-                access_log=None,
-            )
-        return self._server_by_idle_s[idle_s]()
+        return limits.idle_timeout_s
 
     async def handle(
         self, request: web_request.BaseRequest
