--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -20,14 +20,13 @@
 from spindlenotch.gateway import (
     caller_listener,
     dialect as dialects,
+    request_body,
     request_log,
     routing,
     state as states,
 )
 from spindlenotch.kernel import outcomes, upstreams, waiting
 
-#: Bodies up to this size are read whole, so that they can be sent again.
-WHOLE_BODY = 1024 * 1024
 #: Answers up to this size are read whole before their head is passed on, so
 #: that one that is cut short can be replaced.
 WHOLE_ANSWER = 128 * 1024
@@ -130,16 +129,17 @@
         route = table.find(request.headers.get("Host", ""), target)
         if route is None:
             return web_response.Response(status=404, text="no route\n")
-        body = await self._body(request, table.configuration.limits)
-        if isinstance(body, web_response.Response):
-            return body
+        limit_bytes = table.configuration.limits.body_bytes
+        body = await request_body.read(request, limit_bytes)
+        if isinstance(body, request_body.TooLong):
+            return web_response.Response(status=413, text="body too long\n")
         return await self._forward(request, route, body)
 
     async def _forward(
         self,
         request: web_request.BaseRequest,
         route: routing.Route,
-        body: "bytes | abc.AsyncIterable[bytes] | None",
+        body: request_body.Body,
     ) -> web_response.StreamResponse:
         job = self._job(request, route, body)
         try:
@@ -286,7 +286,7 @@
         self,
         request: web_request.BaseRequest,
         route: routing.Route,
-        body: "bytes | abc.AsyncIterable[bytes] | None",
+        body: request_body.Body,
     ) -> data_path.Job:
         now = self.state.clock.now()
         name = self.state.turns.next(route)
@@ -296,7 +296,6 @@
         wait_s = WAIT_UNKNOWN_S
         if route.target_s is not None:
             wait_s = WAIT_SHARE * route.target_s
-        size = len(body) if isinstance(body, bytes) else request.content_length or 0
         call = waiting.Call(
             ids.CallId(f"{next(self._numbers):x}"),
             route.rank,
@@ -306,7 +305,7 @@
             now,
             most_tries=route.most_tries,
             wait_until=ids.later(now, wait_s),
-            cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * size,
+            cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * body.known_bytes,
         )
         pairs = [(k, v) for k, v in request.headers.items()]
         kept = headers.end_to_end(pairs, self.dialect.replaced | {"content-length"})
@@ -319,32 +318,11 @@
             request.method,
             request.raw_path,
             kept,
-            body,
+            body.content,
             0,
-            not route.repeatable or body is not None,
+            not route.repeatable or body.content is not None,
         )
 
-    async def _body(
-        self, request: web_request.BaseRequest, limits: routing.Limits
-    ) -> "bytes | abc.AsyncIterable[bytes] | web_response.Response | None":
-        if not request.body_exists:
-            return None
-        length = request.content_length
-        if length is not None and length > limits.body_bytes:
-            return web_response.Response(status=413, text="body too long\n")
-        if request.headers.get("Expect", "").lower() == "100-continue":
-            await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if length is not None and length > WHOLE_BODY:
-            return _pieces(request, [])
-        pieces: list[bytes] = []
-        size = 0
-        async for piece in request.content.iter_any():
-            pieces.append(piece)
-            size += len(piece)
-            if size > WHOLE_BODY:
-                return _pieces(request, pieces)
-        return b"".join(pieces)
-
     def _patience_s(self, request: web_request.BaseRequest) -> float:
         text = request.headers.get(self.dialect.deadline_ms)
         try:
@@ -381,15 +359,6 @@
     return (request.content_length or 0) + (response.content_length or 0)
 
 
-async def _pieces(
-    request: web_request.BaseRequest, first: list[bytes]
-) -> abc.AsyncIterator[bytes]:
-    for piece in first:
-        yield piece
-    async for piece in request.content.iter_any():
-        yield piece
-
-
 def _refused(reason: outcomes.Reason, wait_s: float) -> web_response.Response:
     return web_response.Response(
         status=503,
--- /dev/null
+++ b/spindlenotch/gateway/request_body.py
@@ -0,0 +1,101 @@
+"""
+Reading the body of a caller's request, whole where it is short enough.
+
+A whole body can be sent again with a retry or a hedge; a streamed one is passed
+on piece by piece in bounded memory and can be sent once. Relies on aiohttp for
+the framing; holds no state.
+"""
+
+import dataclasses
+from collections import abc
+
+from aiohttp import web_request
+
+#: Bytes of the longest body that is read whole. Chosen, not measured.
+MAX_WHOLE_BODY_BYTES = 1024 * 1024
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class NoBody:
+    """The request has no body."""
+
+    content: None = None
+    known_bytes: int = 0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class WholeBody:
+    """A body that was read to its end."""
+
+    content: bytes
+
+    @property
+    def known_bytes(self) -> int:
+        """Return the length in bytes."""
+        return len(self.content)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class StreamedBody:
+    """
+    A body that is read while it is sent; ``content`` can be iterated once.
+
+    ``known_bytes`` is the declared length, zero where none was declared.
+    """
+
+    content: abc.AsyncIterable[bytes]
+    known_bytes: int
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class TooLong:
+    """A declared length beyond the operator's limit; nothing was read."""
+
+    declared_bytes: int
+    allowed_bytes: int
+
+
+Body = NoBody | WholeBody | StreamedBody
+
+_NO_BODY = NoBody()
+
+
+async def read(request: web_request.BaseRequest, limit_bytes: int) -> Body | TooLong:
+    """
+    Read the body of a request of at most ``limit_bytes``.
+
+    The limit holds for a declared length only. Raises aiohttp's payload errors
+    where the caller breaks off.
+    """
+    if not request.body_exists:
+        return _NO_BODY
+    declared = request.content_length
+    if declared is not None and declared > limit_bytes:
+        return TooLong(declared, limit_bytes)
+    if request.headers.get("Expect", "").lower() == "100-continue":
+        await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+    if declared is not None and declared > MAX_WHOLE_BODY_BYTES:
+        return StreamedBody(_pieces(request, []), declared)
+    return await _read_whole(request)
+
+
+async def _read_whole(request: web_request.BaseRequest) -> WholeBody | StreamedBody:
+    """Read to the end, or go over to streaming where the body is too long."""
+    pieces: list[bytes] = []
+    size = 0
+    async for piece in request.content.iter_any():
+        pieces.append(piece)
+        size += len(piece)
+        if size > MAX_WHOLE_BODY_BYTES:
+            return StreamedBody(_pieces(request, pieces), request.content_length or 0)
+    return WholeBody(b"".join(pieces))
+
+
+async def _pieces(
+    request: web_request.BaseRequest, start: list[bytes]
+) -> abc.AsyncIterator[bytes]:
+    """Yield what was read already, then the rest as it comes."""
+    for piece in start:
+        yield piece
+    async for piece in request.content.iter_any():
+        yield piece
