--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -8,7 +8,6 @@
 
 import asyncio
 import dataclasses
-import itertools
 from collections import abc
 
 import multidict
@@ -20,27 +19,18 @@
 from spindlenotch.gateway import (
     caller_listener,
     dialect as dialects,
+    jobs,
     request_body,
     request_log,
     routing,
     state as states,
 )
-from spindlenotch.kernel import outcomes, upstreams, waiting
+from spindlenotch.kernel import outcomes, upstreams
 
 #: Answers up to this size are read whole before their head is passed on, so
 #: that one that is cut short can be replaced.
 WHOLE_ANSWER = 128 * 1024
-#: The time a request waits here for room at an upstream, as a share of the
-#: time within which its answer is wanted.
-WAIT_SHARE = 0.2
-WAIT_UNKNOWN_S = 0.1
-#: Where a request does not say how long its caller waits.
-PATIENCE_UNKNOWN_S = 60.0
 LEAST_RETRY_AFTER_S = 0.05
-#: Seconds that another zone counts: the way there and back, by size, and that
-#: what others send there is known less well.
-CROSS_ZONE_S = 0.008
-CROSS_ZONE_S_PER_BYTE = 2.5e-6
 #: Statuses that promise that a request has not run.
 PROMISES = frozenset({408, 421, 429, 503})
 #: Final answers of our own that promise nothing.
@@ -80,7 +70,7 @@
         self.log = request_log.RequestLog(state)
         self.in_flight = 0
         self.closing = False
-        self._numbers = itertools.count()
+        self._jobs = jobs.JobFactory(state, dialect)
         self._listener = caller_listener.CallerListener(
             self.handle, self._idle_timeout_s
         )
@@ -141,7 +131,7 @@
         route: routing.Route,
         body: request_body.Body,
     ) -> web_response.StreamResponse:
-        job = self._job(request, route, body)
+        job = self._jobs.create(request, route, body)
         try:
             async with asyncio.timeout_at(self._loop_time(job.call.deadline)):
                 answer = await self._answer(request, job)
@@ -282,54 +272,6 @@
         self.log.failed(self._id(request), job, status, reason)
         return web_response.Response(status=status, text=f"{reason.value}\n")
 
-    def _job(
-        self,
-        request: web_request.BaseRequest,
-        route: routing.Route,
-        body: request_body.Body,
-    ) -> data_path.Job:
-        now = self.state.clock.now()
-        name = self.state.turns.next(route)
-        deadline = ids.later(now, self._patience_s(request))
-        if route.timeout_s is not None:
-            deadline = min(deadline, ids.later(now, route.timeout_s))
-        wait_s = WAIT_UNKNOWN_S
-        if route.target_s is not None:
-            wait_s = WAIT_SHARE * route.target_s
-        call = waiting.Call(
-            ids.CallId(f"{next(self._numbers):x}"),
-            route.rank,
-            route.repeatable,
-            deadline,
-            route.name,
-            now,
-            most_tries=route.most_tries,
-            wait_until=ids.later(now, wait_s),
-            cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * body.known_bytes,
-        )
-        pairs = [(k, v) for k, v in request.headers.items()]
-        kept = headers.end_to_end(pairs, self.dialect.replaced | {"content-length"})
-        request_id = request.headers.get(self.dialect.request_id)
-        if request_id is not None:
-            kept.append((self.dialect.request_id, request_id))
-        return data_path.Job(
-            self.state.balancer_by_service[name],
-            call,
-            request.method,
-            request.raw_path,
-            kept,
-            body.content,
-            0,
-            not route.repeatable or body.content is not None,
-        )
-
-    def _patience_s(self, request: web_request.BaseRequest) -> float:
-        text = request.headers.get(self.dialect.deadline_ms)
-        try:
-            return max(0.0, float(text) / 1000) if text else PATIENCE_UNKNOWN_S
-        except ValueError:
-            return PATIENCE_UNKNOWN_S
-
     def _loop_time(self, instant: ids.Instant) -> float:
         loop = asyncio.get_running_loop()
         return loop.time() + (instant - self.state.clock.now())
