--- /dev/null
+++ b/spindlenotch/gateway/answer_stream.py
@@ -0,0 +1,70 @@
+"""
+Passes a long answer on to the caller piece by piece, in bounded memory.
+
+Once the head has gone out, the answer can't be replaced: where the upstream
+breaks off, the caller's connection is broken too, so that the caller does not
+take what it has for the whole. Holds no state.
+"""
+
+import multidict
+from aiohttp import web_request, web_response
+
+from spindlenotch import ports
+from spindlenotch.forwarding import data_path
+from spindlenotch.gateway import answers
+from spindlenotch.kernel import upstreams
+
+
+class BrokenAnswerError(Exception):
+    """Raised when an answer breaks off after its head was passed on."""
+
+
+async def pass_on(
+    request: web_request.BaseRequest,
+    exchange: data_path.Exchange,
+    start: bytes,
+    *,
+    close_connection: bool,
+) -> web_response.StreamResponse:
+    """
+    Send the head, ``start`` and the rest of an answer; end its exchange.
+
+    Raises ``BrokenAnswerError`` where the upstream breaks off or the caller's
+    connection times out, and aiohttp's connection errors where it is closed.
+    """
+    response = _head(exchange)
+    if close_connection:
+        response.force_close()
+    try:
+        await response.prepare(request)
+        await response.write(start)
+        await _copy_rest(exchange, response)
+        await response.write_eof()
+    except TimeoutError:
+        raise BrokenAnswerError from None
+    finally:
+        # Changes nothing where the exchange has come to its end.
+        exchange.end(upstreams.Result.CANCELLED)
+    return response
+
+
+def _head(exchange: data_path.Exchange) -> web_response.StreamResponse:
+    response = web_response.StreamResponse(
+        status=exchange.answer.status,
+        headers=multidict.CIMultiDict(answers.passed_headers(exchange)),
+    )
+    if exchange.answer.length is not None:
+        response.content_length = exchange.answer.length
+    return response
+
+
+async def _copy_rest(
+    exchange: data_path.Exchange, response: web_response.StreamResponse
+) -> None:
+    while True:
+        piece = await exchange.chunk()
+        if isinstance(piece, ports.UpstreamFault):
+            raise BrokenAnswerError
+        if not piece:
+            return
+        await response.write(piece)
--- /dev/null
+++ b/spindlenotch/gateway/answers.py
@@ -0,0 +1,82 @@
+"""
+What counts as an upstream's whole answer, and what may not be passed on.
+
+An answer is read whole before its head goes to the caller, where it is short
+enough: one that breaks off can still be replaced by another upstream's. Holds
+no state; relies on ``forwarding.data_path`` for the exchange and on the driver
+for telling a body's true end from a lost connection.
+"""
+
+import asyncio
+import dataclasses
+
+from spindlenotch import headers, ports
+from spindlenotch.forwarding import data_path
+from spindlenotch.kernel import upstreams
+
+#: Bytes of the longest answer that is read whole; bounds the memory that one
+#: request takes. Chosen, not measured.
+MAX_WHOLE_ANSWER_BYTES = 128 * 1024
+#: Statuses by which a caller knows that its request has not run and may be sent
+#: again. Defined by the protocol with callers.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class WholeAnswer:
+    """An answer whose body has come to its true end."""
+
+    status: int
+    headers: list[tuple[str, str]]
+    body: bytes
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class LongAnswer:
+    """An answer too long to be read whole; its exchange holds the rest."""
+
+    start: bytes
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class CutAnswer:
+    """An answer that broke off; nothing of it has gone to the caller."""
+
+
+async def read(exchange: data_path.Exchange) -> WholeAnswer | LongAnswer | CutAnswer:
+    """Read an answer to its end, or to the length from which it is streamed."""
+    pieces: list[bytes] = []
+    size = 0
+    try:
+        while size <= MAX_WHOLE_ANSWER_BYTES:
+            piece = await exchange.chunk()
+            if isinstance(piece, ports.UpstreamFault):
+                return CutAnswer()
+            if not piece:
+                return _whole(exchange, b"".join(pieces))
+            pieces.append(piece)
+            size += len(piece)
+    except asyncio.CancelledError:
+        exchange.end(upstreams.Result.CANCELLED)
+        raise
+    return LongAnswer(b"".join(pieces))
+
+
+def passed_headers(exchange: data_path.Exchange) -> list[tuple[str, str]]:
+    """Return the answer's headers that go on to the caller, without its length."""
+    return headers.end_to_end(exchange.answer.headers, {"content-length"})
+
+
+def falsely_says_not_run(answer: WholeAnswer) -> bool:
+    """
+    Tell whether a caller would wrongly conclude that its request has not run.
+
+    The data path has already taken out the answers by which an upstream says so
+    in its dialect. One that is left with such a status may come from a request
+    that ran, so its outcome is unknown.
+    """
+    return answer.status in NOT_RUN_STATUSES
+
+
+def _whole(exchange: data_path.Exchange, body: bytes) -> WholeAnswer:
+    return WholeAnswer(exchange.answer.status, passed_headers(exchange), body)
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -7,16 +7,17 @@
 """
 
 import asyncio
-import dataclasses
 from collections import abc
 
 import multidict
 from aiohttp import web_request, web_response
 
-from spindlenotch import headers, ids, ports
+from spindlenotch import ids
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
+    answer_stream,
+    answers,
     caller_listener,
     dialect as dialects,
     jobs,
@@ -25,32 +26,14 @@
     routing,
     state as states,
 )
-from spindlenotch.kernel import outcomes, upstreams
+from spindlenotch.kernel import outcomes
 
-#: Answers up to this size are read whole before their head is passed on, so
-#: that one that is cut short can be replaced.
-WHOLE_ANSWER = 128 * 1024
 LEAST_RETRY_AFTER_S = 0.05
-#: Statuses that promise that a request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
 #: Final answers of our own that promise nothing.
 UNKNOWN_STATUS = 502
 LATE_STATUS = 504
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An upstream's answer whose body has come to its true end."""
-
-    status: int
-    headers: list[tuple[str, str]]
-    body: bytes
-
-
-class BrokenAnswerError(Exception):
-    """Raised when an answer breaks off after its head was passed on."""
-
-
 class Ingress:
     """
     Serves callers.
@@ -139,7 +122,8 @@
             return self._failed(
                 request, job, LATE_STATUS, outcomes.Reason.DEADLINE_PASSED
             )
-        except BrokenAnswerError:
+        except answer_stream.BrokenAnswerError:
+            # Without an answer in return, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
@@ -152,95 +136,52 @@
     async def _answer(
         self, request: web_request.BaseRequest, job: data_path.Job
     ) -> web_response.StreamResponse | outcomes.Refusal:
-        found = await self.path.begin(job)
-        while not isinstance(found, outcomes.Refusal):
-            exchange = found
-            whole = await self._whole(exchange)
-            if isinstance(whole, WholeAnswer):
-                return self._pass_on(request, job, exchange, whole)
-            if whole is not None:
-                return await self._stream(request, exchange, whole)
+        """Try upstreams until one answer is whole or the job is refused."""
+        exchange = await self.path.begin(job)
+        while not isinstance(exchange, outcomes.Refusal):
+            answer = await answers.read(exchange)
+            if isinstance(answer, answers.WholeAnswer):
+                return self._pass_on(request, job, exchange, answer)
+            if isinstance(answer, answers.LongAnswer):
+                return await self._stream(request, exchange, answer)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-            found = await self.path.again(job, exchange.grant)
-        return found
-
-    async def _whole(
-        self, exchange: data_path.Exchange
-    ) -> "WholeAnswer | bytes | None":
-        """Return the answer, its first part if it is long, None if cut short."""
-        pieces: list[bytes] = []
-        size = 0
-        try:
-            while size <= WHOLE_ANSWER:
-                piece = await exchange.chunk()
-                if isinstance(piece, ports.UpstreamFault):
-                    return None
-                if not piece:
-                    answer = exchange.answer
-                    kept = headers.end_to_end(answer.headers, {"content-length"})
-                    return WholeAnswer(answer.status, kept, b"".join(pieces))
-                pieces.append(piece)
-                size += len(piece)
-        except asyncio.CancelledError:
-            exchange.end(upstreams.Result.CANCELLED)
-            raise
-        return b"".join(pieces)
+            exchange = await self.path.again(job, exchange.grant)
+        return exchange
 
     def _pass_on(
         self,
         request: web_request.BaseRequest,
         job: data_path.Job,
         exchange: data_path.Exchange,
-        whole: WholeAnswer,
+        answer: answers.WholeAnswer,
     ) -> web_response.Response | outcomes.Refusal:
-        if whole.status in PROMISES:
-            # The upstream did not say that it has not run, and would have.
+        if answers.falsely_says_not_run(answer):
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if whole.status >= outcomes.FAILED_STATUS:
+        if answer.status >= outcomes.FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
-            status=whole.status,
-            headers=multidict.CIMultiDict(whole.headers),
-            body=whole.body,
+            status=answer.status,
+            headers=multidict.CIMultiDict(answer.headers),
+            body=answer.body,
         )
 
     async def _stream(
         self,
         request: web_request.BaseRequest,
         exchange: data_path.Exchange,
-        first: bytes,
+        answer: answers.LongAnswer,
     ) -> web_response.StreamResponse:
-        answer = exchange.answer
-        response = web_response.StreamResponse(
-            status=answer.status,
-            headers=multidict.CIMultiDict(
-                headers.end_to_end(answer.headers, {"content-length"})
-            ),
+        response = await answer_stream.pass_on(
+            request,
+            exchange,
+            answer.start,
+            close_connection=self.state.phase is states.Phase.LEAVING,
         )
-        if answer.length is not None:
-            response.content_length = answer.length
-        if self.state.phase is states.Phase.LEAVING:
-            response.force_close()
-        try:
-            await response.prepare(request)
-            await response.write(first)
-            while True:
-                piece = await exchange.chunk()
-                if isinstance(piece, ports.UpstreamFault):
-                    raise BrokenAnswerError
-                if not piece:
-                    break
-                await response.write(piece)
-            await response.write_eof()
-            self.log.count(exchange.job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-            self.log.served(self._id(request), exchange.job, exchange)
-        except TimeoutError:
-            raise BrokenAnswerError from None
-        finally:
-            exchange.end(upstreams.Result.CANCELLED)
+        self.log.count(exchange.job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
+        self.log.served(self._id(request), exchange.job, exchange)
         return response
 
     def _id(self, request: web_request.BaseRequest) -> str:
