--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -21,6 +21,7 @@
     caller_listener,
     dialect as dialects,
     jobs,
+    refusals,
     request_body,
     request_log,
     routing,
@@ -28,11 +29,6 @@
 )
 from spindlenotch.kernel import outcomes
 
-LEAST_RETRY_AFTER_S = 0.05
-#: Final answers of our own that promise nothing.
-UNKNOWN_STATUS = 502
-LATE_STATUS = 504
-
 
 class Ingress:
     """
@@ -96,16 +92,15 @@
     ) -> web_response.StreamResponse:
         table = self.state.table
         if self.closing or table is None or not self.state.listed_once:
-            # Too late in a planned stop, or too early in this life: not run.
-            return _refused(outcomes.Reason.NOT_READY, LEAST_RETRY_AFTER_S)
+            return refusals.not_ready()
         target = request.raw_path
         route = table.find(request.headers.get("Host", ""), target)
         if route is None:
-            return web_response.Response(status=404, text="no route\n")
+            return refusals.no_route()
         limit_bytes = table.configuration.limits.body_bytes
         body = await request_body.read(request, limit_bytes)
         if isinstance(body, request_body.TooLong):
-            return web_response.Response(status=413, text="body too long\n")
+            return refusals.body_too_long()
         return await self._forward(request, route, body)
 
     async def _forward(
@@ -119,9 +114,7 @@
             async with asyncio.timeout_at(self._loop_time(job.call.deadline)):
                 answer = await self._answer(request, job)
         except TimeoutError:
-            return self._failed(
-                request, job, LATE_STATUS, outcomes.Reason.DEADLINE_PASSED
-            )
+            return self._failed(request, job, outcomes.Reason.DEADLINE_PASSED)
         except answer_stream.BrokenAnswerError:
             # Without an answer in return, aiohttp sends nothing more.
             if request.transport is not None:
@@ -194,24 +187,20 @@
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
-            late = refusal.reason is outcomes.Reason.DEADLINE_PASSED
-            status = LATE_STATUS if late else UNKNOWN_STATUS
-            return self._failed(request, job, status, refusal.reason)
-        wait_s = LEAST_RETRY_AFTER_S
-        if refusal.retry_at is not None:
-            wait_s = max(wait_s, refusal.retry_at - self.state.clock.now())
+            return self._failed(request, job, refusal.reason)
+        wait_s = refusals.retry_after_s(refusal, self.state.clock.now())
         self.log.refused(self._id(request), job, refusal, wait_s)
-        return _refused(refusal.reason, wait_s)
+        return refusals.not_run(refusal.reason, wait_s)
 
     def _failed(
         self,
         request: web_request.BaseRequest,
         job: data_path.Job,
-        status: int,
         reason: outcomes.Reason,
     ) -> web_response.Response:
+        status = refusals.failure_status(reason)
         self.log.failed(self._id(request), job, status, reason)
-        return web_response.Response(status=status, text=f"{reason.value}\n")
+        return refusals.failed(reason)
 
     def _loop_time(self, instant: ids.Instant) -> float:
         loop = asyncio.get_running_loop()
@@ -240,11 +229,3 @@
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
     return (request.content_length or 0) + (response.content_length or 0)
-
-
-def _refused(reason: outcomes.Reason, wait_s: float) -> web_response.Response:
-    return web_response.Response(
-        status=503,
-        headers={"Retry-After": f"{wait_s:.3f}"},
-        text=f"{reason.value}\n",
-    )
