--- a/spindlenotch/gateway/request_log.py
+++ b/spindlenotch/gateway/request_log.py
@@ -1,33 +1,39 @@
 """
-What a gateway tells of each request's end: log lines and counters.
+How each request of a gateway ended, as log lines and counters.
 
-Failures and refusals are told one by one (within the limits of ``log_sink``),
-successes as a sample by request id, so that all processes tell of the same ones.
+Refusals and failures are logged one by one (within the limits of ``log_sink``),
+answers as a sample by request id, so that all processes log the same requests.
+Relies on the metrics of the gateway's state; holds nothing itself.
 """
 
 import zlib
 
 from spindlenotch import events
 from spindlenotch.forwarding import data_path
-from spindlenotch.gateway import state as states
+from spindlenotch.gateway import state
 from spindlenotch.kernel import outcomes
 
-#: One in so many answered requests is logged, chosen by its id.
+#: One in this many answered requests is logged. Chosen, not measured.
 SERVED_SAMPLE = 64
+#: The reason logged for a failure that the upstream itself answered with.
 UPSTREAM_FAILED = "the upstream's own answer"
 
 
 class RequestLog:
-    """Tells how requests ended."""
+    """
+    Logs and counts how requests ended.
 
-    def __init__(self, state: states.GatewayState) -> None:
-        self.state = state
+    ``request_id`` is the caller's own name of a request, empty where it sent none.
+    """
+
+    def __init__(self, gateway_state: state.GatewayState) -> None:
+        self.state = gateway_state
 
     def served(
         self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
     ) -> None:
-        """Tell of an answer that was passed on, if its id is in the sample."""
-        if zlib.crc32(request_id.encode()) % SERVED_SAMPLE:
+        """Log an answer that was passed on, if its request is in the sample."""
+        if not is_sampled(request_id):
             return
         grant = exchange.grant
         events.emit(
@@ -47,7 +53,7 @@
     def failed_upstream(
         self, request_id: str, job: data_path.Job, exchange: data_path.Exchange
     ) -> None:
-        """Tell of an upstream's own failure that was passed on."""
+        """Log an upstream's own failure that was passed on."""
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
@@ -64,7 +70,7 @@
         refusal: outcomes.Refusal,
         wait_s: float,
     ) -> None:
-        """Tell of a request that has not run and may come back in ``wait_s``."""
+        """Count and log a request that has not run; retry after ``wait_s`` seconds."""
         self.count(job, refusal.outcome, refusal.reason)
         events.emit(
             events.Event.REQUEST_REFUSED,
@@ -84,7 +90,7 @@
         status: int,
         reason: outcomes.Reason,
     ) -> None:
-        """Tell of a final answer of our own that promises nothing."""
+        """Count and log a request whose outcome is unknown."""
         self.count(job, outcomes.Outcome.UNKNOWN, reason)
         events.emit(
             events.Event.REQUEST_FAILED,
@@ -99,10 +105,15 @@
     def count(
         self, job: data_path.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
     ) -> None:
-        """Count the end of a request."""
+        """Count the end of a request and observe how many seconds it took."""
         service = job.service.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._took_s(job))
 
     def _took_s(self, job: data_path.Job) -> float:
         return self.state.clock.now() - job.call.arrived_at
+
+
+def is_sampled(request_id: str) -> bool:
+    """Tell whether the answer to a request is logged; the same in every process."""
+    return zlib.crc32(request_id.encode()) % SERVED_SAMPLE == 0
