--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -1,9 +1,11 @@
 """
-The port that callers connect to: plain requests in, upstreams' answers out.
+The way of one request through the gateway, from its head to its final answer.
 
-Every request gets one final answer as soon as it is known: the upstream's,
-whole; a refusal that says when to come back, where it has not run; or a
-failure that promises nothing.
+Each request gets one final answer as soon as it is known: the upstream's own; a
+refusal (503 with ``Retry-After``), where the request has not run; or a failure
+(502, 504) that promises nothing. Owns the count of requests in flight. Relies
+on ``caller_listener`` for connections, on ``jobs``, ``answers`` and ``refusals``
+for the rules, and on the data path for upstreams.
 """
 
 import asyncio
@@ -19,37 +21,38 @@
     answer_stream,
     answers,
     caller_listener,
-    dialect as dialects,
+    dialect,
     jobs,
     refusals,
     request_body,
     request_log,
     routing,
-    state as states,
+    state,
 )
 from spindlenotch.kernel import outcomes
 
 
 class Ingress:
     """
-    Serves callers.
+    Serves callers' requests.
 
-    Invariant: ``in_flight`` counts the requests whose answer has not ended.
+    ``closing`` is set late in a planned stop; requests that come then are
+    refused. Invariant: ``in_flight`` counts the requests whose answer has not ended.
     """
 
     def __init__(
         self,
-        state: states.GatewayState,
+        gateway_state: state.GatewayState,
         path: data_path.DataPath,
-        dialect: dialects.Dialect,
+        gateway_dialect: dialect.Dialect,
     ) -> None:
-        self.state = state
+        self.state = gateway_state
         self.path = path
-        self.dialect = dialect
-        self.log = request_log.RequestLog(state)
+        self.dialect = gateway_dialect
+        self.log = request_log.RequestLog(gateway_state)
         self.in_flight = 0
         self.closing = False
-        self._jobs = jobs.JobFactory(state, dialect)
+        self._jobs = jobs.JobFactory(gateway_state, gateway_dialect)
         self._listener = caller_listener.CallerListener(
             self.handle, self._idle_timeout_s
         )
@@ -68,6 +71,11 @@
         self.stop_listening()
         await self._listener.stop(limit_s)
 
+    @property
+    def _leaving(self) -> bool:
+        """Tell whether connections are closed with their next answer."""
+        return self.state.phase is state.Phase.LEAVING
+
     def _idle_timeout_s(self) -> float:
         table = self.state.table
         limits = routing.Limits() if table is None else table.configuration.limits
@@ -76,12 +84,17 @@
     async def handle(
         self, request: web_request.BaseRequest
     ) -> web_response.StreamResponse:
-        """Serve one request."""
+        """
+        Serve one request.
+
+        Raises ``asyncio.CancelledError`` where the caller has gone, or where its
+        connection was broken because a streamed answer broke off.
+        """
         self.in_flight += 1
         try:
             response = await self._serve(request)
             self.state.demand.count(_bodies_length(request, response))
-            if self.state.phase is states.Phase.LEAVING and not response.prepared:
+            if self._leaving and not response.prepared:
                 response.force_close()
             return response
         finally:
@@ -93,8 +106,7 @@
         table = self.state.table
         if self.closing or table is None or not self.state.listed_once:
             return refusals.not_ready()
-        target = request.raw_path
-        route = table.find(request.headers.get("Host", ""), target)
+        route = table.find(request.headers.get("Host", ""), request.raw_path)
         if route is None:
             return refusals.no_route()
         limit_bytes = table.configuration.limits.body_bytes
@@ -129,7 +141,12 @@
     async def _answer(
         self, request: web_request.BaseRequest, job: data_path.Job
     ) -> web_response.StreamResponse | outcomes.Refusal:
-        """Try upstreams until one answer is whole or the job is refused."""
+        """
+        Try upstreams until one answer is passed on or the job is refused.
+
+        An answer that breaks off before its head went out is replaced by another
+        upstream's, where the request may run again.
+        """
         exchange = await self.path.begin(job)
         while not isinstance(exchange, outcomes.Refusal):
             answer = await answers.read(exchange)
@@ -171,7 +188,7 @@
             request,
             exchange,
             answer.start,
-            close_connection=self.state.phase is states.Phase.LEAVING,
+            close_connection=self._leaving,
         )
         self.log.count(exchange.job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
         self.log.served(self._id(request), exchange.job, exchange)
@@ -203,23 +220,24 @@
         return refusals.failed(reason)
 
     def _loop_time(self, instant: ids.Instant) -> float:
+        """Turn an instant of the gateway's clock into one of the event loop's."""
         loop = asyncio.get_running_loop()
         return loop.time() + (instant - self.state.clock.now())
 
 
 def labels(
-    dialect: dialects.Dialect,
+    gateway_dialect: dialect.Dialect,
 ) -> abc.Callable[[data_path.Job, balancer.Grant, float], data_path.Labels]:
-    """Return what names each try in that dialect."""
+    """Return the function that sets the headers of each try in that dialect."""
 
     def label(
         job: data_path.Job, grant: balancer.Grant, left_s: float
     ) -> data_path.Labels:
         found = dict(job.headers)
-        request_id = found.get(dialect.request_id, "")
-        extra = [(dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
-        if dialect.expect_upstream is not None:
-            extra.append((dialect.expect_upstream, grant.upstream.spec.id))
+        request_id = found.get(gateway_dialect.request_id, "")
+        extra = [(gateway_dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
+        if gateway_dialect.expect_upstream is not None:
+            extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
         return data_path.Labels(request_id, extra)
 
     return label
@@ -228,4 +246,5 @@
 def _bodies_length(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
+    """Return the declared bytes of both bodies; those without a length count 0."""
     return (request.content_length or 0) + (response.content_length or 0)
