--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -406,9 +406,9 @@
         found = side_ports.SidePorts(
             state, passing.fleet, dialect.DIALECTS.get("native")()
         )
-        body = found._state(typing.cast(typing.Any, None)).body
+        body = found._state().body
         assert isinstance(body, bytes)
-        paths = sorted(found._answer_by_path)
+        paths = sorted(found._responder_by_path)
         return {"paths": paths, "/state": shape(json.loads(body))}
 
     return recorded_samples.run(ask())
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -1,46 +1,51 @@
 """
-The small ports beside that for callers: readiness, directory, operator.
+The gateway's ports beside the callers': readiness, directory, metrics, state.
+
+Owns their listening sockets; the paths differ, so all addresses share a server.
+Relies on the gateway's state and the fleet, which it only reads, and on
+``state_dump`` for the form of ``/state``.
 """
 
 import asyncio
-import typing
+from collections import abc
 
 import msgspec
 from aiohttp import web_request, web_response, web_server
 
-from spindlenotch.gateway import (
-    dialect as dialects,
-    fleet as fleets,
-    state as states,
-)
+from spindlenotch.gateway import dialect, fleet, state, state_dump
 from spindlenotch.peers import peer_link
 
-Answer = typing.Callable[[web_request.BaseRequest], web_response.Response]
+Responder = abc.Callable[[], web_response.Response]
+
+METRICS_PATH = "/metrics"
+STATE_PATH = "/state"
+#: Seconds that open requests have when the ports close. Chosen, not measured.
+STOP_LIMIT_S = 0.1
 
 
 class SidePorts:
-    """Answers who asks for readiness, addresses, metrics or the state."""
+    """Answers readiness checks, callers' directory requests and operators."""
 
     def __init__(
         self,
-        state: states.GatewayState,
-        fleet: fleets.Fleet,
-        dialect: dialects.Dialect,
+        gateway_state: state.GatewayState,
+        gateway_fleet: fleet.Fleet,
+        gateway_dialect: dialect.Dialect,
     ) -> None:
-        self.state = state
-        self.fleet = fleet
-        self.dialect = dialect
+        self.state = gateway_state
+        self.fleet = gateway_fleet
+        self.dialect = gateway_dialect
         self._server = web_server.Server(self._handle, access_log=None)
         self._listeners: list[asyncio.Server] = []
-        self._answer_by_path: dict[str, Answer] = {
-            dialect.ready_path: self._ready,
-            dialect.directory_path: self._directory,
-            "/metrics": self._metrics,
-            "/state": self._state,
+        self._responder_by_path: dict[str, Responder] = {
+            gateway_dialect.ready_path: self._ready,
+            gateway_dialect.directory_path: self._directory,
+            METRICS_PATH: self._metrics,
+            STATE_PATH: self._state,
         }
 
     async def start(self) -> None:
-        """Listen on all side addresses; the paths differ, so they share a server."""
+        """Listen on all side addresses; raises ``OSError`` where one is taken."""
         config = self.state.config
         loop = asyncio.get_running_loop()
         addresses = {
@@ -54,78 +59,42 @@
             self._listeners.append(listener)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all ports and connections."""
         for listener in self._listeners:
             listener.close()
-        await self._server.shutdown(0.1)
+        await self._server.shutdown(STOP_LIMIT_S)
 
     async def _handle(
         self, request: web_request.BaseRequest
     ) -> web_response.StreamResponse:
-        answer = self._answer_by_path.get(request.path)
-        if answer is None:
+        responder = self._responder_by_path.get(request.path)
+        if responder is None:
             return web_response.Response(status=404, text="no such page\n")
-        return answer(request)
+        return responder()
 
-    def _ready(self, request: web_request.BaseRequest) -> web_response.Response:
+    def _ready(self) -> web_response.Response:
         return web_response.Response(status=200 if self.state.ready else 503)
 
-    def _directory(self, request: web_request.BaseRequest) -> web_response.Response:
+    def _directory(self) -> web_response.Response:
+        """Name the gateways that callers should use, for ``hand_out_s`` seconds."""
         addresses = sorted(self.fleet.entries().values())
         if not addresses:
             return web_response.Response(status=503, text="no gateway is ready\n")
-        directory = dialects.Directory(tuple(addresses), self.state.config.hand_out_s)
+        directory = dialect.Directory(
+            addresses=tuple(addresses), valid_for_s=self.state.config.hand_out_s
+        )
         return web_response.Response(
             body=self.dialect.render_directory(directory),
             content_type="application/json",
         )
 
-    def _metrics(self, request: web_request.BaseRequest) -> web_response.Response:
+    def _metrics(self) -> web_response.Response:
         return web_response.Response(
             body=self.state.metrics.render(), content_type="text/plain"
         )
 
-    def _state(self, request: web_request.BaseRequest) -> web_response.Response:
+    def _state(self) -> web_response.Response:
+        page = state_dump.create(self.state, self.fleet)
         return web_response.Response(
-            body=msgspec.json.encode(dump(self.state, self.fleet)),
-            content_type="application/json",
+            body=msgspec.json.encode(page), content_type="application/json"
         )
-
-
-def dump(state: states.GatewayState, fleet: fleets.Fleet) -> dict[str, typing.Any]:
-    """Return what this gateway believes, and how old each belief is."""
-    now = state.clock.now()
-    return {
-        "host": state.config.host,
-        "phase": state.phase.value,
-        "version": state.version,
-        "reads_source": state.reads_source,
-        "entries": sorted(fleet.entries()),
-        "peers": {
-            host: {
-                "status": known.record.status.name,
-                "heard_s_ago": round(now - known.last_heard_at, 3),
-                "missed": known.missed,
-            }
-            for host, known in state.gossip.known_by_host.items()
-        },
-        "services": {
-            name: {
-                "waiting": len(service.queue),
-                "extra_left": service.retries.balance,
-                "upstreams": [
-                    {
-                        "id": upstream.spec.id,
-                        "state": upstream.state.value,
-                        "reason": upstream.state_reason,
-                        "outstanding": upstream.outstanding,
-                        "pace": round(upstream.slowdown(now), 2),
-                        "slowness": round(upstream.latency_ratio.value, 2),
-                        "told_s_ago": round(now - upstream.report_at, 3),
-                    }
-                    for upstream in service.pool.upstream_by_id.values()
-                ],
-            }
-            for name, service in state.balancer_by_service.items()
-        },
-    }
--- /dev/null
+++ b/spindlenotch/gateway/state_dump.py
@@ -0,0 +1,125 @@
+"""
+The operators' ``/state`` page: what a gateway holds, and how old it is.
+
+The types here are the page's form. Operators' tools read its keys, so they stay
+as they are; where a key is not today's name, the field has that name and
+``msgspec`` writes the key. All ages are seconds. Relies on the gateway's state
+and the fleet; changes nothing.
+"""
+
+import msgspec
+
+from spindlenotch import ids
+from spindlenotch.decisions import balancer
+from spindlenotch.gateway import fleet, state
+from spindlenotch.kernel import upstreams
+from spindlenotch.peers import gossip
+
+#: Decimal places of ages and of ratios.
+AGE_DIGITS = 3
+RATIO_DIGITS = 2
+
+
+class PeerDump(msgspec.Struct, rename={"last_heartbeat_s_ago": "heard_s_ago"}):
+    """Another gateway; ``missed`` counts the heartbeats it has not answered."""
+
+    status: str
+    last_heartbeat_s_ago: float
+    missed: int
+
+
+class UpstreamDump(
+    msgspec.Struct,
+    rename={
+        "slowdown": "pace",
+        "latency_ratio": "slowness",
+        "report_s_ago": "told_s_ago",
+    },
+):
+    """
+    An upstream as the balancer sees it.
+
+    ``slowdown`` is how many times as long as usual work takes there now, by its
+    load reports; ``latency_ratio`` the same by the answers that this gateway had.
+    """
+
+    id: ids.UpstreamId
+    state: str
+    reason: str
+    outstanding: int
+    slowdown: float
+    latency_ratio: float
+    report_s_ago: float
+
+
+class ServiceDump(msgspec.Struct, rename={"retry_budget": "extra_left"}):
+    """A service; ``retry_budget`` counts the retries and hedges left."""
+
+    waiting: int
+    retry_budget: float
+    upstreams: list[UpstreamDump]
+
+
+class GatewayDump(msgspec.Struct):
+    """A gateway; ``version`` is that of the configuration in force."""
+
+    host: ids.HostId
+    phase: str
+    version: int
+    reads_source: bool
+    entries: list[ids.HostId]
+    peers: dict[ids.HostId, PeerDump]
+    services: dict[ids.ServiceName, ServiceDump]
+
+
+def create(
+    gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
+) -> GatewayDump:
+    """Return what this gateway holds now."""
+    now = gateway_state.clock.now()
+    return GatewayDump(
+        host=gateway_state.config.host,
+        phase=gateway_state.phase.value,
+        version=gateway_state.version,
+        reads_source=gateway_state.reads_source,
+        entries=sorted(gateway_fleet.entries()),
+        peers={
+            host: _peer(known, now)
+            for host, known in gateway_state.gossip.known_by_host.items()
+        },
+        services={
+            name: _service(service, now)
+            for name, service in gateway_state.balancer_by_service.items()
+        },
+    )
+
+
+def _peer(known: gossip.Peer, now: ids.Instant) -> PeerDump:
+    return PeerDump(
+        status=known.record.status.name,
+        last_heartbeat_s_ago=round(now - known.last_heard_at, AGE_DIGITS),
+        missed=known.missed,
+    )
+
+
+def _service(service: balancer.Balancer, now: ids.Instant) -> ServiceDump:
+    return ServiceDump(
+        waiting=len(service.queue),
+        retry_budget=service.retries.balance,
+        upstreams=[
+            _upstream(upstream, now)
+            for upstream in service.pool.upstream_by_id.values()
+        ],
+    )
+
+
+def _upstream(upstream: upstreams.Upstream, now: ids.Instant) -> UpstreamDump:
+    return UpstreamDump(
+        id=upstream.spec.id,
+        state=upstream.state.value,
+        reason=upstream.state_reason,
+        outstanding=upstream.outstanding,
+        slowdown=round(upstream.slowdown(now), RATIO_DIGITS),
+        latency_ratio=round(upstream.latency_ratio.value, RATIO_DIGITS),
+        report_s_ago=round(now - upstream.report_at, AGE_DIGITS),
+    )
