--- a/spindlenotch/gateway/log_sink.py
+++ b/spindlenotch/gateway/log_sink.py
@@ -1,9 +1,9 @@
 """
-Writes log lines to standard output without ever waiting for its reader.
+Writes log lines to standard output without ever blocking the event loop.
 
-A full pipe drops lines; how many is told in a line when there is room again.
-Each event has a limit of lines a second, so that one kind cannot crowd out
-the others.
+A full pipe drops lines; the next line that fits is preceded by a notice of how
+many were dropped. Each event has a limit of lines a second, so that one kind
+can't crowd out the others. Owns the descriptor's non-blocking mode.
 """
 
 import collections
@@ -16,19 +16,26 @@
 
 from spindlenotch import events
 
-STDOUT = 1
-#: Lines of one event in one second.
-LINES_PER_EVENT = 50
+STDOUT_DESCRIPTOR = 1
+#: Lines of one event in one second. Chosen, not measured.
+MAX_LINES_PER_EVENT = 50
+#: Decimal places of a line's time, in seconds since the epoch.
+TIME_DIGITS = 3
 
 
 class LogSink:
-    """Takes loguru's messages and writes one JSON line for each."""
+    """
+    Takes loguru's messages and writes one JSON line for each.
 
-    def __init__(self, descriptor: int = STDOUT) -> None:
+    ``dropped`` counts the lines that were dropped and not yet reported.
+    """
+
+    def __init__(self, descriptor: int = STDOUT_DESCRIPTOR) -> None:
         self.descriptor = descriptor
         self.dropped = 0
         self._second = 0
         self._lines_by_event: collections.Counter[int] = collections.Counter()
+        #: The rest of a line that the pipe took only a part of.
         self._rest = b""
         os.set_blocking(descriptor, False)
 
@@ -40,7 +47,7 @@
             self.dropped += 1
             return
         line = {
-            "at": round(time.time(), 3),
+            "at": round(time.time(), TIME_DIGITS),
             "level": record["level"].name,
             "text": record["message"].split(" ", 1)[0],
             **fields,
@@ -53,25 +60,28 @@
             self._second = second
             self._lines_by_event.clear()
         self._lines_by_event[event] += 1
-        return self._lines_by_event[event] <= LINES_PER_EVENT
+        return self._lines_by_event[event] <= MAX_LINES_PER_EVENT
 
     def _write(self, data: bytes) -> None:
-        told = 0
+        reported = 0
         if self.dropped and not self._rest:
-            told = self.dropped
-            data = _notice(told) + data
+            reported = self.dropped
+            data = _notice(reported) + data
         pending = self._rest + data if self._rest else data
         try:
             written = os.write(self.descriptor, pending)
         except OSError:
+            # A full or closed pipe: there is nowhere to log it. The next line
+            # that can be written reports it.
             self.dropped += 1
             return
-        self.dropped -= told
+        self.dropped -= reported
         # A line that was cut is finished first; nothing comes in between.
         self._rest = pending[written:]
 
 
 def _notice(lines: int) -> bytes:
+    """Return the line that reports how many lines were dropped."""
     entry = events.Event.LINES_DROPPED.value
     line = {"event": entry.number, "level": entry.level, "lines": lines}
     return msgspec.json.encode(line) + b"\n"
