--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -1,8 +1,9 @@
 """
-How callers and upstreams speak: header names, paths and forms of answers.
+Header names, paths and answer forms of the protocols that a gateway can use.
 
-The native dialect is the product's own; others register themselves in
-``DIALECTS``. Only the names vary; what they mean is fixed here.
+The native dialect is the product's own; others register a factory in
+``DIALECTS``, and a setting names the one in use. Only names and forms vary; what
+they mean is fixed here. Holds no state.
 """
 
 import dataclasses
@@ -16,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Directory:
-    """Which addresses callers may use, and for how many seconds."""
+    """The addresses that callers may use, and for how many seconds."""
 
     addresses: tuple[ids.Address, ...]
     valid_for_s: float
@@ -25,11 +26,16 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dialect:
     """
-    The names of one way to speak.
-
-    ``request_id`` and ``deadline_ms`` (milliseconds left) come with requests;
-    ``expect_upstream`` names the upstream that is meant; ``replaced`` are the
-    lower-case names that are set anew towards upstreams.
+    The names and forms of one protocol with callers and upstreams.
+
+    ``upstream``: how answers of upstreams are read.
+    ``request_id``: header with the caller's id of a request.
+    ``deadline_ms``: header with the milliseconds that are left for a request.
+    ``expect_upstream``: header with the id of the upstream that a request is for;
+    None where the protocol has none.
+    ``replaced``: lower-case names of the headers that are set anew for upstreams.
+    ``directory_path``, ``ready_path``: paths of the gateway's side ports.
+    ``render_directory``: returns the body of the directory's answer.
     """
 
     upstream: upstream_http.Dialect
