--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -1,8 +1,9 @@
 """
 Run a gateway as a process on a uvloop loop.
 
-``aiomisc`` is left out here: the process lives by its memory, and loop,
-signals and stop are a few lines (see docs/DESIGN.md).
+Owns the process: signals, the settings file and the garbage collector's
+settings. ``aiomisc`` is left out, because each gateway's memory counts and loop,
+signals and stop are a few lines.
 """
 
 import asyncio
@@ -17,27 +18,38 @@
 from spindlenotch import events
 from spindlenotch.gateway import gateway, log_sink, settings
 
-#: Young objects die with their request; look at the rest seldom.
+#: Objects allocated, and younger collections, before a collection. Most objects
+#: die with their request; collections that walked the rest held up the loop
+#: (docs/MEASUREMENTS.md, "What an entry adds").
 GC_THRESHOLDS = (20_000, 20, 100)
-#: How often the settings file is looked at; it may change without a signal.
-LOOKED_AT_S = 1.0
+#: Seconds between looks at the settings file; it may change without a signal.
+#: Chosen, not measured.
+SETTINGS_CHECK_S = 1.0
+#: Exit code where the settings can't be used.
 EXIT_SETTINGS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsSource:
-    """Where settings come from; ``path`` is the file behind them, if any."""
+    """
+    Where settings come from.
+
+    ``read`` returns them, or all their faults; ``path`` is the file behind them,
+    None where there is none.
+    """
 
     read: abc.Callable[[], "settings.GatewaySettings | list[settings.Fault]"]
     path: str | None
 
-    def stamp(self) -> int | None:
-        """Return what changes whenever the file does; None without one."""
+    def modified_at_ns(self) -> int | None:
+        """Return when the file was modified, in ns; None without one to read."""
         if self.path is None:
             return None
         try:
             return os.stat(self.path).st_mtime_ns
         except OSError:
+            # While the file is replaced it may be absent for a moment; the
+            # settings in force stay, and the next look finds the new file.
             return None
 
 
@@ -46,7 +58,7 @@
     log_sink.install()
     config = source.read()
     if isinstance(config, list):
-        _refuse(config)
+        _log_faults(config)
         return EXIT_SETTINGS
     uvloop.run(_serve(config, source))
     return 0
@@ -54,42 +66,47 @@
 
 async def _serve(config: settings.GatewaySettings, source: SettingsSource) -> None:
     loop = asyncio.get_running_loop()
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+        loop.add_signal_handler(number, stop_requested.set)
     running = gateway.create(config)
     loop.add_signal_handler(signal.SIGHUP, _reload, running, source)
     await running.start()
-    watching = asyncio.ensure_future(_watch_file(running, source))
+    file_watcher = asyncio.ensure_future(_watch_file(running, source))
+    _tune_collector()
+    await stop_requested.wait()
+    file_watcher.cancel()
+    await running.stop()
+
+
+def _tune_collector() -> None:
+    """Keep the garbage collector away from what stays for the process's life."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
-    await stopped.wait()
-    watching.cancel()
-    await running.stop()
 
 
 async def _watch_file(running: gateway.Gateway, source: SettingsSource) -> None:
     """Read the settings again when their file has changed."""
-    seen = source.stamp()
+    seen_ns = source.modified_at_ns()
     while True:
-        await asyncio.sleep(LOOKED_AT_S)
-        stamp = source.stamp()
-        if stamp is not None and stamp != seen:
-            seen = stamp
+        await asyncio.sleep(SETTINGS_CHECK_S)
+        modified_ns = source.modified_at_ns()
+        if modified_ns is not None and modified_ns != seen_ns:
+            seen_ns = modified_ns
             _reload(running, source)
 
 
 def _reload(running: gateway.Gateway, source: SettingsSource) -> None:
-    """Take in changed settings; those that can't be used change nothing."""
+    """Put changed settings into force; where one is at fault, none is."""
     config = source.read()
     if isinstance(config, list):
-        _refuse(config)
+        _log_faults(config)
         return
     running.state.take_settings(config)
     events.emit(events.Event.SETTINGS_RELOADED, host=config.host)
 
 
-def _refuse(faults: list[settings.Fault]) -> None:
+def _log_faults(faults: list[settings.Fault]) -> None:
     for fault in faults:
         events.emit(events.Event.SETTINGS_REFUSED, fault=str(fault))
