--- a/spindlenotch/gateway/routing.py
+++ b/spindlenotch/gateway/routing.py
@@ -1,8 +1,10 @@
 """
-Routes as the gateway sees them: checked, immutable, looked up by host and path.
+The operator's configuration, and which route and service a request goes to.
 
-Pure; a driver in ``sources`` builds these objects from what the platform
-holds. Units: seconds and bytes.
+Pure: no I/O and no clock. A driver in ``sources`` checks what the platform holds
+and builds these types; gateways pass them on to each other with their field
+names (``Configuration`` is a peer document), so a renamed field splits a fleet.
+Units: seconds and bytes.
 """
 
 import dataclasses
@@ -15,7 +17,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated: only ``SAFE`` requests may run more than once."""
+    """Whether requests may be repeated: only ``SAFE`` ones may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -24,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One service behind a route, and its share of the requests."""
+    """One service behind a route; shares are ``weight`` by the sum of weights."""
 
     service: ids.ServiceName
     weight: float
@@ -35,9 +37,10 @@
     """
     Where requests of one host and path prefix go, and how they are treated.
 
-    ``timeout_s`` is the longest time that one is held, ``target_s`` the time
-    within which an answer is worth most, or None where none is set. ``rank``
-    0 is the most urgent. ``most_tries`` bounds the upstreams tried.
+    ``timeout_s``: a request is answered at the latest after this many seconds.
+    ``target_s``: target latency in seconds. Both may be None: not set.
+    ``rank``: priority, 0 the most urgent.
+    ``most_tries``: how many upstreams a request may be sent to.
     """
 
     name: RouteName
@@ -52,13 +55,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether its requests may run more than once."""
+        """Tell whether a request may run more than once."""
         return self.kind is RequestKind.SAFE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service as the configuration names it."""
+    """
+    A service as the operator configures it.
+
+    ``health_path`` is probed for the load of its upstreams. ``connections`` is
+    how many each of them accepts from all callers together; the gateway does not
+    enforce it and passes it on to peers because the form on the wire holds it.
+    """
 
     name: ids.ServiceName
     health_path: str
@@ -67,7 +76,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a caller may send and how long its connection may rest."""
+    """
+    What a caller may send and how long its connection may be idle.
+
+    The gateway enforces ``body_bytes`` (of a declared length) and
+    ``idle_timeout_s``. It does not enforce ``header_bytes`` and
+    ``header_timeout_s``: they are read and passed on to peers because the form
+    on the wire holds them. Request lines and header fields are bounded by
+    ``caller_listener`` instead.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
@@ -77,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """All routes, services and limits of one version."""
+    """All routes, services and limits; a greater ``version`` replaces a smaller."""
 
     version: int
     routes: tuple[Route, ...]
@@ -87,10 +104,9 @@
 
 class RouteTable:
     """
-    Finds the route of a request.
+    Finds the route of a request by longest prefix match.
 
-    Invariant: of the routes of a host, the one with the longest prefix that
-    begins the path is found.
+    Invariant: the routes of each host are in order of falling prefix length.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -102,7 +118,11 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route of a request target, or None where there is none."""
+        """
+        Return the route of a request, or None where none fits.
+
+        ``host`` is its ``Host`` header, ``target`` its path and query.
+        """
         path = target.partition("?")[0]
         for route in self._routes_by_host.get(normalized_host(host), ()):
             if path.startswith(route.prefix):
@@ -111,7 +131,7 @@
 
 
 def normalized_host(host: str) -> str:
-    """Return a ``Host`` header without port, in lower case."""
+    """Return a ``Host`` header without port and final dot, in lower case."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
         host = name
@@ -120,18 +140,22 @@
 
 class WeightedTurns:
     """
-    Divides requests among parts in exact proportion to their weights.
+    Divides the requests of each route among its services by their weights.
 
-    Smooth weighted round robin: each request adds each part's share to its
-    credit and takes one from the part that has most. Invariant: after any
-    number of requests no part is more than one request from its share.
+    Smooth weighted round robin: each request adds to each service's credit its
+    share, and takes one from the service with most credit. Invariant: the credits
+    of a route add up to zero, so the counts stay close to the shares.
     """
 
     def __init__(self) -> None:
         self._credit_by_route: dict[RouteName, dict[ids.ServiceName, float]] = {}
 
     def next(self, route: Route) -> ids.ServiceName:
-        """Return the service that takes the next request of ``route``."""
+        """
+        Return the service that the next request of ``route`` goes to.
+
+        Where all weights are zero, that is the first.
+        """
         if len(route.parts) == 1:
             return route.parts[0].service
         credit = self._credit_by_route.setdefault(route.name, {})
