--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -95,8 +95,8 @@
             routing.Part(ids.ServiceName(f"s{n}"), float(weight))
             for n, weight in enumerate(found)
         )
-        turns = routing.WeightedTurns()
-        picked = [turns.next(route("/", parts)) for _ in range(count)]
+        round_robin = routing.WeightedRoundRobin()
+        picked = [round_robin.next(route("/", parts)) for _ in range(count)]
         for part in parts:
             share = count * part.weight / sum(found)
             assert abs(picked.count(part.service) - share) <= len(parts) - 1 + 1e-6
--- a/spindlenotch/gateway/routing.py
+++ b/spindlenotch/gateway/routing.py
@@ -138,7 +138,7 @@
     return host.lower().rstrip(".")
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """
     Divides the requests of each route among its services by their weights.
 
@@ -175,3 +175,7 @@
         for name, credit in list(self._credit_by_route.items()):
             if parts_by_route.get(name) != set(credit):
                 del self._credit_by_route[name]
+
+
+#: The name that ``state`` constructs it by.
+WeightedTurns = WeightedRoundRobin
