--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -9,13 +9,11 @@
 """
 
 import asyncio
-from collections import abc
 
 import multidict
 from aiohttp import web_request, web_response
 
 from spindlenotch import ids
-from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import (
     answer_stream,
@@ -225,24 +223,6 @@
         return loop.time() + (instant - self.state.clock.now())
 
 
-def labels(
-    gateway_dialect: dialect.Dialect,
-) -> abc.Callable[[data_path.Job, balancer.Grant, float], data_path.Labels]:
-    """Return the function that sets the headers of each try in that dialect."""
-
-    def label(
-        job: data_path.Job, grant: balancer.Grant, left_s: float
-    ) -> data_path.Labels:
-        found = dict(job.headers)
-        request_id = found.get(gateway_dialect.request_id, "")
-        extra = [(gateway_dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
-        if gateway_dialect.expect_upstream is not None:
-            extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
-        return data_path.Labels(request_id, extra)
-
-    return label
-
-
 def _bodies_length(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
--- a/spindlenotch/gateway/jobs.py
+++ b/spindlenotch/gateway/jobs.py
@@ -8,10 +8,12 @@
 """
 
 import itertools
+from collections import abc
 
 from aiohttp import web_request
 
 from spindlenotch import headers, ids
+from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import dialect, request_body, routing, state
 from spindlenotch.kernel import waiting
@@ -31,6 +33,9 @@
 CROSS_ZONE_S = 0.008
 #: Seconds that each byte of the request's body adds to that. Chosen, not measured.
 CROSS_ZONE_S_PER_BYTE = 2.5e-6
+#: Milliseconds of the shortest time left that an upstream is told. Chosen, not
+#: measured.
+LEAST_TIME_LEFT_MS = 1
 
 
 class JobFactory:
@@ -145,3 +150,21 @@
     and an answer that comes before the body was read spoils the next exchange.
     """
     return not route.repeatable or body.content is not None
+
+
+def labels(
+    gateway_dialect: dialect.Dialect,
+) -> abc.Callable[[data_path.Job, balancer.Grant, float], data_path.Labels]:
+    """Return the function that sets the headers of each try in that dialect."""
+
+    def label(
+        job: data_path.Job, grant: balancer.Grant, left_s: float
+    ) -> data_path.Labels:
+        request_id = dict(job.headers).get(gateway_dialect.request_id, "")
+        left_ms = max(LEAST_TIME_LEFT_MS, int(left_s * 1000))
+        extra = [(gateway_dialect.deadline_ms, str(left_ms))]
+        if gateway_dialect.expect_upstream is not None:
+            extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
+        return data_path.Labels(request_id, extra)
+
+    return label
