--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -14,7 +14,7 @@
     follower,
     ingress,
     introducer,
-    jobs,
+    job_factory,
     prober,
     relay,
     settings,
@@ -51,7 +51,7 @@
         self.state = state
         self.source = source
         self.port = port
-        path = data_path.DataPath(state, port, jobs.labels(dialect))
+        path = data_path.DataPath(state, port, job_factory.labels(dialect))
         self.ingress = ingress.Ingress(state, path, dialect)
         self.fleet = fleets.Fleet(state)
         self.side_ports = side_ports.SidePorts(state, self.fleet, dialect)
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -4,8 +4,8 @@
 Each request gets one final answer as soon as it is known: the upstream's own; a
 refusal (503 with ``Retry-After``), where the request has not run; or a failure
 (502, 504) that promises nothing. Owns the count of requests in flight. Relies
-on ``caller_listener`` for connections, on ``jobs``, ``answers`` and ``refusals``
-for the rules, and on the data path for upstreams.
+on ``caller_listener`` for connections, on ``job_factory``, ``answers`` and
+``refusals`` for the rules, and on the data path for upstreams.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
     answers,
     caller_listener,
     dialect,
-    jobs,
+    job_factory,
     refusals,
     request_body,
     request_log,
@@ -50,7 +50,7 @@
         self.log = request_log.RequestLog(gateway_state)
         self.in_flight = 0
         self.closing = False
-        self._jobs = jobs.JobFactory(gateway_state, gateway_dialect)
+        self._jobs = job_factory.JobFactory(gateway_state, gateway_dialect)
         self._listener = caller_listener.CallerListener(
             self.handle, self._idle_timeout_s
         )
