--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -167,7 +167,7 @@
         if answers.falsely_says_not_run(answer):
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if answer.status >= outcomes.FAILED_STATUS:
+        if answer.status >= outcomes.FIRST_FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -11,9 +11,9 @@
 
 from spindlenotch import ids
 
-#: Answers with this HTTP status or a higher one are failures of the upstream
-#: that gave them (RFC 9110, section 15.6).
-FAILED_STATUS = 500
+#: Upstreams' answers from this status up are failures: RFC 9110, section 15.6,
+#: gives 5xx to servers that failed to do a valid request.
+FIRST_FAILED_STATUS = 500
 
 
 class Outcome(enum.Enum):
