--- a/spindlenotch/gateway/request_body.py
+++ b/spindlenotch/gateway/request_body.py
@@ -49,15 +49,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TooLong:
-    """A declared length beyond the operator's limit; nothing was read."""
-
-    declared_bytes: int
-    allowed_bytes: int
+    """The declared length is beyond the operator's limit; nothing was read."""
 
 
 Body = NoBody | WholeBody | StreamedBody
 
 _NO_BODY = NoBody()
+_TOO_LONG = TooLong()
 
 
 async def read(request: web_request.BaseRequest, limit_bytes: int) -> Body | TooLong:
@@ -71,7 +69,7 @@
         return _NO_BODY
     declared = request.content_length
     if declared is not None and declared > limit_bytes:
-        return TooLong(declared, limit_bytes)
+        return _TOO_LONG
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     if declared is not None and declared > MAX_WHOLE_BODY_BYTES:
