--- a/spindlenotch/gateway/answers.py
+++ b/spindlenotch/gateway/answers.py
@@ -7,12 +7,10 @@
 for telling a body's true end from a lost connection.
 """
 
-import asyncio
 import dataclasses
 
 from spindlenotch import headers, ports
 from spindlenotch.forwarding import data_path
-from spindlenotch.kernel import upstreams
 
 #: Bytes of the longest answer that is read whole; bounds the memory that one
 #: request takes. Chosen, not measured.
@@ -44,21 +42,22 @@
 
 
 async def read(exchange: data_path.Exchange) -> WholeAnswer | LongAnswer | CutAnswer:
-    """Read an answer to its end, or to the length from which it is streamed."""
+    """
+    Read an answer to its end, or to the length from which it is streamed.
+
+    The exchange ends itself where its body ends, breaks off or is cancelled; only
+    that of a ``LongAnswer`` is still open.
+    """
     pieces: list[bytes] = []
     size = 0
-    try:
-        while size <= MAX_WHOLE_ANSWER_BYTES:
-            piece = await exchange.chunk()
-            if isinstance(piece, ports.UpstreamFault):
-                return CutAnswer()
-            if not piece:
-                return _whole(exchange, b"".join(pieces))
-            pieces.append(piece)
-            size += len(piece)
-    except asyncio.CancelledError:
-        exchange.end(upstreams.Result.CANCELLED)
-        raise
+    while size <= MAX_WHOLE_ANSWER_BYTES:
+        piece = await exchange.chunk()
+        if isinstance(piece, ports.UpstreamFault):
+            return CutAnswer()
+        if not piece:
+            return _whole(exchange, b"".join(pieces))
+        pieces.append(piece)
+        size += len(piece)
     return LongAnswer(b"".join(pieces))
 
 
