--- /dev/null
+++ b/features/gateway_requests.feature
@@ -0,0 +1,14 @@
+Feature: The gateway's rules for one request, without any process
+
+  Scenario Outline: <property>
+    Then the property "<property>" holds
+
+    Examples:
+      | property                                                  |
+      | a request ends at its caller's time or its route's        |
+      | a time that can't be read counts as the default           |
+      | a request waits a share of its route's target latency     |
+      | another zone costs more the longer the body               |
+      | a refusal never asks for a retry at once                  |
+      | only a late request fails as late                         |
+      | an answer is whole, too long or cut short by how it ends  |
