--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -17,6 +17,7 @@
     discovery,
     fleet,
     ingress,
+    job_factory,
     lifecycle,
     load_sharing,
     membership,
@@ -58,7 +59,9 @@
         self.state = gateway_state
         self.source = source
         self.port = port
-        path = data_path.DataPath(gateway_state, port, ingress.labels(gateway_dialect))
+        path = data_path.DataPath(
+            gateway_state, port, job_factory.labels(gateway_dialect)
+        )
         self.ingress = ingress.Ingress(gateway_state, path, gateway_dialect)
         self.fleet = fleet.Fleet(gateway_state)
         self.side_ports = side_ports.SidePorts(
--- a/spindlenotch/gateway/ingress.py
+++ b/spindlenotch/gateway/ingress.py
@@ -1,147 +1,99 @@
 """
-The port that callers connect to: plain requests in, upstreams' answers out.
+The way of one request through the gateway, from its head to its final answer.
 
-Every request gets one final answer as soon as it is known: the upstream's,
-whole; a refusal that says when to come back, where it has not run; or a
-failure that promises nothing.
+Each request gets one final answer as soon as it is known: the upstream's own; a
+refusal (503 with ``Retry-After``), where the request has not run; or a failure
+(502, 504) that promises nothing. Owns the count of requests in flight. Relies
+on ``caller_listener`` for connections, on ``job_factory``, ``answers`` and
+``refusals`` for the rules, and on the data path for upstreams.
 """
 
 import asyncio
-import dataclasses
-import itertools
-from collections import abc
 
 import multidict
-from aiohttp import web_request, web_response, web_server
+from aiohttp import web_request, web_response
 
-from spindlenotch import headers, ids, ports
-from spindlenotch.decisions import balancer
+from spindlenotch import ids
 from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.gateway import (
-    dialect as dialects,
+    answer_stream,
+    answers,
+    caller_listener,
+    dialect,
+    job_factory,
     lifecycle,
+    refusals,
+    request_body,
     request_log,
     routing,
-    state as states,
+    state,
 )
-from spindlenotch.kernel import outcomes, upstreams, waiting
-from spindlenotch.peers import peer_link
-
-#: Bodies up to this size are read whole, so that they can be sent again.
-WHOLE_BODY = 1024 * 1024
-#: Answers up to this size are read whole before their head is passed on, so
-#: that one that is cut short can be replaced.
-WHOLE_ANSWER = 128 * 1024
-#: The time a request waits here for room at an upstream, as a share of the
-#: time within which its answer is wanted.
-WAIT_SHARE = 0.2
-WAIT_UNKNOWN_S = 0.1
-#: Where a request does not say how long its caller waits.
-PATIENCE_UNKNOWN_S = 60.0
-LEAST_RETRY_AFTER_S = 0.05
-#: Seconds that another zone counts: the way there and back, by size, and that
-#: what others send there is known less well.
-CROSS_ZONE_S = 0.008
-CROSS_ZONE_S_PER_BYTE = 2.5e-6
-#: A resting connection is closed this long after the time that callers keep to.
-IDLE_MARGIN_S = 1.0
-BACKLOG = 1024
-#: Statuses that promise that a request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
-#: Final answers of our own that promise nothing.
-UNKNOWN_STATUS = 502
-LATE_STATUS = 504
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An upstream's answer whose body has come to its true end."""
-
-    status: int
-    headers: list[tuple[str, str]]
-    body: bytes
-
-
-class BrokenAnswerError(Exception):
-    """Raised when an answer breaks off after its head was passed on."""
+from spindlenotch.kernel import outcomes
 
 
 class Ingress:
     """
-    Serves callers.
+    Serves callers' requests.
 
-    Invariant: ``in_flight`` counts the requests whose answer has not ended.
+    ``closing`` is set late in a planned stop; requests that come then are
+    refused. Invariant: ``in_flight`` counts the requests whose answer has not ended.
     """
 
     def __init__(
         self,
-        state: states.GatewayState,
+        gateway_state: state.GatewayState,
         path: data_path.DataPath,
-        dialect: dialects.Dialect,
+        gateway_dialect: dialect.Dialect,
     ) -> None:
-        self.state = state
+        self.state = gateway_state
         self.path = path
-        self.dialect = dialect
-        self.log = request_log.RequestLog(state)
+        self.dialect = gateway_dialect
+        self.log = request_log.RequestLog(gateway_state)
         self.in_flight = 0
         self.closing = False
-        self._numbers = itertools.count()
-        self._server_by_idle_s: dict[float, web_server.Server] = {}
-        self._listener: asyncio.Server | None = None
+        self._jobs = job_factory.JobFactory(gateway_state, gateway_dialect)
+        self._listener = caller_listener.CallerListener(
+            self.handle, self._idle_timeout_s
+        )
 
     async def start(self) -> None:
-        """Listen for callers."""
-        host, port = peer_link.split(self.state.config.listen)
-        loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(
-            self._protocol, host, port, backlog=BACKLOG
-        )
+        """Listen for callers; raises ``OSError`` where the address can't be bound."""
+        await self._listener.start(self.state.config.listen)
 
     def stop_listening(self) -> None:
-        """Take no new connections; refuse what comes on those that are open."""
+        """Accept no new connections; refuse requests on those that are open."""
         self.closing = True
-        if self._listener is not None:
-            self._listener.close()
+        self._listener.stop_accepting()
 
     async def stop(self, limit_s: float) -> None:
-        """Close all connections when their requests are answered."""
+        """Close all connections when their requests are answered, or at the limit."""
         self.stop_listening()
-        servers = list(self._server_by_idle_s.values())
-        for server in servers:
-            for connection in server.connections:
-                # ``shutdown`` alone leaves those that rest open until its limit,
-                # and what is sent over them without an answer.
-                connection.close()
-        await asyncio.gather(*(server.shutdown(limit_s) for server in servers))
+        await self._listener.stop(limit_s)
 
-    def _protocol(self) -> asyncio.BaseProtocol:
-        """Return the protocol of a new connection, by the limits in force."""
+    @property
+    def _leaving(self) -> bool:
+        """Tell whether connections are closed with their next answer."""
+        return self.state.phase is lifecycle.Phase.LEAVING
+
+    def _idle_timeout_s(self) -> float:
         table = self.state.table
         limits = routing.Limits() if table is None else table.configuration.limits
-        idle_s = limits.idle_timeout_s
-        for other_s, other in list(self._server_by_idle_s.items()):
-            if other_s != idle_s and not other.connections:
-                del self._server_by_idle_s[other_s]
-        if idle_s not in self._server_by_idle_s:
-            self._server_by_idle_s[idle_s] = web_server.Server(
-                self.handle,
-                handler_cancellation=True,
-                keepalive_timeout=idle_s + IDLE_MARGIN_S,
-                max_line_size=64 * 1024,
-                max_field_size=64 * 1024,
-                access_log=None,
-            )
-        return self._server_by_idle_s[idle_s]()
+        return limits.idle_timeout_s
 
     async def handle(
         self, request: web_request.BaseRequest
     ) -> web_response.StreamResponse:
-        """Serve one request."""
+        """
+        Serve one request.
+
+        Raises ``asyncio.CancelledError`` where the caller has gone, or where its
+        connection was broken because a streamed answer broke off.
+        """
         self.in_flight += 1
         try:
             response = await self._serve(request)
             self.state.demand.count(_bodies_length(request, response))
-            if self.state.phase is lifecycle.Phase.LEAVING and not response.prepared:
+            if self._leaving and not response.prepared:
                 response.force_close()
             return response
         finally:
@@ -152,32 +104,30 @@
     ) -> web_response.StreamResponse:
         table = self.state.table
         if self.closing or table is None or not self.state.listed_once:
-            # Too late in a planned stop, or too early in this life: not run.
-            return _refused(outcomes.Reason.NOT_READY, LEAST_RETRY_AFTER_S)
-        target = request.raw_path
-        route = table.find(request.headers.get("Host", ""), target)
+            return refusals.not_ready()
+        route = table.find(request.headers.get("Host", ""), request.raw_path)
         if route is None:
-            return web_response.Response(status=404, text="no route\n")
-        body = await self._body(request, table.configuration.limits)
-        if isinstance(body, web_response.Response):
-            return body
+            return refusals.no_route()
+        limit_bytes = table.configuration.limits.body_bytes
+        body = await request_body.read(request, limit_bytes)
+        if isinstance(body, request_body.TooLong):
+            return refusals.body_too_long()
         return await self._forward(request, route, body)
 
     async def _forward(
         self,
         request: web_request.BaseRequest,
         route: routing.Route,
-        body: "bytes | abc.AsyncIterable[bytes] | None",
+        body: request_body.Body,
     ) -> web_response.StreamResponse:
-        job = self._job(request, route, body)
+        job = self._jobs.create(request, route, body)
         try:
             async with asyncio.timeout_at(self._loop_time(job.call.deadline)):
                 answer = await self._answer(request, job)
         except TimeoutError:
-            return self._failed(
-                request, job, LATE_STATUS, outcomes.Reason.DEADLINE_PASSED
-            )
-        except BrokenAnswerError:
+            return self._failed(request, job, outcomes.Reason.DEADLINE_PASSED)
+        except answer_stream.BrokenAnswerError:
+            # Without an answer in return, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
@@ -190,95 +140,57 @@
     async def _answer(
         self, request: web_request.BaseRequest, job: jobs.Job
     ) -> web_response.StreamResponse | outcomes.Refusal:
-        found = await self.path.begin(job)
-        while not isinstance(found, outcomes.Refusal):
-            exchange = found
-            whole = await self._whole(exchange)
-            if isinstance(whole, WholeAnswer):
-                return self._pass_on(request, job, exchange, whole)
-            if whole is not None:
-                return await self._stream(request, exchange, whole)
+        """
+        Try upstreams until one answer is passed on or the job is refused.
+
+        An answer that breaks off before its head went out is replaced by another
+        upstream's, where the request may run again.
+        """
+        exchange = await self.path.begin(job)
+        while not isinstance(exchange, outcomes.Refusal):
+            answer = await answers.read(exchange)
+            if isinstance(answer, answers.WholeAnswer):
+                return self._pass_on(request, job, exchange, answer)
+            if isinstance(answer, answers.LongAnswer):
+                return await self._stream(request, exchange, answer)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-            found = await self.path.again(job, exchange.grant)
-        return found
-
-    async def _whole(
-        self, exchange: exchanges.Exchange
-    ) -> "WholeAnswer | bytes | None":
-        """Return the answer, its first part if it is long, None if cut short."""
-        pieces: list[bytes] = []
-        size = 0
-        try:
-            while size <= WHOLE_ANSWER:
-                piece = await exchange.chunk()
-                if isinstance(piece, ports.UpstreamFault):
-                    return None
-                if not piece:
-                    answer = exchange.answer
-                    kept = headers.end_to_end(answer.headers, {"content-length"})
-                    return WholeAnswer(answer.status, kept, b"".join(pieces))
-                pieces.append(piece)
-                size += len(piece)
-        except asyncio.CancelledError:
-            exchange.end(upstreams.Result.CANCELLED)
-            raise
-        return b"".join(pieces)
+            exchange = await self.path.again(job, exchange.grant)
+        return exchange
 
     def _pass_on(
         self,
         request: web_request.BaseRequest,
         job: jobs.Job,
         exchange: exchanges.Exchange,
-        whole: WholeAnswer,
+        answer: answers.WholeAnswer,
     ) -> web_response.Response | outcomes.Refusal:
-        if whole.status in PROMISES:
-            # The upstream did not say that it has not run, and would have.
+        if answers.falsely_says_not_run(answer):
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if whole.status >= outcomes.FIRST_FAILED_STATUS:
+        if answer.status >= outcomes.FIRST_FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
-            status=whole.status,
-            headers=multidict.CIMultiDict(whole.headers),
-            body=whole.body,
+            status=answer.status,
+            headers=multidict.CIMultiDict(answer.headers),
+            body=answer.body,
         )
 
     async def _stream(
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
-        first: bytes,
+        answer: answers.LongAnswer,
     ) -> web_response.StreamResponse:
-        answer = exchange.answer
-        response = web_response.StreamResponse(
-            status=answer.status,
-            headers=multidict.CIMultiDict(
-                headers.end_to_end(answer.headers, {"content-length"})
-            ),
+        response = await answer_stream.pass_on(
+            request,
+            exchange,
+            answer.start,
+            close_connection=self._leaving,
         )
-        if answer.length is not None:
-            response.content_length = answer.length
-        if self.state.phase is lifecycle.Phase.LEAVING:
-            response.force_close()
-        try:
-            await response.prepare(request)
-            await response.write(first)
-            while True:
-                piece = await exchange.chunk()
-                if isinstance(piece, ports.UpstreamFault):
-                    raise BrokenAnswerError
-                if not piece:
-                    break
-                await response.write(piece)
-            await response.write_eof()
-            self.log.count(exchange.job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-            self.log.served(self._id(request), exchange.job, exchange)
-        except TimeoutError:
-            raise BrokenAnswerError from None
-        finally:
-            exchange.end(upstreams.Result.CANCELLED)
+        self.log.count(exchange.job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
+        self.log.served(self._id(request), exchange.job, exchange)
         return response
 
     def _id(self, request: web_request.BaseRequest) -> str:
@@ -291,133 +203,29 @@
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
-            late = refusal.reason is outcomes.Reason.DEADLINE_PASSED
-            status = LATE_STATUS if late else UNKNOWN_STATUS
-            return self._failed(request, job, status, refusal.reason)
-        wait_s = LEAST_RETRY_AFTER_S
-        if refusal.retry_at is not None:
-            wait_s = max(wait_s, refusal.retry_at - self.state.clock.now())
+            return self._failed(request, job, refusal.reason)
+        wait_s = refusals.retry_after_s(refusal, self.state.clock.now())
         self.log.refused(self._id(request), job, refusal, wait_s)
-        return _refused(refusal.reason, wait_s)
+        return refusals.not_run(refusal.reason, wait_s)
 
     def _failed(
         self,
         request: web_request.BaseRequest,
         job: jobs.Job,
-        status: int,
         reason: outcomes.Reason,
     ) -> web_response.Response:
+        status = refusals.failure_status(reason)
         self.log.failed(self._id(request), job, status, reason)
-        return web_response.Response(status=status, text=f"{reason.value}\n")
-
-    def _job(
-        self,
-        request: web_request.BaseRequest,
-        route: routing.Route,
-        body: "bytes | abc.AsyncIterable[bytes] | None",
-    ) -> jobs.Job:
-        now = self.state.clock.now()
-        name = self.state.turns.next(route)
-        deadline = ids.later(now, self._patience_s(request))
-        if route.timeout_s is not None:
-            deadline = min(deadline, ids.later(now, route.timeout_s))
-        wait_s = WAIT_UNKNOWN_S
-        if route.target_s is not None:
-            wait_s = WAIT_SHARE * route.target_s
-        size = len(body) if isinstance(body, bytes) else request.content_length or 0
-        call = waiting.Call(
-            id=ids.CallId(f"{next(self._numbers):x}"),
-            priority=route.rank,
-            repeatable=route.repeatable,
-            deadline=deadline,
-            latency_key=route.name,
-            arrived_at=now,
-            most_tries=route.most_tries,
-            wait_until=ids.later(now, wait_s),
-            cross_zone_s=CROSS_ZONE_S + CROSS_ZONE_S_PER_BYTE * size,
-        )
-        pairs = [(k, v) for k, v in request.headers.items()]
-        kept = headers.end_to_end(pairs, self.dialect.replaced | {"content-length"})
-        request_id = request.headers.get(self.dialect.request_id)
-        if request_id is not None:
-            kept.append((self.dialect.request_id, request_id))
-        return jobs.Job(
-            balancer=self.state.balancer_by_service[name],
-            call=call,
-            method=request.method,
-            target=request.raw_path,
-            headers=kept,
-            body=body,
-            needs_new_connection=not route.repeatable or body is not None,
-        )
-
-    async def _body(
-        self, request: web_request.BaseRequest, limits: routing.Limits
-    ) -> "bytes | abc.AsyncIterable[bytes] | web_response.Response | None":
-        if not request.body_exists:
-            return None
-        length = request.content_length
-        if length is not None and length > limits.body_bytes:
-            return web_response.Response(status=413, text="body too long\n")
-        if request.headers.get("Expect", "").lower() == "100-continue":
-            await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if length is not None and length > WHOLE_BODY:
-            return _pieces(request, [])
-        pieces: list[bytes] = []
-        size = 0
-        async for piece in request.content.iter_any():
-            pieces.append(piece)
-            size += len(piece)
-            if size > WHOLE_BODY:
-                return _pieces(request, pieces)
-        return b"".join(pieces)
-
-    def _patience_s(self, request: web_request.BaseRequest) -> float:
-        text = request.headers.get(self.dialect.deadline_ms)
-        try:
-            return max(0.0, float(text) / 1000) if text else PATIENCE_UNKNOWN_S
-        except ValueError:
-            return PATIENCE_UNKNOWN_S
+        return refusals.failed(reason)
 
     def _loop_time(self, instant: ids.Instant) -> float:
+        """Turn an instant of the gateway's clock into one of the event loop's."""
         loop = asyncio.get_running_loop()
         return loop.time() + (instant - self.state.clock.now())
 
 
-def labels(
-    dialect: dialects.Dialect,
-) -> jobs.Labeller:
-    """Return what names each try in that dialect."""
-
-    def label(job: jobs.Job, grant: balancer.Grant, left_s: float) -> jobs.Labels:
-        found = dict(job.headers)
-        request_id = found.get(dialect.request_id, "")
-        extra = [(dialect.deadline_ms, str(max(1, int(left_s * 1000))))]
-        if dialect.expect_upstream is not None:
-            extra.append((dialect.expect_upstream, grant.upstream.spec.id))
-        return jobs.Labels(request_id, extra)
-
-    return label
-
-
 def _bodies_length(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
+    """Return the declared bytes of both bodies; those without a length count 0."""
     return (request.content_length or 0) + (response.content_length or 0)
-
-
-async def _pieces(
-    request: web_request.BaseRequest, first: list[bytes]
-) -> abc.AsyncIterator[bytes]:
-    for piece in first:
-        yield piece
-    async for piece in request.content.iter_any():
-        yield piece
-
-
-def _refused(reason: outcomes.Reason, wait_s: float) -> web_response.Response:
-    return web_response.Response(
-        status=503,
-        headers={"Retry-After": f"{wait_s:.3f}"},
-        text=f"{reason.value}\n",
-    )
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -50,7 +50,7 @@
         self.metrics = metrics.Metrics()
         self.phase = lifecycle.Phase.STARTING
         self.table: routing.RouteTable | None = None
-        self.turns = routing.WeightedTurns()
+        self.turns = routing.WeightedRoundRobin()
         self.listing = listing.Listing()
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
         self.local_member = ownership.Member(config.zone, config.host)
