--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -107,14 +107,14 @@
 
 @behave.when('{count:d} requests GET "{target}" are sent')
 def many(context: typing.Any, count: int, target: str) -> None:
-    async def send() -> list[tuple[int, dict[str, str], bytes]]:
+    async def send() -> list[platform_fleet.Answer]:
         fleet = fleet_of(context)
-        found = []
+        answers = []
         for number in range(count):
             node = f"node-{1 + number % 2}"
-            found.append(await fleet.send(node, f"{target}?n={number}", f"m{number}"))
+            answers.append(await fleet.send(node, f"{target}?n={number}", f"m{number}"))
             await asyncio.sleep(0.01)
-        return found
+        return answers
 
     context.answers = run(context, send())
     context.target = target
@@ -129,14 +129,13 @@
 
 @behave.then("the client gets status {status:d}")
 def gets(context: typing.Any, status: int) -> None:
-    assert context.answer[0] == status, context.answer
+    assert context.answer.status == status, context.answer
 
 
 @behave.then("the client gets status 503 with a time to come back")
 def refused(context: typing.Any) -> None:
-    status, fields, _ = context.answer
-    assert status == 503, context.answer
-    assert float(fields["Retry-After"]) > 0
+    assert context.answer.status == 503, context.answer
+    assert float(context.answer.headers["Retry-After"]) > 0
 
 
 @behave.then('"{request_id}" ran {count:d} times')
@@ -147,10 +146,10 @@
 @behave.then('"{request_id}" ran 1 time with that very target')
 def ran_once(context: typing.Any, request_id: str) -> None:
     runs = [
-        target
+        ran.target
         for worker in fleet_of(context).worker_by_id.values()
-        for ran, target, _ in worker.runs
-        if ran == request_id
+        for ran in worker.runs
+        if ran.request_id == request_id
     ]
     assert runs == [context.target], runs
 
@@ -165,9 +164,9 @@
 
 @behave.then("the answer bears a stamp only if a worker gave that status")
 def stamped(context: typing.Any) -> None:
-    status, fields, _ = context.answer
-    own = status in (502, 503)
-    assert ("X-Spindlenotch-Server-Stamp" in fields) is not own, context.answer
+    answer = context.answer
+    own = answer.status in (502, 503)
+    assert ("X-Spindlenotch-Server-Stamp" in answer.headers) is not own, answer
 
 
 @behave.then("the worker's work was broken off")
@@ -200,7 +199,7 @@
     for node in living(context):
 
         async def served(node: str = node) -> bool:
-            return (await fleet.send(node, target, "probe"))[0] == 200
+            return (await fleet.send(node, target, "probe")).status == 200
 
         run(context, fleet.until(served))
 
@@ -211,8 +210,8 @@
         # Longer than one wait of a watch, so that a mistake would show.
         for _ in range(15):
             for node in living(context):
-                status, _, _ = await fleet_of(context).send(node, target, "probe")
-                assert status == 200, (node, status)
+                answer = await fleet_of(context).send(node, target, "probe")
+                assert answer.status == 200, (node, answer)
             await asyncio.sleep(0.1)
 
     run(context, check())
--- a/features/steps/platform_connections.py
+++ b/features/steps/platform_connections.py
@@ -41,14 +41,14 @@
 
 def _request(address: str, request_id: str) -> ports.UpstreamRequest:
     return ports.UpstreamRequest(
-        ids.Address(address),
-        "GET",
-        "/read/x",
-        [("Host", "h"), (http_dialect.REQUEST_ID, request_id)],
-        None,
-        request_id,
-        False,
-        lambda: True,
+        address=ids.Address(address),
+        method="GET",
+        target="/read/x",
+        headers=[("Host", "h"), (http_dialect.REQUEST_ID, request_id)],
+        body=None,
+        request_id=request_id,
+        fresh=False,
+        may_send=lambda: True,
     )
 
 
@@ -71,7 +71,7 @@
     context.idle_s = idle_s
 
     async def in_force() -> bool:
-        return (await fleet.send("node-1", "/new/x", "probe"))[0] == 200
+        return (await fleet.send("node-1", "/new/x", "probe")).status == 200
 
     run(context, fleet.until(in_force))
 
--- a/features/steps/platform_life.py
+++ b/features/steps/platform_life.py
@@ -147,7 +147,7 @@
     for worker in fleet.worker_by_id.values():
         worker.work_s = 0.3
 
-    async def send() -> list[tuple[int, dict[str, str], bytes]]:
+    async def send() -> list[platform_fleet.Answer]:
         sending = []
         process = fleet.process_by_node["node-1"]
         for number in range(count):
@@ -201,7 +201,7 @@
         )
         writer.write(fields.encode())
         try:
-            return await reader.read(), (await taken)[0]
+            return await reader.read(), (await taken).status
         finally:
             writer.close()
 
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -18,7 +18,9 @@
 from features.support import free_ports, platform_store, platform_worker
 
 ROOT = pathlib.Path(__file__).parents[2]
+#: Longest time that a scenario waits for one thing. Chosen, not measured.
 LIMIT_S = 20.0
+#: Lines of each log that are shown when a scenario failed.
 LOG_TAIL = 30
 MOST_GATEWAYS = 8
 ZONES = ("z1", "z2", "z3")
@@ -27,7 +29,8 @@
 #: Nothing listens here.
 DEAD_IP = "127.0.1.99"
 
-#: The reserve of repeats is large: what these scenarios prove does not hang on it.
+#: The reserve of retries is large: what these scenarios prove does not depend
+#: on it.
 SETTINGS = """
 node = "{node}"
 role = "gateway"
@@ -84,6 +87,14 @@
     }
 
 
+class Answer(typing.NamedTuple):
+    """What a client got."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
 class PlatformFleet:
     """The processes and stand-ins of one scenario."""
 
@@ -201,9 +212,9 @@
         method: str = "GET",
         body: bytes | None = None,
         deadline_ms: int = 5000,
-    ) -> tuple[int, dict[str, str], bytes]:
-        """Send a request as a client does; return status, headers and body."""
-        fields = {
+    ) -> Answer:
+        """Send a request to a gateway as a client does, on a new connection."""
+        headers = {
             "Host": HOST,
             "X-Spindlenotch-Request-Id": request_id,
             "X-Spindlenotch-Deadline-Ms": str(deadline_ms),
@@ -211,19 +222,20 @@
         async with self.session.request(
             method,
             self.url(node, "front", target),
-            headers=fields,
+            headers=headers,
             data=body,
             timeout=aiohttp.ClientTimeout(total=deadline_ms / 1000),
-        ) as answer:
-            return answer.status, dict(answer.headers), await answer.read()
+        ) as response:
+            body = await response.read()
+            return Answer(response.status, dict(response.headers), body)
 
     def runs_of(self, request_id: str) -> list[str]:
         """Return the workers that ran a request, one for each run."""
         return [
             worker.id
             for worker in self.worker_by_id.values()
-            for ran, _, _ in worker.runs
-            if ran == request_id
+            for run in worker.runs
+            if run.request_id == request_id
         ]
 
     def print_logs(self) -> None:
--- a/features/support/platform_worker.py
+++ b/features/support/platform_worker.py
@@ -1,9 +1,9 @@
 """
 Stand-in for a worker of the platform, down to the bytes on its connections.
 
-Written on plain streams, since most of its faults can't be made with an HTTP
-library: cut, foreign, surplus, unframed and early answers. Its ledger of runs
-is the oracle for "not run" and "at most once".
+Written on plain streams, since an HTTP library can't make most of its faults:
+cut, foreign, surplus, unframed and early answers. Its ledger of runs is the
+oracle for "not run" and "at most once".
 """
 
 import asyncio
@@ -11,6 +11,7 @@
 import enum
 import socket
 import struct
+import typing
 
 LOOPBACK = "127.0.0.1"
 STAMP = "3e1b.07.5a2.600.0.c9f2a4d1"
@@ -20,19 +21,33 @@
     """How a worker treats the next requests."""
 
     GOOD = "good"
+    #: Refuses and says that the request has not run.
     SHED = "shed"
+    #: Runs, and answers 503 without saying whether it ran.
     BARE_503 = "bare-503"
+    #: Runs, and answers 500.
     ERROR = "error"
+    #: Closes the connection before the end of the body.
     CUT = "cut"
+    #: Sends a body without length and resets the connection in its midst.
     RESET_UNFRAMED = "reset-unframed"
+    #: Sends a body whose end is that of the connection.
     UNFRAMED = "unframed"
+    #: Echoes the id of another request.
     FOREIGN = "foreign"
+    #: Leaves its stamp out.
     UNSTAMPED = "unstamped"
+    #: Sends bytes that are no answer.
     GARBAGE = "garbage"
+    #: Sends another answer right behind its own.
     SURPLUS = "surplus"
+    #: Sends another answer a moment after its own.
     LATE_SURPLUS = "late-surplus"
+    #: Answers before it has read the request's body.
     EARLY = "early"
+    #: Runs, and resets the connection without an answer.
     LOST = "lost"
+    #: Works until the caller's connection closes.
     HANG = "hang"
 
 
@@ -45,10 +60,21 @@
     fields: dict[str, str]
 
 
+class Run(typing.NamedTuple):
+    """A request that began to run."""
+
+    request_id: str
+    target: str
+    body: bytes
+
+
 class PlatformWorker:
     """
-    One worker. ``runs`` lists (request id, target, body) in order of start;
-    ``deadlines`` what it was told of the time left, in milliseconds.
+    One worker.
+
+    ``runs`` and ``heads`` are in order of start; ``heads`` has those of
+    requests that were not run, too. ``cancelled`` counts work that was broken
+    off as its caller's connection closed.
     """
 
     def __init__(self, worker_id: str, work_s: float = 0.002) -> None:
@@ -56,7 +82,7 @@
         self.work_s = work_s
         self.mode = Mode.GOOD
         self.running = 0
-        self.runs: list[tuple[str, str, bytes]] = []
+        self.runs: list[Run] = []
         self.heads: list[Head] = []
         self.cancelled = 0
         self.address = ""
@@ -81,7 +107,7 @@
     ) -> None:
         self._writers.add(writer)
         try:
-            while await self._one(reader, writer):
+            while await self._serve_one(reader, writer):
                 pass
         except (OSError, asyncio.IncompleteReadError, ValueError):
             pass
@@ -89,7 +115,7 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _one(
+    async def _serve_one(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         head = _parse(await reader.readuntil(b"\r\n\r\n"))
@@ -119,12 +145,12 @@
         body: bytes,
     ) -> bool:
         if self.mode is Mode.SHED:
-            marks = "X-Spindlenotch-Not-Executed: 1\r\n"
+            not_run = "X-Spindlenotch-Not-Executed: 1\r\n"
             writer.write(
-                self._head("503 Service Unavailable", request_id, 0, extra=marks)
+                self._head("503 Service Unavailable", request_id, 0, extra=not_run)
             )
             return True
-        self.runs.append((request_id, head.target, body))
+        self.runs.append(Run(request_id, head.target, body))
         self.running += 1
         try:
             if not await self._work(reader):
@@ -136,13 +162,13 @@
     async def _work(self, reader: asyncio.StreamReader) -> bool:
         """Work, and stop when the caller's connection closes."""
         limit_s = 3600.0 if self.mode is Mode.HANG else self.work_s
-        gone = asyncio.ensure_future(reader.read(1))
-        done, _ = await asyncio.wait({gone}, timeout=limit_s)
+        closed = asyncio.ensure_future(reader.read(1))
+        done, _ = await asyncio.wait({closed}, timeout=limit_s)
         if done:
             self.cancelled += 1
             return False
-        gone.cancel()
-        await asyncio.gather(gone, return_exceptions=True)
+        closed.cancel()
+        await asyncio.gather(closed, return_exceptions=True)
         return True
 
     def _reply(
@@ -201,9 +227,9 @@
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     """Close a connection so that its peer sees a reset and not an end."""
-    linger = struct.pack("ii", 1, 0)
-    found = writer.get_extra_info("socket")
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    no_linger = struct.pack("ii", 1, 0)
+    connection = writer.get_extra_info("socket")
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
     writer.transport.abort()
 
 
