--- a/features/support/fake_upstreams.py
+++ b/features/support/fake_upstreams.py
@@ -1,7 +1,8 @@
 """
 Fake upstreams in a ``world``, their ledger, and forwarding between entries.
 
-The ledger is the oracle: it lists what began to run, where and when.
+All run on the world's virtual clock and random numbers. The ledger is the
+oracle: it lists what began to run, where and when.
 """
 
 import asyncio
@@ -13,10 +14,19 @@
 from spindlenotch import headers, ids, ports
 from spindlenotch.kernel import upstreams
 
+#: Longest time of a request's work, as a multiple of ``service_s``.
+WORK_SPREAD = 2
+#: How long a lost request goes unnoticed, in seconds.
+LOSS_NOTICED_S = 0.1
+#: How long a probe that is answered takes, in seconds.
+PROBE_S = 0.006
+#: Longer than any scenario, in seconds.
+NEVER_S = 1e9
+
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One run in an upstream's ledger."""
+    """A request that began to run: where, when, and as which attempt."""
 
     work: str
     attempt: int
@@ -25,7 +35,14 @@
 
 
 class UpstreamState:
-    """One upstream of a world, and how it behaves just now."""
+    """
+    One upstream of a world, and how it behaves.
+
+    ``mode`` is one of "good", "refuse" (no connection), "shed" (refused as not
+    run), "lost" (the request never arrives), "break" (runs, no answer),
+    "truncate" (runs, half an answer), "mix" (another request's id) and
+    "freeze" (runs, never answers).
+    """
 
     def __init__(self, name: str, slots: int) -> None:
         self.name = name
@@ -35,12 +52,17 @@
         self.running = 0
         self.leaving_since: float | None = None
         self.probe_times: list[float] = []
-        #: (when, entry's address) of requests that came while it was leaving.
+        #: (when, entry's address) of requests that came after it began to leave.
         self.late_requests: list[tuple[float, str]] = []
 
 
 class Upstreams:
-    """All upstreams of a world and the ledger of what ran where."""
+    """
+    All upstreams of a world and the ledger of what ran where.
+
+    ``forward_by_address`` and ``loop_by_address`` are the entries' own, for
+    requests that one entry forwards to another.
+    """
 
     def __init__(self, world: worlds.World) -> None:
         self.world = world
@@ -51,11 +73,15 @@
         ] = {}
         self.loop_by_address: dict[str, worlds.WorldLoop] = {}
 
-    def run(self, one: UpstreamState, request: ports.UpstreamRequest) -> Run:
+    def run(self, upstream: UpstreamState, request: ports.UpstreamRequest) -> Run:
         """Enter a run into the ledger."""
         fields = dict(request.headers)
-        attempt = int(fields.get(headers.ATTEMPT, "1"))
-        run = Run(fields.get("X-Work", ""), attempt, self.world.now, one.name)
+        run = Run(
+            work=fields.get("X-Work", ""),
+            attempt=int(fields.get(headers.ATTEMPT, "1")),
+            at=self.world.now,
+            upstream=upstream.name,
+        )
         self.ledger.append(run)
         return run
 
@@ -96,12 +122,12 @@
 
     def __init__(
         self,
-        everyone: Upstreams,
+        all_upstreams: Upstreams,
         loop: worlds.WorldLoop,
         network: fakes.Network,
         own: str,
     ) -> None:
-        self.everyone = everyone
+        self.all_upstreams = all_upstreams
         self.loop = loop
         self.network = network
         self.own = own
@@ -109,41 +135,41 @@
     async def send(
         self, request: ports.UpstreamRequest
     ) -> ports.UpstreamAnswer | ports.UpstreamFault:
-        """Send a request the way the upstream's mode says."""
-        world = self.everyone.world
+        """Send a request and answer it as the upstream's mode says."""
+        world = self.all_upstreams.world
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
         await asyncio.sleep(fakes.WAY_S if request.fresh else 0)
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
         future, resolve = fakes.reply(world, self.loop)
-        if request.address in self.everyone.forward_by_address:
+        if request.address in self.all_upstreams.forward_by_address:
             self._forward(request, resolve)
         else:
-            one = self.everyone.upstream_by_address[request.address]
-            if one.mode == "refuse":
+            upstream = self.all_upstreams.upstream_by_address[request.address]
+            if upstream.mode == "refuse":
                 return ports.UpstreamFault.CONNECT_FAILED
-            world.after(fakes.WAY_S, lambda: self._reach(one, request, resolve))
+            world.after(fakes.WAY_S, lambda: self._arrive(upstream, request, resolve))
         result = await future
         if isinstance(result, Answer):
-            shown = dict(result.headers).get(headers.REQUEST_ID)
-            if shown != request.request_id:
+            echoed_id = dict(result.headers).get(headers.REQUEST_ID)
+            if echoed_id != request.request_id:
                 return ports.UpstreamFault.FOREIGN_ANSWER
         return typing.cast("Answer | ports.UpstreamFault", result)
 
     async def probe(
         self, address: ids.Address, timeout_s: float
     ) -> upstreams.LoadReport | ports.UpstreamFault:
-        """Count the probe and answer it."""
-        one = self.everyone.upstream_by_address[address]
-        one.probe_times.append(self.everyone.world.now)
-        if one.mode in ("freeze", "refuse", "lost"):
+        """Note the probe and answer it."""
+        upstream = self.all_upstreams.upstream_by_address[address]
+        upstream.probe_times.append(self.all_upstreams.world.now)
+        if upstream.mode in ("freeze", "refuse", "lost"):
             await asyncio.sleep(timeout_s)
             return ports.UpstreamFault.CONNECTION_LOST
-        await asyncio.sleep(0.006)
-        if one.leaving_since is not None:
+        await asyncio.sleep(PROBE_S)
+        if upstream.leaving_since is not None:
             return ports.UpstreamFault.DRAINING
-        return upstreams.LoadReport(one.running, 0)
+        return upstreams.LoadReport(upstream.running, 0)
 
     async def close(self) -> None:
         """Do nothing."""
@@ -154,50 +180,61 @@
         resolve: abc.Callable[[typing.Any, float], None],
     ) -> None:
         peer = request.address
-        loop = self.everyone.loop_by_address[peer]
+        loop = self.all_upstreams.loop_by_address[peer]
         if not self.network.reaches(self.own, peer):
             return
-        serve = self.everyone.forward_by_address[peer]
+        serve = self.all_upstreams.forward_by_address[peer]
 
         async def carry_out() -> None:
             resolve(await serve(request), fakes.WAY_S)
 
-        world = self.everyone.world
+        world = self.all_upstreams.world
         world.deliver(loop, fakes.WAY_S, lambda: _start(loop, carry_out()))
 
-    def _reach(
+    def _arrive(
         self,
-        one: UpstreamState,
+        upstream: UpstreamState,
         request: ports.UpstreamRequest,
         resolve: abc.Callable[[typing.Any, float], None],
     ) -> None:
-        world = self.everyone.world
-        marks = [(headers.REQUEST_ID, request.request_id)]
-        if one.leaving_since is not None:
-            one.late_requests.append((world.now, self.own))
-            marks.append((headers.STATE, "draining"))
-        if one.mode == "shed" or one.leaving_since is not None:
-            marks.append((headers.OUTCOME, "not-run"))
-            resolve(Answer(503, marks, b""), fakes.WAY_S)
+        """Refuse or run a request that has reached its upstream."""
+        world = self.all_upstreams.world
+        pairs = [(headers.REQUEST_ID, request.request_id)]
+        if upstream.leaving_since is not None:
+            upstream.late_requests.append((world.now, self.own))
+            pairs.append((headers.STATE, "draining"))
+        if upstream.mode == "shed" or upstream.leaving_since is not None:
+            pairs.append((headers.OUTCOME, "not-run"))
+            resolve(Answer(503, pairs, b""), fakes.WAY_S)
             return
-        if one.mode == "lost":
-            resolve(ports.UpstreamFault.CONNECTION_LOST, 0.1)
+        if upstream.mode == "lost":
+            resolve(ports.UpstreamFault.CONNECTION_LOST, LOSS_NOTICED_S)
             return
-        run = self.everyone.run(one, request)
-        body = f"{one.name} ran {run.work}".encode()
-        answer: Answer | ports.UpstreamFault = Answer(200, marks, body)
-        if one.mode == "break":
-            answer = ports.UpstreamFault.CONNECTION_LOST
-        elif one.mode == "truncate":
-            answer = Answer(200, marks, body, breaks=True)
-        elif one.mode == "mix":
-            wrong = [(headers.REQUEST_ID, "somebody-else")]
-            answer = Answer(200, wrong, b"another caller's answer")
-        delay = 1e9 if one.mode == "freeze" else one.service_s * world.rng.random() * 2
-        resolve(answer, delay)
+        run = self.all_upstreams.run(upstream, request)
+        answer = _answer_of(upstream, run, pairs)
+        if upstream.mode == "freeze":
+            resolve(answer, NEVER_S)
+            return
+        resolve(answer, upstream.service_s * world.rng.random() * WORK_SPREAD)
+
+
+def _answer_of(
+    upstream: UpstreamState, run: Run, pairs: list[tuple[str, str]]
+) -> Answer | ports.UpstreamFault:
+    """Return what an upstream answers to a request that it ran."""
+    body = f"{upstream.name} ran {run.work}".encode()
+    if upstream.mode == "break":
+        return ports.UpstreamFault.CONNECTION_LOST
+    if upstream.mode == "truncate":
+        return Answer(200, pairs, body, breaks=True)
+    if upstream.mode == "mix":
+        wrong = [(headers.REQUEST_ID, "somebody-else")]
+        return Answer(200, wrong, b"another caller's answer")
+    return Answer(200, pairs, body)
 
 
 def _start(loop: worlds.WorldLoop, work: abc.Coroutine[None, None, None]) -> None:
+    """Start a task of a loop, which holds it until it is done."""
     task = loop.create_task(work)
     loop.world_tasks = getattr(loop, "world_tasks", set())  # type: ignore[attr-defined]
     loop.world_tasks.add(task)  # type: ignore[attr-defined]
--- a/features/support/hostile.py
+++ b/features/support/hostile.py
@@ -1,5 +1,8 @@
 """
 The check that every codec of peer messages must pass: hostile bytes.
+
+Garbage and damaged messages must be refused as a fault or read as a message;
+anything else, an exception above all, fails the property.
 """
 
 import hypothesis
