--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -87,12 +87,12 @@
 
 class Balancer:
     """
-    Decides for one service in one entry.
+    Decides for one service in one process.
 
     Invariants: a grant names an upstream that is listed, not leaving and not
-    ejected; a call is never granted twice to the same upstream; only
-    repeatable calls are granted more than once, from budgets that are a share
-    of the calls offered.
+    ejected; a call is never granted twice to the same upstream; a call that may
+    have run is granted again only where it is repeatable; every further grant is
+    taken from a budget.
     """
 
     def __init__(
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -71,9 +71,7 @@
         if own is not None and own.cost <= SLOW_COST:
             return _choice(pool, own, selection.Rule.OWN_SLOT, (own,))
         overloaded = overload.is_overloaded(pool)
-        factor = LEAST_FACTOR if overloaded else self.factor
-        limit = max(1.0, pool.owned_total * factor)
-        if pool.owned and pool.busy() >= limit:
+        if pool.owned and pool.busy() >= self._limit(pool, overloaded):
             return None
         sampled = 0 if overloaded and pool.owned else SAMPLE
         options = self._options(pool, sampled, now, exclude)
@@ -92,6 +90,11 @@
         else:
             self.factor = min(MOST_FACTOR, self.factor + FACTOR_STEP)
 
+    def _limit(self, pool: upstream_pool.Pool, overloaded: bool) -> float:
+        """Return how many calls may be in flight at once."""
+        factor = LEAST_FACTOR if overloaded else self.factor
+        return max(1.0, pool.owned_total * factor)
+
     def _best_own(
         self, pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
     ) -> selection.Candidate | None:
--- a/spindlenotch/kernel/crowding.py
+++ b/spindlenotch/kernel/crowding.py
@@ -30,7 +30,8 @@
 #: times as long, 0.85 to 1.03 where it takes as long as ever (MEASUREMENTS.md,
 #: round 15).
 CROWDED = 1.08
-#: Keeps the ratio finite.
+#: Least mean latency ratio that is divided by, so that the ratio stays finite.
+#: Chosen, not measured.
 LEAST_LATENCY = 1e-9
 
 
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -22,7 +22,7 @@
 #: And at least this long, in seconds. Chosen, not measured.
 FROZEN_LEAST_S = 0.25
 #: A pool with fewer upstreams than this ejects none of them: a bad upstream is
-#: better than no upstream.
+#: better than no upstream. Chosen, not measured.
 LEAST_POOL = 2
 #: Wait in seconds that a refused caller is asked to keep where no upstream is
 #: usable and none is due back. Chosen, not measured.
--- a/spindlenotch/kernel/schedule.py
+++ b/spindlenotch/kernel/schedule.py
@@ -13,7 +13,7 @@
 
 from spindlenotch import ids
 
-#: A unit.
+#: By definition.
 MINUTES_PER_DAY = 1440.0
 
 
