--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -79,7 +79,7 @@
         state, passing = gateway(SEED)
         peer(state, "p", messages.Status.READY)
         told: list[ids.Address] = []
-        passing.fleet.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
+        passing.fleet.link.send = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
             targets
         )
         state.reads_source = reads
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -256,7 +256,7 @@
         """Be gone."""
         self.network.link_by_address.pop(self.address, None)
 
-    def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
+    def send(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message; some may get lost."""
         data = self.sealer.seal(capnp_codec.CAPNP.encode_gossip(message))
         for target in targets:
@@ -270,7 +270,7 @@
                 lambda o=other: o._heard(data),  # type: ignore[misc]
             )
 
-    async def ask(
+    async def fetch(
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
         """Fetch a peer's document."""
--- a/spindlenotch/cli/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -279,7 +279,7 @@
     )
     targets = [ids.Address(peer) for peer in peers.split(",") if peer]
     kind = documents.DocumentKind.BUNDLE
-    answers = await asyncio.gather(*(link.ask(t, kind) for t in targets))
+    answers = await asyncio.gather(*(link.fetch(t, kind) for t in targets))
     return {
         target: answer.version if answer else None
         for target, answer in zip(targets, answers, strict=True)
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -108,7 +108,7 @@
             known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
         ]
-        self.link.tell(self.state.gossip.compose(), everyone)
+        self.link.send(self.state.gossip.compose(), everyone)
 
     def _spawn(self, work: abc.Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -151,18 +151,18 @@
             self.state.gossip.expected_members = len(listed)
             seeds += [ids.Address(h.peer_address) for h in listed if h.peer_address]
         targets = self.state.gossip.targets(seeds, self.state.clock.now())
-        self.link.tell(self.state.gossip.compose(wants_reply=True), targets)
+        self.link.send(self.state.gossip.compose(wants_reply=True), targets)
 
     def _tell(self) -> None:
         """Pass urgent news to a few members at once."""
         targets = self.state.gossip.random_targets(probing.FANOUT)
-        self.link.tell(self.state.gossip.compose(), targets)
+        self.link.send(self.state.gossip.compose(), targets)
 
     def _on_gossip(self, message: messages.Message) -> None:
         state = self.state
         handled = state.gossip.handle(message, state.clock.now())
         if handled.reply is not None:
-            self.link.tell(handled.reply, [message.sender.peer_address])
+            self.link.send(handled.reply, [message.sender.peer_address])
         if handled.members_changed:
             events.emit(events.Event.PEER_SEEN, host=message.sender.host)
             state.members_changed()
@@ -181,7 +181,7 @@
     async def _pull(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._pulling.add(kind)
         try:
-            document = await self.link.ask(source, kind)
+            document = await self.link.fetch(source, kind)
         finally:
             self._pulling.discard(kind)
         if document is not None and document.kind is kind:
@@ -303,7 +303,7 @@
         """Take the newest of what all reachable peers hold."""
         addresses = self._peer_addresses()
         asked = [
-            self.link.ask(address, kind)
+            self.link.fetch(address, kind)
             for address in addresses
             for kind in documents.DocumentKind
         ]
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -67,7 +67,7 @@
         while True:
             targets = state.gossip.targets(state.config.peers, state.clock.now())
             targets += self._introduced_strangers(targets)
-            self.link.tell(state.gossip.compose(wants_reply=True), targets)
+            self.link.send(state.gossip.compose(wants_reply=True), targets)
             for news in state.gossip.sweep(state.clock.now()):
                 events.emit(events.Event.PEER_GONE, host=news.host)
             period = state.gossip.timing.period_s
@@ -84,7 +84,7 @@
         for _ in range(GREETINGS):
             if state.gossip.known_by_host or not others:
                 return
-            self.link.tell(state.gossip.compose(wants_reply=True), others)
+            self.link.send(state.gossip.compose(wants_reply=True), others)
             await asyncio.sleep(GREETING_PAUSE_S)
 
     def announce(self) -> None:
@@ -93,7 +93,7 @@
             known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
         ]
-        self.link.tell(self.state.gossip.compose(), everyone)
+        self.link.send(self.state.gossip.compose(), everyone)
 
     def members(self) -> list[ownership.Member]:
         """Return the gateways that are believed to serve, this one included."""
@@ -190,7 +190,7 @@
     def _on_gossip(self, message: messages.Message) -> None:
         handled = self.state.gossip.handle(message, self.state.clock.now())
         if handled.reply is not None:
-            self.link.tell(handled.reply, [message.sender.peer_address])
+            self.link.send(handled.reply, [message.sender.peer_address])
         self.on_message(message, handled)
         if message.loads:
             self.on_loads(message)
--- a/spindlenotch/gateway/prober.py
+++ b/spindlenotch/gateway/prober.py
@@ -97,7 +97,7 @@
                 reads_source=self.state.reads_source,
                 loads=loads,
             )
-            self.fleet.link.tell(message, targets)
+            self.fleet.link.send(message, targets)
 
     def _audience(
         self, zone_by_host: dict[ids.HostId, ids.ZoneName]
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -86,7 +86,7 @@
             reader = self._reader()
             if reader is not None:
                 message = self.state.gossip.compose(wants_reply=True)
-                self.fleet.link.tell(message, [reader.peer_address])
+                self.fleet.link.send(message, [reader.peer_address])
             await asyncio.sleep(ASK_S * self.state.rng.uniform(0.9, 1.1))
 
     def publish(self, revision: int, *, swept: bool = False) -> None:
@@ -159,7 +159,7 @@
                 return
             targets = set(state.gossip.random_targets(probing.FANOUT))
             targets.update(self._zone_addresses())
-            self.fleet.link.tell(state.gossip.compose(), sorted(targets))
+            self.fleet.link.send(state.gossip.compose(), sorted(targets))
             await asyncio.sleep(EAGER_PAUSE_S)
 
     def _zone_addresses(self) -> list[ids.Address]:
@@ -182,7 +182,7 @@
     async def _pull(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._pulling.add(kind)
         try:
-            document = await self.fleet.link.ask(source, kind)
+            document = await self.fleet.link.fetch(source, kind)
         finally:
             self._pulling.discard(kind)
         if document is not None and document.kind is kind:
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -88,7 +88,7 @@
 
     # Gossip
 
-    def tell(self, message: messages.Message, targets: list[ids.Address]) -> None:
+    def send(self, message: messages.Message, targets: list[ids.Address]) -> None:
         """Send a gossip message to each target; does nothing before ``start``."""
         if self._udp is None:
             return
@@ -105,7 +105,7 @@
 
     # Documents: the asking side
 
-    async def ask(
+    async def fetch(
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
         """Fetch a peer's document; None where it has none or fails."""
