--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -91,7 +91,7 @@
         "address": known.record.address,
         "status": known.record.status.name.lower(),
         "bundle_version": known.record.configuration_version,
-        "heard_s_ago": round(now - known.last_heard_at, 3),
+        "heard_s_ago": round(now - known.updated_at, 3),
     }
 
 
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -104,7 +104,7 @@
         "peers": {
             host: {
                 "status": known.record.status.name,
-                "heard_s_ago": round(now - known.last_heard_at, 3),
+                "heard_s_ago": round(now - known.updated_at, 3),
                 "missed": known.missed,
             }
             for host, known in state.gossip.known_by_host.items()
--- a/spindlenotch/peers/membership.py
+++ b/spindlenotch/peers/membership.py
@@ -37,13 +37,13 @@
     """
     Another member as known here.
 
-    ``last_heard_at`` is when its record was last confirmed, ``suspect_until``
+    ``updated_at`` is when its record was last confirmed, ``suspect_until``
     when an unrefuted suspicion drops it, or ``ids.NEVER``; ``missed`` counts
     the replies it has missed in a row.
     """
 
     record: messages.MemberRecord
-    last_heard_at: ids.Instant
+    updated_at: ids.Instant
     suspect_until: ids.Instant = ids.NEVER
     missed: int = 0
 
@@ -205,7 +205,7 @@
             peer.suspect_until = ids.NEVER
             self._send_first(record.host)
         peer.record = record
-        peer.last_heard_at = now
+        peer.updated_at = now
         restarted = record.incarnation != old.incarnation
         changed = restarted or record.status is not old.status
         if changed or record.demand != old.demand:
