--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -10,8 +10,6 @@
 import random
 import secrets
 
-import msgspec
-
 from spindlenotch import clock, events, ids, metrics, selection
 from spindlenotch.bundles import bundle, bundle_seal
 from spindlenotch.decisions import balancer
@@ -236,9 +234,7 @@
 
     def set_addresses(self, listen: ids.Address, peer_listen: ids.Address) -> None:
         """Note the real addresses where a setting asked for any free port."""
-        self.gossip.local = msgspec.structs.replace(
-            self.gossip.local, address=listen, peer_address=peer_listen
-        )
+        self.gossip.set_addresses(listen, peer_listen)
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -12,8 +12,6 @@
 import random
 from collections import abc
 
-import msgspec
-
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
 from spindlenotch.peers import (
@@ -81,10 +79,6 @@
         """Return this member's own record."""
         return self.membership.local
 
-    @local.setter
-    def local(self, record: messages.MemberRecord) -> None:
-        self.membership.local = record
-
     @property
     def known_by_host(self) -> dict[ids.HostId, membership.Peer]:
         """Return the other members."""
@@ -111,9 +105,11 @@
 
     def set_demand(self, demand: workload.Work) -> None:
         """Publish what callers ask of this member."""
-        self.local = msgspec.structs.replace(
-            self.local, demand=demand, heartbeat=self.local.heartbeat + 1
-        )
+        self.membership.set_demand(demand)
+
+    def set_addresses(self, address: ids.Address, peer_address: ids.Address) -> None:
+        """Set the own addresses, before the first message goes out."""
+        self.membership.set_addresses(address, peer_address)
 
     def advertise(self, version: messages.DocumentVersion) -> None:
         """Publish which version of a document is in force here."""
--- a/spindlenotch/peers/membership.py
+++ b/spindlenotch/peers/membership.py
@@ -16,7 +16,7 @@
 
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
-from spindlenotch.peers import messages, timing, tombstones
+from spindlenotch.peers import messages, timing, tombstones, workload
 
 #: Replies missed in a row before a suspicion. With one, 2097 living members
 #: of 450 were dropped in 30 s at 1% loss, with two none: docs/MEASUREMENTS.md,
@@ -80,6 +80,18 @@
             heartbeat=self.local.heartbeat + 1,
         )
 
+    def set_demand(self, demand: workload.Work) -> None:
+        """Publish what callers ask of this member."""
+        self.local = msgspec.structs.replace(
+            self.local, demand=demand, heartbeat=self.local.heartbeat + 1
+        )
+
+    def set_addresses(self, address: ids.Address, peer_address: ids.Address) -> None:
+        """Set the own addresses, before the first message goes out."""
+        self.local = msgspec.structs.replace(
+            self.local, address=address, peer_address=peer_address
+        )
+
     def refute(self, suspicion: messages.Suspicion) -> None:
         """Publish a newer own record if the suspicion is about the current one."""
         if suspicion.record_version >= self.local.record_version:
