--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -406,9 +406,9 @@
     return peer_link.PeerLink(
         peer_seal.Sealer((b"a newer key in front", KEY)),
         metrics.Metrics(),
-        on_gossip,
-        lambda frame: frame.document,
-        msgpack_codec.MSGPACK,
+        on_gossip=on_gossip,
+        on_frame=lambda frame: frame.document,
+        codec=msgpack_codec.MSGPACK,
     )
 
 
--- a/spindlenotch/cli/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -178,9 +178,9 @@
     link = peer_link.PeerLink(
         peer_seal.Sealer((order.peer_key.encode(),)),
         metrics.Metrics(),
-        lambda message: None,
-        lambda frame: frame.document,
-        capnp_codec.CAPNP,
+        on_gossip=lambda message: None,
+        on_frame=lambda frame: frame.document,
+        codec=capnp_codec.CAPNP,
     )
     document = entry_state.document_of(order.opened)
     targets = [ids.Address(peer) for peer in order.peers.split(",") if peer]
@@ -273,9 +273,9 @@
     link = peer_link.PeerLink(
         peer_seal.Sealer((peer_key.encode(),)),
         metrics.Metrics(),
-        lambda message: None,
-        lambda frame: frame.document,
-        capnp_codec.CAPNP,
+        on_gossip=lambda message: None,
+        on_frame=lambda frame: frame.document,
+        codec=capnp_codec.CAPNP,
     )
     targets = [ids.Address(peer) for peer in peers.split(",") if peer]
     kind = documents.DocumentKind.BUNDLE
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -62,8 +62,8 @@
         self.link = make_link(
             peer_seal.Sealer(state.config.peer_keys),
             state.metrics,
-            self._on_gossip,
-            self._on_frame,
+            on_gossip=self._on_gossip,
+            on_frame=self._on_frame,
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._recheck = asyncio.Event()
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -47,9 +47,9 @@
         self.link = peer_link.PeerLink(
             peer_seal.Sealer(state.config.peer_keys),
             state.metrics,
-            self._on_gossip,
-            lambda frame: self.on_frame(frame),
-            msgpack_codec.MSGPACK,
+            on_gossip=self._on_gossip,
+            on_frame=lambda frame: self.on_frame(frame),
+            codec=msgpack_codec.MSGPACK,
         )
 
     async def start(self) -> None:
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -55,6 +55,7 @@
         self,
         sealer: peer_seal.Sealer,
         measured: metrics.Metrics,
+        *,
         on_gossip: GossipListener,
         on_frame: FrameListener,
         codec: wire_format.Codec,
