--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -93,10 +93,6 @@
         """Return the members that serve, this one included."""
         return self.membership.ready_members()
 
-    def suspect_s(self) -> float:
-        """Return the seconds that a suspicion stands before its member is dropped."""
-        return self.membership.suspect_s()
-
     # What changes here
 
     def set_status(self, status: messages.Status, version: int) -> None:
