--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -86,7 +86,7 @@
         state, passing = gateway(SEED)
         peer(state, "p", messages.Status.READY)
         told: list[ids.Address] = []
-        passing.link.tell = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
+        passing.link.send = lambda message, targets, told=told: told.extend(  # type: ignore[method-assign,misc]
             targets
         )
         state.reads_source = reads
--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -10,7 +10,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids, ports
-from spindlenotch.forwarding import data_path
+from spindlenotch.forwarding import exchanges
 from spindlenotch.gateway import (
     answers,
     job_factory,
@@ -110,7 +110,7 @@
 
 def read(*pieces: bytes | ports.UpstreamFault) -> object:
     """Return what an answer of these pieces counts as."""
-    exchange = typing.cast(data_path.Exchange, Exchange(list(pieces)))
+    exchange = typing.cast(exchanges.Exchange, Exchange(list(pieces)))
     return asyncio.run(answers.read(exchange))
 
 
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -46,8 +46,8 @@
         self.link = make_link(
             peer_seal.Sealer(state.config.peer_keys),
             state.metrics,
-            self._on_gossip,
-            self._on_frame,
+            on_gossip=self._on_gossip,
+            on_frame=self._on_frame,
         )
         self._tasks = background.BackgroundTasks()
         self.membership = membership_loop.MembershipLoop(state, self.link)
--- a/spindlenotch/entry/document_relay.py
+++ b/spindlenotch/entry/document_relay.py
@@ -72,7 +72,7 @@
         Tells whether at least one of them answered with a bundle.
         """
         requests = [
-            self.link.ask(address, kind)
+            self.link.fetch(address, kind)
             for address in sources
             for kind in documents.DocumentKind
         ]
@@ -86,7 +86,7 @@
     async def _fetch(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._fetching.add(kind)
         try:
-            document = await self.link.ask(source, kind)
+            document = await self.link.fetch(source, kind)
         finally:
             self._fetching.discard(kind)
         if document is not None and document.kind is kind:
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -11,8 +11,6 @@
 import random
 import secrets
 
-import msgspec
-
 from spindlenotch import clock, events, ids, metrics
 from spindlenotch.bundles import bundle, bundle_seal, kernel_policy
 from spindlenotch.decisions import balancer
@@ -193,9 +191,7 @@
 
     def set_addresses(self, listen: ids.Address, peer_listen: ids.Address) -> None:
         """Set the addresses in use; they differ from the settings' for port 0."""
-        self.gossip.local = msgspec.structs.replace(
-            self.gossip.local, address=listen, peer_address=peer_listen
-        )
+        self.gossip.set_addresses(listen, peer_listen)
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
--- a/spindlenotch/entry/membership_loop.py
+++ b/spindlenotch/entry/membership_loop.py
@@ -41,7 +41,7 @@
         state = self.state
         handled = state.gossip.handle(message, state.clock.now())
         if handled.reply is not None:
-            self.link.tell(handled.reply, [message.sender.peer_address])
+            self.link.send(handled.reply, [message.sender.peer_address])
         if handled.members_changed:
             events.emit(events.Event.PEER_SEEN, host=message.sender.host)
             state.members_changed()
@@ -54,7 +54,7 @@
     def send_to_some(self) -> None:
         """Send the current view to a few random members at once."""
         targets = self.state.gossip.random_targets(probing.FANOUT)
-        self.link.tell(self.state.gossip.compose(), targets)
+        self.link.send(self.state.gossip.compose(), targets)
 
     def send_to_all(self) -> None:
         """Send the current view to every known member at once."""
@@ -62,7 +62,7 @@
             known.record.peer_address
             for known in self.state.gossip.known_by_host.values()
         ]
-        self.link.tell(self.state.gossip.compose(), everyone)
+        self.link.send(self.state.gossip.compose(), everyone)
 
     def _send_heartbeats(self) -> None:
         """Send to the members next in order, and to a seed where few are known."""
@@ -72,7 +72,7 @@
             self.state.gossip.expected_members = len(listed)
             seeds += [ids.Address(h.peer_address) for h in listed if h.peer_address]
         targets = self.state.gossip.targets(seeds, self.state.clock.now())
-        self.link.tell(self.state.gossip.compose(wants_reply=True), targets)
+        self.link.send(self.state.gossip.compose(wants_reply=True), targets)
 
     def _drop_dead_members(self) -> None:
         dead = self.state.gossip.sweep(self.state.clock.now())
--- a/spindlenotch/gateway/load_sharing.py
+++ b/spindlenotch/gateway/load_sharing.py
@@ -84,7 +84,7 @@
                 reads_source=self.state.reads_source,
                 loads=tuple(records[start : start + messages.LOADS_PER_MESSAGE]),
             )
-            self.link.tell(message, targets)
+            self.link.send(message, targets)
 
     def _targets(
         self, active_zones: dict[ids.HostId, ids.ZoneName]
--- a/spindlenotch/gateway/membership.py
+++ b/spindlenotch/gateway/membership.py
@@ -50,9 +50,9 @@
         self.link = peer_link.PeerLink(
             peer_seal.Sealer(gateway_state.config.peer_keys),
             gateway_state.metrics,
-            self._on_gossip,
-            self._on_frame,
-            msgpack_codec.MSGPACK,
+            on_gossip=self._on_gossip,
+            on_frame=self._on_frame,
+            codec=msgpack_codec.MSGPACK,
         )
 
     def add_listener(self, listener: MessageListener) -> None:
@@ -76,7 +76,7 @@
                 gateway_state.config.peers, gateway_state.clock.now()
             )
             targets += self._undiscovered(targets)
-            self.link.tell(gateway_state.gossip.compose(wants_reply=True), targets)
+            self.link.send(gateway_state.gossip.compose(wants_reply=True), targets)
             for record in gateway_state.gossip.sweep(gateway_state.clock.now()):
                 events.emit(events.Event.PEER_GONE, host=record.host)
             period_s = gateway_state.gossip.timing.period_s
@@ -88,7 +88,7 @@
             peer.record.peer_address
             for peer in self.state.gossip.known_by_host.values()
         ]
-        self.link.tell(self.state.gossip.compose(), everyone)
+        self.link.send(self.state.gossip.compose(), everyone)
 
     async def _bootstrap(self) -> None:
         """Ask the peers of the settings until one has answered, for a short time."""
@@ -101,7 +101,7 @@
         for _ in range(BOOTSTRAP_ROUNDS):
             if gateway_state.gossip.known_by_host or not others:
                 return
-            self.link.tell(gateway_state.gossip.compose(wants_reply=True), others)
+            self.link.send(gateway_state.gossip.compose(wants_reply=True), others)
             await asyncio.sleep(BOOTSTRAP_PAUSE_S)
 
     def _undiscovered(self, asked: list[ids.Address]) -> list[ids.Address]:
@@ -119,7 +119,7 @@
     def _on_gossip(self, message: messages.Message) -> None:
         handled = self.state.gossip.handle(message, self.state.clock.now())
         if handled.reply is not None:
-            self.link.tell(handled.reply, [message.sender.peer_address])
+            self.link.send(handled.reply, [message.sender.peer_address])
         for listener in self._listeners:
             listener.message_received(message, handled)
         if handled.members_changed:
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -78,7 +78,7 @@
             reader = self._reader()
             if reader is not None:
                 message = self.state.gossip.compose(wants_reply=True)
-                self.link.tell(message, [reader.peer_address])
+                self.link.send(message, [reader.peer_address])
             await asyncio.sleep(jitter.jittered(ASK_PERIOD_S, self.state.rng))
 
     # Who reads
@@ -171,7 +171,7 @@
                 return
             targets = set(gossip_state.random_targets(probing.FANOUT))
             targets.update(self._zone_addresses())
-            self.link.tell(gossip_state.compose(), sorted(targets))
+            self.link.send(gossip_state.compose(), sorted(targets))
             await asyncio.sleep(ANNOUNCE_PAUSE_S)
 
     def _zone_addresses(self) -> list[ids.Address]:
--- a/spindlenotch/gateway/state_dump.py
+++ b/spindlenotch/gateway/state_dump.py
@@ -97,7 +97,7 @@
 def _peer(known: membership.Peer, now: ids.Instant) -> PeerDump:
     return PeerDump(
         status=known.record.status.name,
-        last_heartbeat_s_ago=round(now - known.last_heard_at, AGE_DIGITS),
+        last_heartbeat_s_ago=round(now - known.updated_at, AGE_DIGITS),
         missed=known.missed,
     )
 
--- a/spindlenotch/peers/document_exchange.py
+++ b/spindlenotch/peers/document_exchange.py
@@ -48,7 +48,7 @@
     async def _fetch(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._fetching.add(kind)
         try:
-            document = await self.link.ask(source, kind)
+            document = await self.link.fetch(source, kind)
         finally:
             self._fetching.discard(kind)
         if document is not None and document.kind is kind:
