--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -108,8 +108,8 @@
 def sessions(context: typing.Any) -> None:
     async def check() -> None:
         port = upstream_http.HttpUpstreamPort()
-        for fresh in (False, True):
-            session = port._session(fresh=fresh)
+        for new_connection in (False, True):
+            session = port._session(new_connection=new_connection)
             # Five minutes by default, which would cut long uploads.
             assert session.timeout.total is None
             assert session.timeout.sock_read is None
@@ -117,7 +117,7 @@
             assert session.auto_decompress is False
             assert session._retry_connection is False
             assert session.connector is not None
-            assert session.connector.force_close is fresh
+            assert session.connector.force_close is new_connection
         await port.close()
 
     context.runner.run(check())
--- a/features/steps/platform_connections.py
+++ b/features/steps/platform_connections.py
@@ -47,7 +47,7 @@
         headers=[("Host", "h"), (http_dialect.REQUEST_ID, request_id)],
         body=None,
         request_id=request_id,
-        fresh=False,
+        needs_new_connection=False,
         may_send=lambda: True,
     )
 
--- a/features/support/fake_upstreams.py
+++ b/features/support/fake_upstreams.py
@@ -139,7 +139,7 @@
         world = self.all_upstreams.world
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
-        await asyncio.sleep(fakes.WAY_S if request.fresh else 0)
+        await asyncio.sleep(fakes.WAY_S if request.needs_new_connection else 0)
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
         future, resolve = fakes.reply(world, self.loop)
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -103,8 +103,10 @@
 
     def __init__(self, dialect: upstream_dialect.UpstreamDialect | None = None) -> None:
         self.dialect = dialect or upstream_dialect.NATIVE
-        self._kept = http_client.LazySession(lambda: _new_session(force_close=False))
-        self._fresh = http_client.LazySession(lambda: _new_session(force_close=True))
+        self._reusing = http_client.LazySession(lambda: _new_session(force_close=False))
+        self._single_use = http_client.LazySession(
+            lambda: _new_session(force_close=True)
+        )
 
     async def send(
         self, request: ports.UpstreamRequest
@@ -138,7 +140,7 @@
 
     async def _respond(self, request: ports.UpstreamRequest) -> aiohttp.ClientResponse:
         """Send over the first idle connection that can be used, or a new one."""
-        session = self._session(fresh=request.fresh)
+        session = self._session(new_connection=request.needs_new_connection)
         while True:
             try:
                 return await session.request(
@@ -158,7 +160,7 @@
         self, address: ids.Address, timeout_s: float, path: str | None = None
     ) -> upstreams.LoadReport | ports.UpstreamFault:
         """Ask an upstream for its load; see ``ports.UpstreamPort.probe``."""
-        session = self._session(fresh=False)
+        session = self._session(new_connection=False)
         target = path or self.dialect.probe_path
         try:
             async with session.get(
@@ -181,11 +183,11 @@
 
     async def close(self) -> None:
         """Drop all connections."""
-        for session in (self._kept, self._fresh):
+        for session in (self._reusing, self._single_use):
             await session.close()
 
-    def _session(self, *, fresh: bool) -> aiohttp.ClientSession:
-        return (self._fresh if fresh else self._kept).get()
+    def _session(self, *, new_connection: bool) -> aiohttp.ClientSession:
+        return (self._single_use if new_connection else self._reusing).get()
 
 
 def _watch_closing(
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -124,8 +124,9 @@
 
     ``target`` is the request target as it is sent, path and query. ``headers``
     include all that are to be sent, ``request_id`` the one that the answer
-    must echo. ``fresh`` asks for a new connection. ``may_send`` is asked first,
-    and again when a new connection is up, before the first byte.
+    must echo. With ``needs_new_connection`` no idle connection is used.
+    ``may_send`` is asked first, and again when a new connection is up, before
+    the first byte.
     """
 
     address: ids.Address
@@ -134,7 +135,7 @@
     headers: list[tuple[str, str]]
     body: bytes | abc.AsyncIterable[bytes] | None
     request_id: str
-    fresh: bool
+    needs_new_connection: bool
     may_send: abc.Callable[[], bool]
 
 
