--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -3,7 +3,7 @@
 import zlib
 
 from features.steps import kernel
-from features.support import hostile as hostile_bytes
+from features.support import hostile_bytes
 from spindlenotch import ids
 from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from features.steps import kernel
-from features.support import hostile as hostile_bytes, platform_fleet
+from features.support import hostile_bytes, platform_fleet
 from spindlenotch import events, ids
 from spindlenotch.gateway import listing, log_sink, prober, routing, settings, sources
 from spindlenotch.kernel import budgets, ownership, upstreams
