--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -274,7 +274,7 @@
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
         """Fetch a peer's document."""
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
+        nothing = documents.absent(kind)
         return await self._call(target, messages.DocumentFrame(1, True, nothing))
 
     async def push(
--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -191,7 +191,7 @@
         kind = frame.document.kind
         if not frame.wanted:
             self._offer(frame.document)
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
+        nothing = documents.absent(kind)
         return self.state.fence.document_by_kind.get(kind, nothing)
 
     def _offer(
--- a/spindlenotch/gateway/fleet.py
+++ b/spindlenotch/gateway/fleet.py
@@ -212,4 +212,4 @@
 
 def _nothing_held(frame: messages.DocumentFrame) -> documents.Document:
     """Stand in for a holder of documents that is not set."""
-    return documents.Document(frame.document.kind, 0, ids.Digest(""), b"")
+    return documents.absent(frame.document.kind)
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -212,7 +212,7 @@
 
     def _on_frame(self, frame: messages.DocumentFrame) -> documents.Document:
         kind = frame.document.kind
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
+        nothing = documents.absent(kind)
         return self.fence.document_by_kind.get(kind, nothing)
 
     def _spawn(self, work: "abc.Coroutine[None, None, None]") -> None:
