--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -45,9 +45,9 @@
     """Return what is estimated of ``upstream`` and what a call would cost there."""
     load = pool.estimated_load(upstream, now)
     return selection.Candidate(
-        upstream.spec.id,
-        estimate(pool, upstream, load, now),
-        load,
-        now - upstream.report_at,
-        upstream.owned_slots,
+        upstream=upstream.spec.id,
+        cost=estimate(pool, upstream, load, now),
+        load=load,
+        report_age_s=now - upstream.report_at,
+        owned_slots=upstream.owned_slots,
     )
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -77,11 +77,12 @@
         near = [name for name, cost in cost_by_id.items() if cost <= limit]
         chosen = pool.upstream_by_id[pool.rng.choice(near)]
         candidate = selection.Candidate(
-            chosen.spec.id,
-            cost_by_id[chosen.spec.id],
-            pool.estimated_load(chosen, now),
-            now - chosen.report_at,
-            0.0,
+            upstream=chosen.spec.id,
+            cost=cost_by_id[chosen.spec.id],
+            load=pool.estimated_load(chosen, now),
+            report_age_s=now - chosen.report_at,
+            # This policy does not divide slots among processes.
+            owned_slots=0.0,
         )
         return selection.Choice(chosen, selection.Rule.SOONEST, (candidate,))
 
--- a/spindlenotch/kernel/hostlist.py
+++ b/spindlenotch/kernel/hostlist.py
@@ -66,10 +66,10 @@
     """Return the upstreams of ``service`` that are not leaving."""
     return [
         upstreams.UpstreamSpec(
-            ids.UpstreamId(host.id),
-            ids.ZoneName(host.zone),
-            ids.Address(host.address),
-            host.generation,
+            id=ids.UpstreamId(host.id),
+            zone=ids.ZoneName(host.zone),
+            address=ids.Address(host.address),
+            generation=host.generation,
         )
         for host in table.hosts
         if host.role is Role.UPSTREAM
