--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -48,7 +48,7 @@
 
 
 @selection.POLICIES.register("owned")
-class OwnedPolicy:
+class OwnedSlotsPolicy:
     """
     Chooses by ownership, then by expected cost, within a limit.
 
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -43,7 +43,7 @@
 
 
 @selection.POLICIES.register(NAME)
-class PacedPolicy:
+class SoonestPolicy:
     """
     Chooses the upstream with the soonest expected end.
 
@@ -58,19 +58,7 @@
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
         """Take one of the nearly soonest at random, so that not all take the same."""
-        if len(pool.usable_order) > MOST_COMPARED:
-            options = selection.sample(pool, MOST_COMPARED, now, exclude)
-        else:
-            options = selection.eligible(pool, now, exclude)
-        if now < call.wait_until:
-            options = without_slowed(options, now)
-        typical_s = pool.latencies.typical_s(call.latency_key)
-        cost_by_id: dict[ids.UpstreamId, float] = {}
-        for upstream in options:
-            load = pool.estimated_load(upstream, now)
-            if has_room(upstream, load, pool.crowding):
-                cost = expected_s(pool, call, upstream, load, typical_s, now)
-                cost_by_id[upstream.spec.id] = cost
+        cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
         if not cost_by_id:
             return None
         limit = min(cost_by_id.values()) * (1.0 + NEAR_SHARE)
@@ -92,6 +80,38 @@
         """Ignore the queue: no upstream gets more than its slots."""
 
 
+def _options(
+    pool: upstream_pool.Pool,
+    call: waiting.Call,
+    now: ids.Instant,
+    exclude: selection.Exclusion,
+) -> list[upstreams.Upstream]:
+    """Return the upstreams that are compared."""
+    if len(pool.usable_order) > MOST_COMPARED:
+        options = selection.sample(pool, MOST_COMPARED, now, exclude)
+    else:
+        options = selection.eligible(pool, now, exclude)
+    # After that instant a retry takes a slowed one rather than none.
+    return without_slowed(options, now) if now < call.wait_until else options
+
+
+def _costs(
+    pool: upstream_pool.Pool,
+    call: waiting.Call,
+    options: list[upstreams.Upstream],
+    now: ids.Instant,
+) -> dict[ids.UpstreamId, float]:
+    """Return the expected time in seconds at each upstream that has room."""
+    typical_s = pool.latencies.typical_s(call.latency_key)
+    cost_by_id: dict[ids.UpstreamId, float] = {}
+    for upstream in options:
+        load = pool.estimated_load(upstream, now)
+        if has_room(upstream, load, pool.crowding):
+            cost = expected_s(pool, call, upstream, load, typical_s, now)
+            cost_by_id[upstream.spec.id] = cost
+    return cost_by_id
+
+
 def without_slowed(
     options: list[upstreams.Upstream], now: ids.Instant
 ) -> list[upstreams.Upstream]:
