--- a/spindlenotch/peers/probing.py
+++ b/spindlenotch/peers/probing.py
@@ -3,7 +3,7 @@
 
 Members are probed in a shuffled round robin, as in SWIM, so that each one is
 probed within a bounded time and no two members keep the same order. A member
-that missed a reply is probed again at once. What a missed reply means is
+that missed a reply is probed first in the next period. What that means is
 decided in ``membership``.
 """
 
