--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -63,8 +63,8 @@
             "kernel/crowding.CROWDED",
             "decisions/silence.FREE_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
-            "gateway/jobs.CROSS_ZONE_S",
-            "gateway/jobs.CROSS_ZONE_S_PER_BYTE",
+            "gateway/job_factory.CROSS_ZONE_S",
+            "gateway/job_factory.CROSS_ZONE_S_PER_BYTE",
         ),
         events=("REQUEST_SERVED", "REQUEST_SENT_AGAIN"),
         tests=(
@@ -81,7 +81,7 @@
     Rule(
         question="Which upstream takes a request (entry daemon)",
         functions=(
-            "decisions/owned_slots.OwnedPolicy.choose",
+            "decisions/owned_slots.OwnedSlotsPolicy.choose",
             "decisions/queueing_cost.estimate",
             "kernel/ownership.owned",
         ),
@@ -96,8 +96,10 @@
             "decisions/owned_slots.LEAST_FACTOR",
             "decisions/owned_slots.MOST_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
-            "decisions/queueing_cost.ZONE_CROSSING_S",
+            "kernel/waiting.CROSS_ZONE_S",
             "decisions/queueing_cost.LEAST_LATENCY_RATIO",
+            "decisions/overload.REFUSED_SHARE",
+            "decisions/overload.QUEUED_PER_SLOT",
         ),
         events=(),
         tests=(
@@ -113,7 +115,7 @@
             "decisions/queueing.is_hopeless",
             "decisions/queueing.is_given_up",
             "decisions/queueing.displaced_by",
-            "gateway/jobs.queue_wait_s",
+            "gateway/job_factory.queue_wait_s",
             "kernel/waiting.WaitQueue",
         ),
         inputs="rank, deadline (instant), calls ahead, typical latency (s), own slots,"
@@ -122,8 +124,8 @@
         " one can pass it. It is refused as soon as it can't make its deadline, or"
         " has waited its share of the target.",
         constants=(
-            "gateway/jobs.QUEUE_WAIT_SHARE",
-            "gateway/jobs.QUEUE_WAIT_WITHOUT_TARGET_S",
+            "gateway/job_factory.QUEUE_WAIT_SHARE",
+            "gateway/job_factory.QUEUE_WAIT_WITHOUT_TARGET_S",
             "decisions/queueing.LEAST_SLOTS",
             "kernel/waiting.OLDEST_FIRST_EVERY",
             "forwarding/granting.QUEUE_CHECK_S",
@@ -143,7 +145,7 @@
         question="What a refusal says, and when to come back",
         functions=(
             "decisions/queueing.retry_at",
-            "kernel/pool.Pool.usable_again_at",
+            "kernel/upstream_pool.Pool.usable_again_at",
             "gateway/refusals.not_run",
             "gateway/refusals.failure_status",
             "forwarding/judgement.refusal",
@@ -202,9 +204,9 @@
         " chance explains, or the call is slower than 95 in 100; never with calls"
         " waiting.",
         constants=(
-            "decisions/hedging.SILENCE_EXPONENT",
-            "decisions/hedging.SLOWED_SHARE",
-            "decisions/hedging.CHECK_SHARE",
+            "decisions/hedging.MISSED_ANSWERS",
+            "decisions/hedging.SLOWED_AGE_SHARE",
+            "decisions/hedging.SLOWDOWN_CHECK_SHARE",
         ),
         events=("REQUEST_SENT_AGAIN",),
         tests=(
@@ -356,8 +358,8 @@
         " lease: too many or too few holders for a moment do no harm.",
         constants=(
             "gateway/relay.READER_LOST_S",
-            "gateway/relay.ASK_S",
-            "gateway/relay.FIRST_PEER_S",
+            "gateway/relay.ASK_PERIOD_S",
+            "gateway/relay.FIRST_PEER_WAIT_S",
             "gateway/duties.UPSTREAMS_PER_PROBER",
             "gateway/discovery.SETTLE_S",
             "gateway/discovery.REWRITE_S",
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -65,10 +65,14 @@
     module = _module(path)
     for one in constants.constants_of(module):
         if one.name == attribute:
-            return f"| `{name}` | {one.value} | {one.comment.replace('|', '/')} |"
+            return f"| `{name}` | {one.value} | {_inline(one.comment)} |"
     raise UnknownReferenceError(f"constant {name}")
 
 
+def _inline(comment: str) -> str:
+    return comment.replace("``", "`").replace("|", "/")
+
+
 def _module(path: str) -> pathlib.Path:
     for root in docs_check.CODE_ROOTS:
         module = (pathlib.Path(root) / path).with_suffix(".py")
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -13,6 +13,7 @@
 from spindlenotch.entry import settings
 from spindlenotch.gateway import settings as gateway_settings
 from spindlenotch.settings import schema
+from tools import decisions
 
 #: The folder of the pages.
 DOCS = pathlib.Path(__file__).parents[1] / "docs"
@@ -53,6 +54,7 @@
 def pages() -> dict[str, str]:
     """Return the whole text of every page with a generated part, by file name."""
     return {
+        "DECISIONS.md": decisions.page(),
         "EVENTS.md": events.catalogue(),
         "OPERATIONS.md": _filled(
             "OPERATIONS.md",
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -25,6 +25,8 @@
     "import layers": [str(BIN / "lint-imports")],
     "import rule": [sys.executable, "tools/import_rule.py"],
     "platform names": [sys.executable, "tools/platform_names.py"],
+    "constants": [sys.executable, "-m", "tools.constants"],
+    "docs": [sys.executable, "-m", "tools.docs_check"],
 }
 
 
