--- /dev/null
+++ b/spindlenotch/bundles/account_tables.py
@@ -0,0 +1,83 @@
+"""
+Read who may send what: the request classes and the client accounts of a bundle.
+
+Owns the checks of ``[classes]``, ``[unknown_callers]`` and ``[callers.NAME]``.
+In the code a caller whose key and classes a bundle lists is a client account;
+the tables keep their names, as signed bundles have them.
+"""
+
+import re
+
+from spindlenotch import ids
+from spindlenotch.bundles import bundle, faults, table_reader
+
+SHA256_HEX = re.compile(r"[0-9a-f]{64}")
+#: Rank of the class that is served last; 0 is served first. Chosen, not measured.
+MAX_RANK = 9
+
+RankByClass = dict[ids.ClassName, int]
+
+
+def read_classes(top: table_reader.TableReader) -> RankByClass:
+    """Read ``[classes]``: ``NAME = RANK`` or ``NAME = { rank = RANK }``."""
+    classes = top.subtable("classes")
+    rank_by_class: RankByClass = {}
+    for name, value in classes.table.items():
+        classes.check_name(name, classes.path)
+        rank = value.get("rank") if isinstance(value, dict) else value
+        if type(rank) is int and 0 <= rank <= MAX_RANK:
+            rank_by_class[ids.ClassName(name)] = rank
+        else:
+            allowed = f"a whole number from 0 to {MAX_RANK}"
+            classes.refuse(f"{name}.rank", rank, allowed)
+        if isinstance(value, dict):
+            classes.subtable(name).refuse_unknown(("rank",))
+    if not rank_by_class:
+        top.refuse("classes", "nothing", "at least one class with a rank")
+        # Lets the checks of what refers to a class go on.
+        rank_by_class[ids.ClassName("")] = 0
+    return rank_by_class
+
+
+def read_unknown_class(
+    top: table_reader.TableReader, rank_by_class: RankByClass
+) -> ids.ClassName | None:
+    """Return the class of callers without an account; None: they are refused."""
+    table = top.subtable("unknown_callers")
+    table.refuse_unknown(("class",))
+    name = table.get("class", "")
+    if name == "":
+        return None
+    if name not in rank_by_class:
+        table.refuse("class", name, faults.one_of(rank_by_class))
+    return ids.ClassName(name)
+
+
+def read_accounts(
+    top: table_reader.TableReader, rank_by_class: RankByClass
+) -> dict[ids.CallerName, bundle.CallerGrant]:
+    """Read the client accounts, ``[callers.NAME]``, by name."""
+    return {
+        ids.CallerName(name): _read_account(table, ids.CallerName(name), rank_by_class)
+        for name, table in top.subtable("callers").named_subtables()
+    }
+
+
+def _read_account(
+    table: table_reader.TableReader,
+    name: ids.CallerName,
+    rank_by_class: RankByClass,
+) -> bundle.CallerGrant:
+    table.refuse_unknown(("key_sha256", "classes"))
+    key = table.get("key_sha256")
+    if not (isinstance(key, str) and SHA256_HEX.fullmatch(key)):
+        table.refuse("key_sha256", key, "64 lower-case hex digits")
+    class_names = table.strings("classes")
+    for class_name in class_names:
+        if class_name not in rank_by_class:
+            table.refuse("classes", class_name, faults.one_of(rank_by_class))
+    return bundle.CallerGrant(
+        name=name,
+        key_sha256=str(key),
+        class_names=tuple(map(ids.ClassName, class_names)),
+    )
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -8,7 +8,7 @@
 from collections import abc
 
 from spindlenotch import events
-from spindlenotch.bundles import bundle_check
+from spindlenotch.bundles import scalar_fields
 from spindlenotch.entry import settings
 from spindlenotch.gateway import settings as gateway_settings
 
@@ -17,7 +17,7 @@
 END = "<!-- made from the code: end -->"
 
 
-def fields(title: str, rows: abc.Iterable[bundle_check.Field]) -> str:
+def fields(title: str, rows: abc.Iterable[scalar_fields.Field]) -> str:
     """Return a table of bundle fields."""
     lines = [
         f"### {title}",
@@ -26,7 +26,7 @@
         "|---|---|---|---|---|---|---|",
     ]
     for f in rows:
-        default = "required" if f.default is bundle_check.REQUIRED else f.default
+        default = "required" if f.default is scalar_fields.REQUIRED else f.default
         low = "" if f.low is None else f"{f.low:g}"
         high = "" if f.high is None else f"{f.high:g}"
         lines.append(
@@ -39,10 +39,10 @@
 def bundle_reference() -> str:
     """Return all scalar fields of a bundle."""
     parts = (
-        fields("Top level", bundle_check.TOP_FIELDS),
-        fields("`[measuring]`", bundle_check.MEASURING_FIELDS),
-        fields("`[claims]`", bundle_check.CLAIMS_FIELDS),
-        fields("`[services.NAME]`", bundle_check.SERVICE_FIELDS),
+        fields("Top level", scalar_fields.TOP_FIELDS),
+        fields("`[measuring]`", scalar_fields.MEASURING_FIELDS),
+        fields("`[claims]`", scalar_fields.CLAIMS_FIELDS),
+        fields("`[services.NAME]`", scalar_fields.SERVICE_FIELDS),
     )
     return "\n".join(parts)
 
