--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -518,7 +518,7 @@
 def earlier_envelope() -> bundle_seal.Envelope:
     """Return the envelope of version 41, whose log begins there."""
     sealed = bundle_seal.seal(text_of("bundle-bare.toml"), PRIVATE_EARLIER)
-    return bundle_seal.logged(sealed, None, 41, 1_700_000_000.5)
+    return bundle_seal.with_log(sealed, None, 41, 1_700_000_000.5)
 
 
 def sealed_bundle() -> bundle_seal.Envelope:
@@ -528,7 +528,9 @@
 
 def envelope() -> bundle_seal.Envelope:
     """Return the envelope of version 42 with its log."""
-    return bundle_seal.logged(sealed_bundle(), earlier_envelope(), 42, 1_700_000_060.25)
+    return bundle_seal.with_log(
+        sealed_bundle(), earlier_envelope(), 42, 1_700_000_060.25
+    )
 
 
 def opened(data: bytes) -> object:
--- a/spindlenotch/bundles/bundle_seal.py
+++ b/spindlenotch/bundles/bundle_seal.py
@@ -1,9 +1,10 @@
 """
-Sign-off of bundles: Ed25519 signatures by operators, checked by every entry.
+Sign bundles with operators' Ed25519 keys, and verify them in every entry.
 
-What travels and is stored is an ``Envelope``. The version is part of the
-signed text, so nobody can give an old text a new number. Sits between
-``bundle_check`` and whoever publishes or applies a bundle.
+Owns the ``Envelope``, which is what the store holds and peers exchange, and
+its JSON form. The version is part of the signed text, so nobody can give an
+old text a new number. The log is not signed: it serves operators, no entry
+decides by it. Relies on ``bundle_check`` for the text.
 """
 
 import dataclasses
@@ -18,11 +19,12 @@
 from spindlenotch import ids
 from spindlenotch.bundles import bundle, bundle_check
 
-MAX_LOG = 50
+#: Versions that the log keeps. Chosen, not measured.
+MAX_LOG_ENTRIES = 50
 
 
 class SealFault(enum.Enum):
-    """Why an envelope cannot be trusted."""
+    """Why an envelope is not accepted; the values are printed to operators."""
 
     GARBLED = "garbled"
     UNTRUSTED_KEY = "untrusted-key"
@@ -31,7 +33,12 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One accepted bundle in the envelope's memory of its forebears."""
+    """
+    One accepted version: digest of its text, the signer's public key.
+
+    ``signed_at`` is the time of publication in seconds since 1970, by the
+    operator's clock.
+    """
 
     version: int
     digest: str
@@ -45,8 +52,8 @@
 
     ``key`` is the signer's public key and ``signature`` the signature over
     the text, both in hexadecimal. ``log`` lists accepted versions, newest
-    last, this one included; it lets an operator whose answer was lost see
-    that the write took effect even after others have followed it.
+    last, this one included: an operator who got no reply to a write finds in
+    it that the write took effect, even after later versions.
     """
 
     text: str
@@ -55,13 +62,13 @@
     log: tuple[LogEntry, ...] = ()
 
     def digest(self) -> ids.Digest:
-        """Return the SHA-256 of the text."""
+        """Return the SHA-256 of the text in hexadecimal."""
         return ids.Digest(hashlib.sha256(self.text.encode()).hexdigest())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Opened:
-    """An envelope whose signature held, with the bundle in it."""
+    """An envelope whose signature was verified, with the bundle in it."""
 
     envelope: Envelope
     bundle: bundle.Bundle
@@ -80,7 +87,11 @@
 
 
 def seal(text: str, private_hex: str) -> Envelope:
-    """Sign ``text``. Raise ``ValueError`` where the key is no Ed25519 key."""
+    """
+    Sign ``text``; the log stays empty.
+
+    Raise ``ValueError`` where the key is not 32 bytes in hexadecimal.
+    """
     key = ed25519.Ed25519PrivateKey.from_private_bytes(bytes.fromhex(private_hex))
     public = key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
@@ -88,22 +99,22 @@
     return Envelope(text, public.hex(), key.sign(text.encode()).hex())
 
 
-def logged(
-    envelope: Envelope, earlier: Envelope | None, version: int, at: float
+def with_log(
+    envelope: Envelope, earlier: Envelope | None, version: int, signed_at: float
 ) -> Envelope:
-    """Return ``envelope`` with the log of ``earlier`` and itself at its end."""
-    before = earlier.log if earlier else ()
-    own = LogEntry(version, envelope.digest(), envelope.key, at)
-    return msgspec.structs.replace(envelope, log=(*before, own)[-MAX_LOG:])
+    """Return ``envelope`` with the log of ``earlier`` and an entry of its own."""
+    log = earlier.log if earlier else ()
+    entry = LogEntry(version, envelope.digest(), envelope.key, signed_at)
+    return msgspec.structs.replace(envelope, log=(*log, entry)[-MAX_LOG_ENTRIES:])
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the stored form of ``envelope``."""
+    """Return the JSON form of ``envelope``."""
     return msgspec.json.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope | SealFault:
-    """Read the stored form."""
+    """Read the JSON form."""
     try:
         return msgspec.json.decode(data, type=Envelope)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -113,7 +124,7 @@
 def open_envelope(
     envelope: Envelope, trusted: frozenset[str], policies: tuple[str, ...]
 ) -> Opened | SealFault:
-    """Check signature and text; return the bundle or why not."""
+    """Verify the signature and check the text; return the bundle or why not."""
     if envelope.key not in trusted:
         return SealFault.UNTRUSTED_KEY
     try:
@@ -130,7 +141,7 @@
 def open_bytes(
     data: bytes, trusted: frozenset[str], policies: tuple[str, ...]
 ) -> Opened | SealFault:
-    """Decode and open in one step."""
+    """Decode an envelope and open it."""
     envelope = decode(data)
     if isinstance(envelope, SealFault):
         return envelope
--- a/spindlenotch/cli/publishing.py
+++ b/spindlenotch/cli/publishing.py
@@ -74,7 +74,7 @@
         return Published(Verdict.CONFLICT, head.newest)
     if version != base + 1:
         return Published(Verdict.WRONG_VERSION, head.newest)
-    envelope = bundle_seal.logged(sealed, head.envelope, version, signed_at)
+    envelope = bundle_seal.with_log(sealed, head.envelope, version, signed_at)
     if dry_run:
         return Published(Verdict.NOT_ACCEPTED, head.newest, envelope)
     return await _write(store, envelope, head, version)
