--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -141,7 +141,11 @@
         driver = ports.STORES.get("http")(f"http://{self.store.address}")
         try:
             result = await publishing.publish(
-                driver, sealed, base + 1, base, time.time()
+                driver,
+                sealed,
+                version=base + 1,
+                base=base,
+                published_at=time.time(),
             )
         finally:
             await driver.close()
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -249,7 +249,11 @@
         sealed = bundle_seal.seal(bundle_text(version, extra), self.private)
         try:
             return await publishing.publish(
-                store, sealed, version, version - 1 if base is None else base, 1.0
+                store,
+                sealed,
+                version=version,
+                base=version - 1 if base is None else base,
+                published_at=1.0,
             )
         finally:
             await store.close()
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -643,7 +643,11 @@
         before = bundle_seal.encode(earlier_envelope())
         driver, session = http_store(answer(200, 6, before), answer(200, 7))
         done = await publishing.publish(
-            driver, sealed_bundle(), 42, 41, 1_700_000_060.25
+            driver,
+            sealed_bundle(),
+            version=42,
+            base=41,
+            published_at=1_700_000_060.25,
         )
         assert done.verdict is publishing.Verdict.ACCEPTED, done
         return recorded.pretty(session.calls[-1])
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -234,7 +234,11 @@
 
         async def run() -> publishing.Published:
             result = await publishing.publish(
-                store, sealed, version, base, self.world.now
+                store,
+                sealed,
+                version=version,
+                base=base,
+                published_at=self.world.now,
             )
             if result.verdict is publishing.Verdict.ACCEPTED:
                 assert result.envelope is not None
--- a/spindlenotch/cli/cli_bundle.py
+++ b/spindlenotch/cli/cli_bundle.py
@@ -160,9 +160,9 @@
         result = await publishing.publish(
             store,
             opened.envelope,
-            opened.bundle.version,
-            order.base,
-            time.time(),
+            version=opened.bundle.version,
+            base=order.base,
+            published_at=time.time(),
             dry_run=order.dry_run,
         )
     finally:
@@ -218,16 +218,18 @@
     plugins.load()
     store = ports.STORES.get("http")(store_url)
     try:
-        found = await publishing.current(store)
+        return await publishing.current(store)
     finally:
         await store.close()
-    return found if isinstance(found, bundle_seal.Envelope) else None
 
 
 def _stored(store: str, json: bool) -> bundle_seal.Envelope:
-    found = uvloop.run(_fetch(store))
+    try:
+        found = uvloop.run(_fetch(store))
+    except publishing.ReadError as error:
+        _say(Report(False, f"{store}: {error}"), json, EXIT_FAILED)
     if found is None:
-        _say(Report(False, f"{store}: no bundle could be read"), json, EXIT_FAILED)
+        _say(Report(False, f"{store}: holds no bundle"), json, EXIT_FAILED)
     return found
 
 
