--- a/spindlenotch/__main__.py
+++ b/spindlenotch/__main__.py
@@ -1,6 +1,6 @@
 """Run the command line as ``python -m spindlenotch``."""
 
-from spindlenotch.cli import cli
+from spindlenotch.cli import main
 
 if __name__ == "__main__":
-    cli.main()
+    main.main()
--- a/spindlenotch/cli/explain_logs.py
+++ b/spindlenotch/cli/explain_logs.py
@@ -3,7 +3,7 @@
 
 Reads the lines that gateways wrote (``gateway.log_sink``), of several processes
 at once, one line at a time: memory is bounded whatever the files' size. Lines
-that can't be read are counted and named. Sits beside ``explain_client``, which
+that can't be read are counted and named. Sits beside ``explain_entry``, which
 asks a living process.
 """
 
--- a/spindlenotch/cli/cli.py
+++ b/spindlenotch/cli/main.py
@@ -14,7 +14,7 @@
 import uvloop
 
 import spindlenotch
-from spindlenotch.cli import cli_bundle, cli_load, explain_client, explain_logs
+from spindlenotch.cli import bundle_commands, load_commands, explain_entry, explain_logs
 from spindlenotch.entry import daemon, settings
 from spindlenotch.gateway import daemon as gateway_daemon, settings as gateway_settings
 
@@ -26,8 +26,8 @@
     help="A load balancer for servers whose load shifts in milliseconds.",
     version=spindlenotch.__version__,
 )
-app.command(cli_bundle.app, name="bundle")
-app.command(cli_load.app, name="caller")
+app.command(bundle_commands.app, name="bundle")
+app.command(load_commands.app, name="caller")
 
 
 def _help(head: str, table: abc.Iterable[settings.Setting]) -> str:
@@ -140,7 +140,7 @@
     if bool(service) == bool(call):
         print("give exactly one of --service and --call", file=sys.stderr)
         sys.exit(EXIT_USAGE)
-    found = uvloop.run(explain_client.fetch(operator, service, call))
+    found = uvloop.run(explain_entry.fetch(operator, service, call))
     if isinstance(found, str):
         print(found, file=sys.stderr)
         sys.exit(EXIT_FAILED)
@@ -148,7 +148,7 @@
         print(msgspec.json.format(msgspec.json.encode(found)).decode())
         return
     console = rich.console.Console()
-    for line in explain_client.lines(found):
+    for line in explain_entry.lines(found):
         console.print(line, highlight=False, markup=False)
 
 
