--- a/spindlenotch/cli/__init__.py
+++ b/spindlenotch/cli/__init__.py
@@ -1,3 +1,3 @@
 """
-The command line.
+The command line, ``python -m spindlenotch``: one module per group of commands.
 """
--- a/spindlenotch/cli/bundle_commands.py
+++ b/spindlenotch/cli/bundle_commands.py
@@ -1,93 +1,54 @@
 """
 ``spindlenotch bundle``: check, sign, publish and look at bundles.
+
+Each command reads its files, does one thing and ends with a report. The rules
+of publication are in ``publishing``; what goes over the network on behalf of
+a command is in ``bundle_network``.
 """
 
-import asyncio
 import dataclasses
 import difflib
 import pathlib
-import sys
-import time
-import typing
 
 import cyclopts
-import msgspec
 import uvloop
 
-from spindlenotch import ids, metrics, ports, selection
+from spindlenotch import selection
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
-from spindlenotch.cli import publishing
-from spindlenotch.entry import entry_state, plugins
-from spindlenotch.peers import documents, peer_codec, peer_link, peer_seal
+from spindlenotch.cli import bundle_network, publishing, reports
+from spindlenotch.entry import plugins
 
 app = cyclopts.App(help="Check, sign, publish and look at bundles.")
 
-EXIT_OK = 0
-EXIT_FAILED = 1
-EXIT_BAD_INPUT = 2
-EXIT_CONFLICT = 3
-EXIT_UNCERTAIN = 4
+#: Digits of keys and digests in lines for people. Chosen, not measured.
+SHOWN_DIGITS = 16
 
 
-class Report(msgspec.Struct, omit_defaults=True):
-    """What a command has to say, printed as text or JSON."""
+@dataclasses.dataclass(frozen=True, slots=True)
+class CheckedFile:
+    """The text of a bundle without mistakes, and the bundle in it."""
 
-    ok: bool
     text: str
-    version: int = 0
-    digest: str = ""
-    mistakes: tuple[str, ...] = ()
-
-
-def _say(report: Report, json: bool, code: int = EXIT_OK) -> typing.NoReturn:
-    if json:
-        print(msgspec.json.encode(report).decode())
-    else:
-        stream = sys.stdout if report.ok else sys.stderr
-        print(report.text, file=stream)
-        for mistake in report.mistakes:
-            print("  " + mistake, file=stream)
-    sys.exit(code)
-
-
-def _read(path: pathlib.Path, json: bool) -> str:
-    try:
-        return path.read_text()
-    except (OSError, UnicodeDecodeError) as error:
-        _say(Report(False, f"{path}: {error}"), json, EXIT_BAD_INPUT)
-
-
-def _checked(path: pathlib.Path, json: bool) -> tuple[str, bundle.Bundle]:
-    plugins.load()
-    text = _read(path, json)
-    result = bundle_check.check(text, selection.POLICIES.names())
-    if isinstance(result, bundle.Bundle):
-        return text, result
-    report = Report(
-        False,
-        f"{path}: {len(result)} mistakes",
-        mistakes=tuple(str(m) for m in result),
-    )
-    _say(report, json, EXIT_BAD_INPUT)
+    bundle: bundle.Bundle
 
 
 @app.command
 def check(path: pathlib.Path, *, json: bool = False) -> None:
     """Check a bundle and report every mistake in it."""
-    text, found = _checked(path, json)
-    text = f"{path}: version {found.version} is a good bundle"
-    _say(Report(True, text, found.version), json)
+    version = _read_checked(path, json).bundle.version
+    text = f"{path}: version {version} is a good bundle"
+    reports.finish(reports.Report(True, text, version), json=json)
 
 
 @app.command
 def keygen(private: pathlib.Path, *, json: bool = False) -> None:
     """Make an operator's key pair; writes PRIVATE, prints the public key."""
     if private.exists():
-        _say(Report(False, f"{private}: exists already"), json, EXIT_BAD_INPUT)
-    secret, public = bundle_seal.generate_key()
+        reports.fail(f"{private}: exists already", json=json)
+    private_hex, public_hex = bundle_seal.generate_key()
     private.touch(mode=0o600)
-    private.write_text(secret + "\n")
-    _say(Report(True, public), json)
+    private.write_text(private_hex + "\n")
+    reports.finish(reports.Report(True, public_hex), json=json)
 
 
 @app.command
@@ -95,14 +56,16 @@
     path: pathlib.Path, *, key: pathlib.Path, out: pathlib.Path, json: bool = False
 ) -> None:
     """Sign a checked bundle with an operator's private KEY; write OUT."""
-    text, found = _checked(path, json)
+    checked = _read_checked(path, json)
+    private_hex = _read_text(key, json).strip()
     try:
-        sealed = bundle_seal.seal(text, _read(key, json).strip())
+        sealed = bundle_seal.seal(checked.text, private_hex)
     except ValueError as error:
-        _say(Report(False, f"{key}: {error}"), json, EXIT_BAD_INPUT)
+        reports.fail(f"{key}: {error}", json=json)
     out.write_bytes(bundle_seal.encode(sealed))
-    report = Report(True, f"{out}: signed", found.version, sealed.digest())
-    _say(report, json)
+    version = checked.bundle.version
+    report = reports.Report(True, f"{out}: signed", version, sealed.digest())
+    reports.finish(report, json=json)
 
 
 @app.command
@@ -130,159 +93,152 @@
     json: Print JSON only.
     """
     plugins.load()
-    sealed = bundle_seal.decode(_read(path, json).encode())
-    if isinstance(sealed, bundle_seal.SealFault):
-        _say(Report(False, f"{path}: {sealed.value}"), json, EXIT_BAD_INPUT)
-    opened = bundle_seal.open_envelope(
-        sealed, frozenset({sealed.key}), selection.POLICIES.names()
-    )
-    if isinstance(opened, bundle_seal.SealFault):
-        _say(Report(False, f"{path}: {opened.value}"), json, EXIT_BAD_INPUT)
-    order = _Order(store, opened, base, peers, peer_key, dry_run)
-    report, code = uvloop.run(_publish(order))
-    _say(report, json, code)
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class _Order:
-    store: str
-    opened: bundle_seal.Opened
-    base: int
-    peers: str
-    peer_key: str
-    dry_run: bool
-
-
-async def _publish(order: _Order) -> tuple[Report, int]:
-    store = ports.STORES.get("http")(order.store)
-    opened = order.opened
-    try:
-        result = await publishing.publish(
-            store,
-            opened.envelope,
-            version=opened.bundle.version,
-            base=order.base,
-            published_at=time.time(),
-            dry_run=order.dry_run,
-        )
-    finally:
-        await store.close()
-    pushed = 0
-    if result.verdict is publishing.Verdict.ACCEPTED and order.peers:
-        pushed = await _push(order)
-    return _publish_report(order, result, pushed)
-
-
-async def _push(order: _Order) -> int:
-    """Offer the accepted bundle to entries; return how many took it."""
-    link = peer_link.PeerLink(
-        peer_seal.Sealer((order.peer_key.encode(),)),
-        metrics.Metrics(),
-        lambda message: None,
-        lambda frame: frame.document,
-        peer_codec.CAPNP,
+    order = bundle_network.PublishOrder(
+        store_url=store,
+        opened=_read_signed(path, json),
+        base=base,
+        peers=bundle_network.split_addresses(peers),
+        peer_key=peer_key,
+        dry_run=dry_run,
     )
-    document = entry_state.document_of(order.opened)
-    targets = [ids.Address(peer) for peer in order.peers.split(",") if peer]
-    answers = await asyncio.gather(*(link.push(t, document) for t in targets))
-    return sum(a is not None and a.version >= document.version for a in answers)
-
-
-def _publish_report(
-    order: _Order, result: publishing.Published, pushed: int
-) -> tuple[Report, int]:
-    version = order.opened.bundle.version
-    digest = order.opened.digest
-    found = result.current
-    theirs = (
-        f"the store holds version {found.version}, signed by {found.key[:16]}"
-        if found
-        else "the store holds no bundle"
+    done = uvloop.run(bundle_network.publish(order))
+    reports.finish(
+        _report_of(order, done),
+        json=json,
+        code=_exit_code_of(done.published.verdict, dry_run=dry_run),
     )
-    if order.dry_run and result.verdict is publishing.Verdict.NOT_ACCEPTED:
-        return Report(True, f"would publish version {version}; {theirs}"), EXIT_OK
-    if result.verdict is publishing.Verdict.ACCEPTED:
-        text = f"version {version} is accepted; {pushed} entries told directly"
-        return Report(True, text, version, digest), EXIT_OK
-    text = f"version {version} {result.verdict.value}: {theirs}"
-    code = EXIT_FAILED
-    if result.verdict is publishing.Verdict.CONFLICT:
-        code = EXIT_CONFLICT
-    if result.verdict is publishing.Verdict.UNCERTAIN:
-        text = f"version {version}: the store does not answer; publish again to learn"
-        code = EXIT_UNCERTAIN
-    return Report(False, text, version, digest), code
-
-
-async def _fetch(store_url: str) -> bundle_seal.Envelope | None:
-    plugins.load()
-    store = ports.STORES.get("http")(store_url)
-    try:
-        return await publishing.current(store)
-    finally:
-        await store.close()
-
-
-def _stored(store: str, json: bool) -> bundle_seal.Envelope:
-    try:
-        found = uvloop.run(_fetch(store))
-    except publishing.ReadError as error:
-        _say(Report(False, f"{store}: {error}"), json, EXIT_FAILED)
-    if found is None:
-        _say(Report(False, f"{store}: holds no bundle"), json, EXIT_FAILED)
-    return found
 
 
 @app.command
 def show(*, store: str, json: bool = False) -> None:
     """Print the text of the bundle in the store."""
-    envelope = _stored(store, json)
-    _say(Report(True, envelope.text, digest=envelope.digest()), json)
+    envelope = _fetch_stored(store, json)
+    report = reports.Report(True, envelope.text, digest=envelope.digest())
+    reports.finish(report, json=json)
 
 
 @app.command
 def history(*, store: str, json: bool = False) -> None:
     """List the accepted versions that the store remembers, newest last."""
-    envelope = _stored(store, json)
+    log = _fetch_stored(store, json).log
     lines = tuple(
-        f"{e.version} {e.digest[:16]} by {e.key[:16]} at {e.signed_at:.0f}"
-        for e in envelope.log
+        f"{entry.version} {entry.digest[:SHOWN_DIGITS]}"
+        f" by {entry.key[:SHOWN_DIGITS]} at {entry.signed_at:.0f}"
+        for entry in log
     )
-    _say(Report(True, f"{len(lines)} versions", mistakes=lines), json)
+    report = reports.Report(True, f"{len(lines)} versions", details=lines)
+    reports.finish(report, json=json)
 
 
 @app.command
 def diff(path: pathlib.Path, *, store: str, json: bool = False) -> None:
     """Show how the bundle in PATH differs from the one in the store."""
-    theirs = _stored(store, json).text.splitlines()
-    ours = _read(path, json).splitlines()
-    lines = difflib.unified_diff(theirs, ours, "store", str(path), lineterm="")
-    _say(Report(True, "\n".join(lines)), json)
+    stored_lines = _fetch_stored(store, json).text.splitlines()
+    file_lines = _read_text(path, json).splitlines()
+    difference = difflib.unified_diff(
+        stored_lines, file_lines, "store", str(path), lineterm=""
+    )
+    reports.finish(reports.Report(True, "\n".join(difference)), json=json)
 
 
 @app.command
 def status(*, peers: str, peer_key: str, json: bool = False) -> None:
     """Show which version is in force on each of PEERS (peer addresses)."""
-    found = uvloop.run(_status(peers, peer_key))
-    lines = tuple(f"{peer} {version or 'no answer'}" for peer, version in found.items())
-    versions = set(found.values())
+    addresses = bundle_network.split_addresses(peers)
+    version_by_peer = uvloop.run(bundle_network.versions(addresses, peer_key))
+    lines = tuple(
+        f"{peer} {version or 'no answer'}" for peer, version in version_by_peer.items()
+    )
+    versions = set(version_by_peer.values())
     agreed = len(versions) == 1 and None not in versions
     text = "all agree" if agreed else "not all agree"
-    _say(Report(agreed, text, mistakes=lines), json, EXIT_OK if agreed else EXIT_FAILED)
+    reports.finish(
+        reports.Report(agreed, text, details=lines),
+        json=json,
+        code=reports.ExitCode.OK if agreed else reports.ExitCode.FAILED,
+    )
 
 
-async def _status(peers: str, peer_key: str) -> dict[str, int | None]:
-    link = peer_link.PeerLink(
-        peer_seal.Sealer((peer_key.encode(),)),
-        metrics.Metrics(),
-        lambda message: None,
-        lambda frame: frame.document,
-        peer_codec.CAPNP,
+def _read_text(path: pathlib.Path, json: bool) -> str:
+    try:
+        return path.read_text()
+    except (OSError, UnicodeDecodeError) as error:
+        reports.fail(f"{path}: {error}", json=json)
+
+
+def _read_checked(path: pathlib.Path, json: bool) -> CheckedFile:
+    plugins.load()
+    text = _read_text(path, json)
+    result = bundle_check.check(text, selection.POLICIES.names())
+    if isinstance(result, bundle.Bundle):
+        return CheckedFile(text, result)
+    reports.fail(
+        f"{path}: {len(result)} mistakes",
+        json=json,
+        details=tuple(str(fault) for fault in result),
     )
-    targets = [ids.Address(peer) for peer in peers.split(",") if peer]
-    kind = documents.DocumentKind.BUNDLE
-    answers = await asyncio.gather(*(link.ask(t, kind) for t in targets))
-    return {
-        target: answer.version if answer else None
-        for target, answer in zip(targets, answers, strict=True)
-    }
+
+
+def _read_signed(path: pathlib.Path, json: bool) -> bundle_seal.Opened:
+    """Open a signed bundle; which keys are trusted is for the entries to say."""
+    sealed = bundle_seal.decode(_read_text(path, json).encode())
+    if isinstance(sealed, bundle_seal.SealFault):
+        reports.fail(f"{path}: {sealed.value}", json=json)
+    opened = bundle_seal.open_envelope(
+        sealed, frozenset({sealed.key}), selection.POLICIES.names()
+    )
+    if isinstance(opened, bundle_seal.SealFault):
+        reports.fail(f"{path}: {opened.value}", json=json)
+    return opened
+
+
+def _fetch_stored(store_url: str, json: bool) -> bundle_seal.Envelope:
+    plugins.load()
+    failed = reports.ExitCode.FAILED
+    try:
+        envelope = uvloop.run(bundle_network.fetch(store_url))
+    except publishing.ReadError as error:
+        reports.fail(f"{store_url}: {error}", json=json, code=failed)
+    if envelope is None:
+        reports.fail(f"{store_url}: holds no bundle", json=json, code=failed)
+    return envelope
+
+
+def _report_of(
+    order: bundle_network.PublishOrder, done: bundle_network.PublishResult
+) -> reports.Report:
+    version = order.opened.bundle.version
+    digest = order.opened.digest
+    verdict = done.published.verdict
+    stored = _describe_stored(done.published.current)
+    if order.dry_run and verdict is publishing.Verdict.NOT_ACCEPTED:
+        return reports.Report(True, f"would publish version {version}; {stored}")
+    if verdict is publishing.Verdict.ACCEPTED:
+        text = f"version {version} is accepted; pushed to {done.pushed} entries"
+        return reports.Report(True, text, version, digest)
+    text = f"version {version} {verdict.value}: {stored}"
+    if verdict is publishing.Verdict.UNCERTAIN:
+        text = (
+            f"version {version}: the store does not answer;"
+            " publish again to find out whether it was accepted"
+        )
+    return reports.Report(False, text, version, digest)
+
+
+def _describe_stored(current: bundle_seal.LogEntry | None) -> str:
+    if current is None:
+        return "the store holds no bundle"
+    signer = current.key[:SHOWN_DIGITS]
+    return f"the store holds version {current.version}, signed by {signer}"
+
+
+def _exit_code_of(verdict: publishing.Verdict, *, dry_run: bool) -> reports.ExitCode:
+    if verdict is publishing.Verdict.ACCEPTED:
+        return reports.ExitCode.OK
+    if verdict is publishing.Verdict.NOT_ACCEPTED and dry_run:
+        return reports.ExitCode.OK
+    if verdict is publishing.Verdict.CONFLICT:
+        return reports.ExitCode.CONFLICT
+    if verdict is publishing.Verdict.UNCERTAIN:
+        return reports.ExitCode.UNCERTAIN
+    return reports.ExitCode.FAILED
