--- a/features/steps/platform_explain.py
+++ b/features/steps/platform_explain.py
@@ -12,7 +12,7 @@
 from features.steps import kernel
 from features.support import platform_context, platform_fleet
 from spindlenotch import events
-from spindlenotch.cli import explain_logs
+from spindlenotch.cli import explain_logs, log_lines
 
 fleet_of = platform_context.fleet_of
 BAD_LINE = b"this is no event\n"
@@ -90,8 +90,10 @@
         line = '{{"at": {0}.5, "event": 401, "upstream": "u", "service": "s"}}\n'
         with path.open("w") as file:
             file.writelines(line.format(n) for n in range(5_000))
-            file.write("u" * (3 * explain_logs.LONGEST_LINE))
-        story = explain_logs.tell([path], explain_logs.Subject("upstream", "u"))
-    assert len(story.lines) == explain_logs.STORY_LINES
+            file.write("u" * (3 * log_lines.MAX_LINE_BYTES))
+        story = explain_logs.read_story(
+            [path], explain_logs.Subject(explain_logs.SubjectKind.UPSTREAM, "u")
+        )
+    assert len(story.lines) == explain_logs.MAX_STORY_LINES
     assert story.lines[-1].at == 4_999.5
     assert story.unreadable == 3 and story.named[0].number == 5_001
--- a/spindlenotch/cli/explain_logs.py
+++ b/spindlenotch/cli/explain_logs.py
@@ -1,159 +1,138 @@
 """
-Tells the story of a request, an upstream or a configuration from log lines.
+Tell the story of a request, an upstream or a configuration from log lines.
 
-Reads the lines that gateways wrote (``gateway.log_sink``), of several processes
-at once, one line at a time: memory is bounded whatever the files' size. Lines
-that can't be read are counted and named. Sits beside ``explain_entry``, which
-asks a living process.
+The story holds the latest lines about the subject and, for a request, what
+its processes reported about upstreams, peers and configuration shortly before:
+what their decisions rested on. ``log_lines`` reads the files; memory is
+bounded whatever their size.
 """
 
 import dataclasses
+import enum
 import heapq
 import pathlib
-import typing
 from collections import abc
 
-import msgspec
-
 from spindlenotch import events
-
-#: Lines told at most, the latest ones; and of what was believed before them.
-STORY_LINES = 500
-CONTEXT_LINES = 20
-#: How long before a request's first line beliefs are looked for, in seconds.
+from spindlenotch.cli import log_lines
+
+#: Lines of a story, the latest ones. Chosen, not measured.
+MAX_STORY_LINES = 500
+#: Lines of its context, the latest ones. Chosen, not measured.
+MAX_CONTEXT_LINES = 20
+#: How long before a request's first line its context begins, in seconds.
+#: Chosen, not measured.
 CONTEXT_S = 30.0
-#: Unreadable lines that are named one by one.
-NAMED_LINES = 10
-LONGEST_LINE = 64 * 1024
-#: Fields of every line; the others are told as they are.
-COMMON_FIELDS = frozenset({"at", "level", "text", "event"})
-#: Events of these hundreds are beliefs: configuration and store, peers, upstreams.
-BELIEF_HUNDREDS = frozenset({2, 3, 4})
-
+#: Unreadable lines that are named one by one. Chosen, not measured.
+MAX_NAMED_LINES = 10
+#: Event numbers divided by 100 that make up a context: configuration and
+#: store, peers, upstreams.
+CONTEXT_HUNDREDS = frozenset({2, 3, 4})
 
-class Subject(typing.NamedTuple):
-    """What is asked for: lines in which the field has the value."""
+_TEXT_BY_NUMBER = {event.value.number: event.value.text for event in events.Event}
 
-    field: str
-    value: str
 
+class SubjectKind(enum.Enum):
+    """What a story can be about; the values are names of log fields."""
 
-@dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Told:
-    """One line of a story; the process is the file that it came from."""
-
-    at: float
-    process: str
-    event: int
-    fields: dict[str, typing.Any] = dataclasses.field(compare=False)
+    REQUEST = "request"
+    UPSTREAM = "upstream"
+    VERSION = "version"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unreadable:
-    """A line that is no event."""
+class Subject:
+    """What is asked about: lines whose field ``kind`` holds ``id``."""
+
+    kind: SubjectKind
+    id: str
 
-    process: str
-    number: int
+    def concerns(self, line: log_lines.LogLine) -> bool:
+        """Tell whether ``line`` is about this subject."""
+        return line.details.get(self.kind.value) == self.id
 
 
-@dataclasses.dataclass(slots=True)
+@dataclasses.dataclass(frozen=True, slots=True)
 class Story:
-    """Lines in order, what was believed before, and what could not be read."""
+    """
+    Lines and context in order of time, and what could not be read.
+
+    ``unreadable`` counts the unreadable lines, ``named`` holds the first ones.
+    """
 
-    lines: list[Told]
-    context: list[Told]
+    lines: list[log_lines.LogLine]
+    context: list[log_lines.LogLine]
     unreadable: int
-    named: list[Unreadable]
+    named: list[log_lines.UnreadableLine]
 
 
-def tell(paths: abc.Sequence[pathlib.Path], subject: Subject) -> Story:
-    """Return the story of a subject; an upstream or version has no context."""
-    latest: list[Told] = []
-    named: list[Unreadable] = []
+def read_story(paths: abc.Sequence[pathlib.Path], subject: Subject) -> Story:
+    """
+    Read the story of a subject; only a request has a context.
+
+    Raise ``OSError`` where a file cannot be read.
+    """
+    latest: list[log_lines.LogLine] = []
+    named: list[log_lines.UnreadableLine] = []
     unreadable = 0
-    for line in _lines(paths, subject.value.encode()):
-        if isinstance(line, Unreadable):
+    for line in log_lines.read(paths, subject.id.encode()):
+        if isinstance(line, log_lines.UnreadableLine):
             unreadable += 1
-            if len(named) < NAMED_LINES:
+            if len(named) < MAX_NAMED_LINES:
                 named.append(line)
-        elif str(line.fields.get(subject.field)) == subject.value:
-            _keep(latest, line, STORY_LINES)
+        elif subject.concerns(line):
+            _keep_latest(latest, line, MAX_STORY_LINES)
     lines = sorted(latest)
-    context = _context(paths, lines) if subject.field == "request" else []
+    context: list[log_lines.LogLine] = []
+    if lines and subject.kind is SubjectKind.REQUEST:
+        context = _read_context(paths, lines)
     return Story(lines, context, unreadable, named)
 
 
 def describe(story: Story) -> list[str]:
-    """Return a story in plain words, one line each."""
-    found = ["believed before:"] if story.context else []
-    found += [f"  {_words(line)}" for line in story.context]
-    found += [_words(line) for line in story.lines]
+    """Return a story as text, one line an event."""
+    text = ["believed before:"] if story.context else []
+    text += [f"  {_line_text(line)}" for line in story.context]
+    text += [_line_text(line) for line in story.lines]
     if not story.lines:
-        found.append("no line tells of it; successes are a sample (see OPERATIONS.md)")
+        text.append("no line tells of it; successes are a sample (see OPERATIONS.md)")
     if story.unreadable:
-        where = ", ".join(f"{one.process}:{one.number}" for one in story.named)
-        found.append(f"{story.unreadable} lines could not be read: {where}")
-    return found
+        where = ", ".join(f"{line.process}:{line.number}" for line in story.named)
+        text.append(f"{story.unreadable} lines could not be read: {where}")
+    return text
 
 
-def _context(paths: abc.Sequence[pathlib.Path], lines: list[Told]) -> list[Told]:
-    """Return beliefs of the same processes that the lines may rest on."""
-    if not lines:
-        return []
+def _read_context(
+    paths: abc.Sequence[pathlib.Path], lines: list[log_lines.LogLine]
+) -> list[log_lines.LogLine]:
+    """Return what the same processes reported that may explain ``lines``."""
     begin, end = lines[0].at - CONTEXT_S, lines[-1].at
     processes = {line.process for line in lines}
-    upstreams = {line.fields.get("upstream") for line in lines} - {None}
-    services = {line.fields.get("service") for line in lines} - {None}
-    kept: list[Told] = []
-    for line in _lines([p for p in paths if p.stem in processes], b""):
-        if isinstance(line, Unreadable) or not begin <= line.at <= end:
+    upstreams = {line.upstream for line in lines} - {None}
+    services = {line.service for line in lines} - {None}
+    latest: list[log_lines.LogLine] = []
+    for line in log_lines.read([p for p in paths if p.stem in processes]):
+        if isinstance(line, log_lines.UnreadableLine) or not begin <= line.at <= end:
             continue
-        if line.event // 100 not in BELIEF_HUNDREDS:
+        if line.event // 100 not in CONTEXT_HUNDREDS:
             continue
-        about = line.fields.get("upstream")
-        if about is None or about in upstreams or line.fields["service"] in services:
-            _keep(kept, line, CONTEXT_LINES)
-    return sorted(kept)
-
-
-def _keep(kept: list[Told], line: Told, most: int) -> None:
-    """Keep the latest lines, so many at most."""
-    if len(kept) < most:
-        heapq.heappush(kept, line)
+        concerns_all = line.upstream is None
+        if concerns_all or line.upstream in upstreams or line.service in services:
+            _keep_latest(latest, line, MAX_CONTEXT_LINES)
+    return sorted(latest)
+
+
+def _keep_latest(
+    latest: list[log_lines.LogLine], line: log_lines.LogLine, limit: int
+) -> None:
+    """Add ``line`` to a heap that holds the latest ``limit`` lines."""
+    if len(latest) < limit:
+        heapq.heappush(latest, line)
     else:
-        heapq.heappushpop(kept, line)
-
-
-def _lines(
-    paths: abc.Iterable[pathlib.Path], needle: bytes
-) -> abc.Iterator[Told | Unreadable]:
-    """Read the events of all files in which the bytes occur."""
-    for path in paths:
-        with path.open("rb") as file:
-            for number, raw in enumerate(_bounded(file), 1):
-                if needle in raw:
-                    yield _read(path.stem, number, raw)
-
-
-def _bounded(file: typing.BinaryIO) -> abc.Iterator[bytes]:
-    while raw := file.readline(LONGEST_LINE):
-        yield raw
-
-
-def _read(process: str, number: int, raw: bytes) -> Told | Unreadable:
-    try:
-        fields = msgspec.json.decode(raw, type=dict[str, typing.Any])
-        at, event = float(fields["at"]), int(fields["event"])
-    except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
-        return Unreadable(process, number)
-    rest = {k: v for k, v in fields.items() if k not in COMMON_FIELDS}
-    return Told(at, process, event, rest)
-
-
-_TEXT_BY_NUMBER: dict[int, str] = {e.value.number: e.value.text for e in events.Event}
+        heapq.heappushpop(latest, line)
 
 
-def _words(line: Told) -> str:
+def _line_text(line: log_lines.LogLine) -> str:
     text = _TEXT_BY_NUMBER.get(line.event, "unknown event")
-    details = " ".join(f"{name}={value}" for name, value in line.fields.items())
+    details = " ".join(f"{name}={value}" for name, value in line.details.items())
     return f"{line.at:.3f} {line.process} E{line.event} {text}: {details}"
