--- a/features/environment.py
+++ b/features/environment.py
@@ -10,7 +10,7 @@
 import loguru
 import uvloop
 
-from features.support import fleet
+from features.support import entry_fleet
 from spindlenotch.entry import plugins
 
 # The adapter is started from its own folder; tests import it from there too.
@@ -27,7 +27,7 @@
 def before_scenario(context: typing.Any, scenario: typing.Any) -> None:
     """Give the scenario a loop of its own."""
     context.runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
-    context.fleet = fleet.Fleet()
+    context.fleet = entry_fleet.Fleet()
 
 
 def after_scenario(context: typing.Any, scenario: typing.Any) -> None:
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -8,12 +8,12 @@
 import aiohttp
 import behave
 
-from features.support import fleet as fleets
+from features.support import sample_bundle
 from spindlenotch.peers import peer_link
 
 Fields = dict[str, str]
 GOOD = {"Spindlenotch-Timeout-Ms": "3000"}
-HOTEL = {**GOOD, "Spindlenotch-Caller": "hotel", "Spindlenotch-Key": fleets.KEY}
+HOTEL = {**GOOD, "Spindlenotch-Caller": "hotel", "Spindlenotch-Key": sample_bundle.KEY}
 
 #: What is sent, by the name the feature gives it: method, path, headers.
 REQUESTS: dict[str, tuple[str, str, Fields]] = {
--- a/features/steps/command_line.py
+++ b/features/steps/command_line.py
@@ -8,7 +8,7 @@
 
 import behave
 
-from features.support import fleet as fleets
+from features.support import entry_fleet, processes, sample_bundle
 from tools import make_docs
 
 
@@ -18,7 +18,7 @@
         "-m",
         "spindlenotch",
         *arguments,
-        cwd=fleets.ROOT,
+        cwd=processes.ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -67,17 +67,17 @@
 async def _operator(context: typing.Any) -> None:
     folder = pathlib.Path(context.fleet.scratch.name)
     text, key, signed = folder / "b.toml", folder / "key", folder / "b.signed"
-    text.write_text(fleets.bundle_text(1))
+    text.write_text(sample_bundle.text_of(1))
     code, out, err = await _run("bundle", "check", str(text), "--json")
     assert code == 0 and json.loads(out)["version"] == 1, (out, err)
     code, out, err = await _run("bundle", "keygen", str(key))
     assert code == 0, err
-    context.fleet.public = out.strip()
+    context.fleet.public_key = out.strip()
     code, out, err = await _run(
         "bundle", "sign", str(text), "--key", str(key), "--out", str(signed)
     )
     assert code == 0, err
-    publish = ("bundle", "publish", str(signed), "--store", context.fleet.store)
+    publish = ("bundle", "publish", str(signed), "--store", context.fleet.store_url)
     code, out, err = await _run(*publish, "--base", "0", "--dry-run")
     assert code == 0 and "would publish" in out, (out, err)
     code, out, err = await _run(*publish, "--base", "0")
@@ -94,7 +94,7 @@
 def status(context: typing.Any, version: int) -> None:
     peers = ",".join(e.peer_address for e in context.fleet.entry_by_host.values())
     code, out, err = context.runner.run(
-        _run("bundle", "status", "--peers", peers, "--peer-key", fleets.PEER_KEY)
+        _run("bundle", "status", "--peers", peers, "--peer-key", entry_fleet.PEER_KEY)
     )
     assert code == 0 and out.count(f" {version}\n") == 3, (out, err)
 
@@ -105,7 +105,7 @@
     other = text.with_name("other.toml")
     signed = text.with_name("other.signed")
     other.write_text(text.read_text() + "\n# another operator\n")
-    store = context.fleet.store
+    store = context.fleet.store_url
 
     async def run() -> tuple[int, str, str]:
         await _run(
@@ -122,7 +122,7 @@
 @behave.then("publishing the accepted file again says that it is accepted")
 def again(context: typing.Any) -> None:
     signed = context.files[2]
-    store = context.fleet.store
+    store = context.fleet.store_url
     code, out, err = context.runner.run(
         _run("bundle", "publish", str(signed), "--store", store, "--base", "0")
     )
@@ -132,7 +132,7 @@
 @behave.then("diff, show and history tell of version 1")
 def tell(context: typing.Any) -> None:
     text = context.files[0]
-    store = context.fleet.store
+    store = context.fleet.store_url
     for command, expected in (
         (("bundle", "show", "--store", store), "version = 1"),
         (("bundle", "history", "--store", store), "1 versions"),
--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -7,7 +7,7 @@
 import behave
 from aiohttp import web
 
-from features.support import fleet as fleets
+from features.support import sample_bundle
 from spindlenotch import client
 from spindlenotch.drivers import upstream_http
 from standins import server
@@ -55,7 +55,7 @@
     runner, address = await server.serve(app)
     fleet.address_by_upstream["echo"] = address
     await fleet.list_upstream("echo", "z1", generation=1)
-    await fleet.post(f"{fleet.hosts}/host", [{"id": "w0", "gone": True}])
+    await fleet.post(f"{fleet.hosts_url}/host", [{"id": "w0", "gone": True}])
     entry = fleet.entry_by_host["e0"]
 
     async def listed() -> bool:
@@ -68,7 +68,7 @@
     fields = {
         "Spindlenotch-Timeout-Ms": "3000",
         "Spindlenotch-Caller": "hotel",
-        "Spindlenotch-Key": fleets.KEY,
+        "Spindlenotch-Key": sample_bundle.KEY,
         "Connection": "keep-alive, X-Private",
         "X-Private": "1",
         "TE": "trailers",
--- a/features/steps/faults.py
+++ b/features/steps/faults.py
@@ -8,7 +8,7 @@
 import behave
 
 from features.steps import whole_path
-from features.support import fleet as fleets
+from features.support import sample_bundle
 from spindlenotch import client, headers
 from spindlenotch.cli import publishing
 from spindlenotch.kernel import outcomes
@@ -16,7 +16,7 @@
 HOTEL = {
     headers.TIMEOUT_MS: "6000",
     headers.CALLER: "hotel",
-    headers.KEY: fleets.KEY,
+    headers.KEY: sample_bundle.KEY,
 }
 
 
@@ -65,7 +65,7 @@
 
 @behave.given("the store loses the next answer")
 def loses(context: typing.Any) -> None:
-    url = f"{context.fleet.store}/control"
+    url = f"{context.fleet.store_url}/control"
     context.runner.run(context.fleet.post(url, {"lose_answers": 1}))
 
 
@@ -80,7 +80,7 @@
 
 
 async def _outage(fleet: typing.Any, down: bool) -> None:
-    for url in (fleet.store, fleet.hosts):
+    for url in (fleet.store_url, fleet.hosts_url):
         await fleet.post(f"{url}/control", {"down": down})
 
 
--- a/features/support/fleet.py
+++ b/features/support/entry_fleet.py
@@ -1,113 +1,29 @@
 """
-Start the whole system as separate processes on loopback ports, for tests.
+Entries with their platform as separate processes on loopback ports, for tests.
 
-Every process is started, and ended, by its own id. Nothing here judges; the
-steps do.
+Owns the processes and the operator's key. Nothing here judges; the steps do.
+The gateways' counterpart is ``platform_fleet``.
 """
 
 import asyncio
-import hashlib
 import json
-import os
-import pathlib
-import signal
-import sys
 import tempfile
 import time
 import typing
 
 import aiohttp
 
-from features.support import free_ports
+from features.support import free_ports, processes, sample_bundle
 from spindlenotch import client, ports
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
 from spindlenotch.entry import plugins
 
-ROOT = pathlib.Path(__file__).parents[2]
 LOOPBACK = "127.0.0.1"
 PEER_KEY = "test-peer-key-0123456789"
+#: Longest wait for a process or a state, in seconds. Chosen, not measured.
 START_LIMIT_S = 20.0
 
-BUNDLE = """
-format = 1
-version = {version}
-deployment = "test"
-timezone = "UTC"
-[measuring]
-budget_share = 0.002
-[classes]
-urgent = 0
-browse = 1
-upload = 2
-[unknown_callers]
-class = "browse"
-[callers.hotel]
-key_sha256 = "{key_hash}"
-classes = ["urgent", "browse", "upload"]
-[services.resv]
-zones = ["z1", "z2", "z3"]
-slots = 6
-typical_ms = 10.0
-{extra}
-[[services.resv.operations]]
-name = "read"
-methods = ["GET"]
-prefix = "/"
-class = "browse"
-[[services.resv.operations]]
-name = "book"
-methods = ["POST"]
-prefix = "/bookings"
-class = "urgent"
-repeatable = false
-[[services.resv.operations]]
-name = "upload"
-methods = ["PUT"]
-prefix = "/uploads"
-class = "upload"
-repeatable = true
-"""
-
-KEY = "hotel-key"
-
-
-def bundle_text(version: int, extra: str = "") -> str:
-    """Return a bundle of ``version`` for the service ``resv``."""
-    key_hash = hashlib.sha256(KEY.encode()).hexdigest()
-    return BUNDLE.format(version=version, extra=extra, key_hash=key_hash)
-
-
-class Process:
-    """One process that a test started."""
-
-    def __init__(self, name: str, child: asyncio.subprocess.Process) -> None:
-        self.name = name
-        self.child = child
-        self.log = ""
-        self.reader = asyncio.ensure_future(self._read_log())
-
-    async def _read_log(self) -> None:
-        assert self.child.stderr is not None
-        async for line in self.child.stderr:
-            self.log = (self.log + line.decode(errors="replace"))[-100_000:]
-
-    def send(self, sign: signal.Signals) -> None:
-        """Send a signal to this very process."""
-        if self.child.returncode is None:
-            self.child.send_signal(sign)
-
-    async def ended(self, limit_s: float = 30.0) -> int:
-        """Wait for its end and return the exit code."""
-        async with asyncio.timeout(limit_s):
-            return await self.child.wait()
-
-    async def kill(self) -> None:
-        """End it at once."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
-        await self.child.wait()
-
 
 class Entry:
     """Ports and process of one entry."""
@@ -119,7 +35,7 @@
         self.address = f"{LOOPBACK}:{listen}"
         self.peer_address = f"{LOOPBACK}:{peer}"
         self.operator_address = f"{LOOPBACK}:{operator}"
-        self.process: Process | None = None
+        self.process: processes.Process | None = None
 
     def record(self) -> dict[str, typing.Any]:
         """Return this entry as the host list shows it."""
@@ -136,12 +52,12 @@
     """Store, host list, upstreams and entries, each a process."""
 
     def __init__(self) -> None:
-        self.processes: list[Process] = []
+        self.processes: list[processes.Process] = []
         self.entry_by_host: dict[str, Entry] = {}
         self.address_by_upstream: dict[str, str] = {}
-        self.store = ""
-        self.hosts = ""
-        self.private, self.public = bundle_seal.generate_key()
+        self.store_url = ""
+        self.hosts_url = ""
+        self.private_key, self.public_key = bundle_seal.generate_key()
         self.session: aiohttp.ClientSession | None = None
         self.clients: list[client.Client] = []
         self.scratch = tempfile.TemporaryDirectory()
@@ -150,8 +66,8 @@
         """Start store, host list and upstreams (zones z1 to z3 in turn)."""
         plugins.load()
         self.session = aiohttp.ClientSession()
-        self.store = await self._stand_in("store", [])
-        self.hosts = await self._stand_in("hosts", [])
+        self.store_url = await self._stand_in("store", [])
+        self.hosts_url = await self._stand_in("hosts", [])
         for number in range(upstreams):
             await self.add_upstream(f"w{number}", f"z{number % 3 + 1}", slots)
 
@@ -167,7 +83,7 @@
     ) -> None:
         """Put an upstream into the host list."""
         await self.post(
-            f"{self.hosts}/host",
+            f"{self.hosts_url}/host",
             [
                 {
                     "id": name,
@@ -189,7 +105,7 @@
             entry = Entry(f"e{number}", f"z{number % 3 + 1}")
             self.entry_by_host[entry.host] = entry
             fresh.append(entry)
-        await self.post(f"{self.hosts}/host", [e.record() for e in fresh])
+        await self.post(f"{self.hosts_url}/host", [e.record() for e in fresh])
         for entry in fresh:
             await self.start_entry(entry, **flags)
         for entry in fresh:
@@ -203,10 +119,10 @@
             "listen": entry.address,
             "peer_listen": entry.peer_address,
             "operator_listen": entry.operator_address,
-            "store": self.store,
-            "host_list": self.hosts,
+            "store": self.store_url,
+            "host_list": self.hosts_url,
             "peer_keys": PEER_KEY,
-            "trusted_keys": self.public,
+            "trusted_keys": self.public_key,
             "hand_out_s": "1",
             "peers": ",".join(e.peer_address for e in self.entry_by_host.values()),
             **flags,
@@ -214,7 +130,7 @@
         arguments = ["-m", "spindlenotch", "entry"]
         for name, value in settings.items():
             arguments += ["--" + name.replace("_", "-"), value]
-        entry.process = await self._spawn(entry.host, arguments)
+        entry.process = await self._start(entry.host, arguments)
 
     async def until_ready(self, entry: Entry) -> None:
         """Wait until the entry says that it is ready."""
@@ -245,8 +161,10 @@
         self, version: int, extra: str = "", base: int | None = None
     ) -> publishing.Published:
         """Sign and publish a bundle as an operator."""
-        store = ports.STORES.get("http")(self.store)
-        sealed = bundle_seal.seal(bundle_text(version, extra), self.private)
+        store = ports.STORES.get("http")(self.store_url)
+        sealed = bundle_seal.seal(
+            sample_bundle.text_of(version, extra), self.private_key
+        )
         try:
             return await publishing.publish(
                 store,
@@ -261,7 +179,7 @@
     def client(self, **options: typing.Any) -> client.Client:
         """Return a caller's client that knows all entries as seeds."""
         seeds = [entry.address for entry in self.entry_by_host.values()]
-        made = client.Client(seeds, "hotel", KEY, **options)
+        made = client.Client(seeds, sample_bundle.ACCOUNT, sample_bundle.KEY, **options)
         self.clients.append(made)
         return made
 
@@ -316,22 +234,14 @@
         self.scratch.cleanup()
 
     async def _stand_in(self, kind: str, arguments: list[str]) -> str:
-        process = await self._spawn(kind, ["-m", "standins", kind, *arguments])
+        process = await self._start(kind, ["-m", "standins", kind, *arguments])
         assert process.child.stdout is not None
         async with asyncio.timeout(START_LIMIT_S):
             line = await process.child.stdout.readline()
         assert line, f"{kind} did not start:\n{process.log}"
         return line.decode().strip()
 
-    async def _spawn(self, name: str, arguments: list[str]) -> Process:
-        child = await asyncio.create_subprocess_exec(
-            sys.executable,
-            *arguments,
-            cwd=ROOT,
-            env={**os.environ, "PYTHONPATH": str(ROOT)},
-            stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.PIPE,
-        )
-        process = Process(name, child)
+    async def _start(self, name: str, arguments: list[str]) -> processes.Process:
+        process = await processes.start(name, arguments)
         self.processes.append(process)
         return process
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from features.support import fake_upstreams, fakes, fleet, world as worlds
+from features.support import fake_upstreams, fakes, sample_bundle, world as worlds
 from spindlenotch import headers, ids, ports, selection
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
@@ -229,7 +229,7 @@
 
     def publish(self, version: int, base: int, text: str = "") -> None:
         """Let an operator publish; several may be at it at once."""
-        sealed = bundle_seal.seal(fleet.bundle_text(version) + text, SEED_KEYS[0])
+        sealed = bundle_seal.seal(sample_bundle.text_of(version) + text, SEED_KEYS[0])
         store = fakes.FakeStore(self.store, self.operator_loop)
 
         async def run() -> publishing.Published:
@@ -283,7 +283,7 @@
         pairs = [
             (headers.TIMEOUT_MS, str(int(timeout_s * 1000))),
             (headers.CALLER, "hotel"),
-            (headers.KEY, fleet.KEY),
+            (headers.KEY, sample_bundle.KEY),
             ("X-Work", work),
         ]
         if id_header is not None:
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -16,7 +16,7 @@
 import uvloop
 from hdrh import histogram
 
-from features.support import fleet
+from features.support import entry_fleet
 
 RATES = (50, 200, 500)
 SECONDS = 6.0
@@ -70,7 +70,7 @@
 
 async def main() -> int:
     """Run all rounds."""
-    everything = fleet.Fleet()
+    everything = entry_fleet.Fleet()
     try:
         await everything.start_platform(1, 200)
         await everything.behave("w0", service_ms=0.001, steady=True)
@@ -82,7 +82,7 @@
     return 0
 
 
-async def measure(everything: fleet.Fleet) -> None:
+async def measure(everything: entry_fleet.Fleet) -> None:
     """Print what the entry adds, and what it uses."""
     entry = everything.entry_by_host["e0"]
     assert entry.process is not None
