--- a/features/steps/command_line.py
+++ b/features/steps/command_line.py
@@ -85,11 +85,6 @@
     context.files = (text, key, signed)
 
 
-@behave.when("{count:d} entries in three zones are started")
-def start(context: typing.Any, count: int) -> None:
-    context.runner.run(context.fleet.start_entries(count))
-
-
 @behave.then("status says that all agree on version {version:d}")
 def status(context: typing.Any, version: int) -> None:
     peers = ",".join(e.peer_address for e in context.fleet.entry_by_host.values())
--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -8,30 +8,12 @@
 from aiohttp import web
 
 from features.support import sample_bundle
-from spindlenotch import client
 from spindlenotch.drivers import upstream_http
 from standins import server
 
 MARKS = ("Spindlenotch-Request-Id",)
 
 
-@behave.given('upstream "{name}" behaves with {change}')
-def behaves(context: typing.Any, name: str, change: str) -> None:
-    context.runner.run(context.fleet.behave(name, **{change: True}))
-
-
-@behave.then("there is no whole answer")
-def no_answer(context: typing.Any) -> None:
-    answer = context.answer
-    if isinstance(answer, client.Answer):
-        assert answer.status == 502 and answer.outcome.value == "unknown", answer
-
-
-@behave.then("the answer says when to come back")
-def come_back(context: typing.Any) -> None:
-    assert context.answer.retry_after_s is not None, context.answer
-
-
 @behave.when("an echoing upstream is asked for a redirect, a gzip body and a cookie")
 def echoing(context: typing.Any) -> None:
     context.seen, context.answers = context.runner.run(_echo(context.fleet))
