--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -13,7 +13,13 @@
 
 import msgspec
 
-from features.support import fake_upstreams, fakes, sample_bundle, world as worlds
+from features.support import (
+    fake_platform,
+    fake_upstreams,
+    fakes,
+    sample_bundle,
+    world as worlds,
+)
 from spindlenotch import headers, ids, ports, selection
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
@@ -65,7 +71,7 @@
         seed = everything.world.rng.getrandbits(32)
         config = _config(host, zone, self.address, everything.peer_addresses(), seed)
         self.state = entry_state.EntryState(config, everything.world.clock)
-        self.store = fakes.FakeStore(everything.store, self.loop)
+        self.store = fake_platform.FakeStore(everything.store, self.loop)
         port = fake_upstreams.FakeUpstreamPort(
             everything.upstreams, self.loop, everything.network, self.address
         )
@@ -78,7 +84,7 @@
         self.control = control.Control(
             self.state,
             self.store,
-            fakes.FakeHostList(everything.hosts),
+            fake_platform.FakeHostList(everything.hosts),
             typing.cast(typing.Any, make_link),
         )
         self.path = data_path.DataPath(self.state, port)
@@ -170,8 +176,8 @@
 
     def __init__(self, seed: int, upstream_count: int = 3) -> None:
         self.world = worlds.World(seed)
-        self.store = fakes.StoreState(self.world)
-        self.hosts = fakes.HostsState()
+        self.store = fake_platform.StoreState(self.world)
+        self.hosts = fake_platform.HostsState()
         self.network = fakes.Network(self.world)
         self.upstreams = fake_upstreams.Upstreams(self.world)
         self.entries: list[VirtualEntry] = []
@@ -230,7 +236,7 @@
     def publish(self, version: int, base: int, text: str = "") -> None:
         """Let an operator publish; several may be at it at once."""
         sealed = bundle_seal.seal(sample_bundle.text_of(version) + text, SEED_KEYS[0])
-        store = fakes.FakeStore(self.store, self.operator_loop)
+        store = fake_platform.FakeStore(self.store, self.operator_loop)
 
         async def run() -> publishing.Published:
             result = await publishing.publish(
