--- a/features/support/fakes.py
+++ b/features/support/fake_network.py
@@ -1,5 +1,5 @@
 """
-The network of a ``world``: how replies arrive, and the entries' peer links.
+The network of a ``virtual_world``: how replies arrive, and the entries' peer links.
 
 The store and the host list are in ``fake_platform``, the upstreams in
 ``fake_upstreams``.
@@ -9,23 +9,23 @@
 import typing
 from collections import abc
 
-from features.support import world as worlds
+from features.support import virtual_world
 from spindlenotch import ids, metrics
 from spindlenotch.peers import documents, gossip, peer_codec, peer_seal
 
 #: How long a message is on its way, in seconds. Chosen, not measured.
-WAY_S = 0.001
+DELIVERY_S = 0.001
 
 Value = typing.TypeVar("Value")
 
 
 def reply(
-    world: worlds.World, loop: worlds.WorldLoop
+    world: virtual_world.World, loop: virtual_world.WorldLoop
 ) -> tuple["asyncio.Future[Value]", abc.Callable[[Value, float], None]]:
     """Return a future, and what resolves it after a delay."""
     future: asyncio.Future[Value] = loop.create_future()
 
-    def resolve(value: Value, delay: float = WAY_S) -> None:
+    def resolve(value: Value, delay: float = DELIVERY_S) -> None:
         def arrive() -> None:
             if not future.done():
                 future.set_result(value)
@@ -42,7 +42,7 @@
     ``cut`` holds pairs of hosts that cannot reach each other.
     """
 
-    def __init__(self, world: worlds.World) -> None:
+    def __init__(self, world: virtual_world.World) -> None:
         self.world = world
         self.link_by_address: dict[str, FakeLink] = {}
         self.cut: set[frozenset[str]] = set()
@@ -68,7 +68,7 @@
         on_frame: abc.Callable[[peer_seal.DocumentFrame], documents.Document],
         *,
         network: Network,
-        loop: worlds.WorldLoop,
+        loop: virtual_world.WorldLoop,
         address: str,
     ) -> None:
         self.sealer = sealer
@@ -97,7 +97,7 @@
                 continue
             self.network.world.deliver(
                 other.loop,
-                WAY_S,
+                DELIVERY_S,
                 lambda o=other: o._heard(data),  # type: ignore[misc]
             )
 
@@ -122,7 +122,9 @@
         future, resolve = reply(world, self.loop)
         if other is not None and self._reaches(target):
             world.deliver(
-                other.loop, WAY_S, lambda: resolve(other.on_frame(frame), WAY_S)
+                other.loop,
+                DELIVERY_S,
+                lambda: resolve(other.on_frame(frame), DELIVERY_S),
             )
         try:
             document = await asyncio.wait_for(future, 2.0)
--- a/features/support/fake_platform.py
+++ b/features/support/fake_platform.py
@@ -1,5 +1,5 @@
 """
-The platform of a ``world``: its key-value service and its host list.
+The platform of a ``virtual_world``: its key-value service and its host list.
 
 Their state is shared by all entries and operators, each of which has a driver
 of its own. Faults are attributes of the state, which the machines set.
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from features.support import fakes, world as worlds
+from features.support import fake_network, virtual_world
 from spindlenotch import ports
 
 #: How long a driver waits for the store, in seconds. Chosen, not measured.
@@ -42,7 +42,7 @@
     seconds later, when the client has long given up.
     """
 
-    def __init__(self, world: worlds.World) -> None:
+    def __init__(self, world: virtual_world.World) -> None:
         self.world = world
         self.value_by_key: dict[str, StoredValue] = {}
         self.revision = 0
@@ -88,14 +88,14 @@
 class FakeStore:
     """One entry's, or operator's, driver for the store."""
 
-    def __init__(self, state: StoreState, loop: worlds.WorldLoop) -> None:
+    def __init__(self, state: StoreState, loop: virtual_world.WorldLoop) -> None:
         self.state = state
         self.loop = loop
 
     async def get(self, key: str) -> ports.Stored | ports.StoreFault:
         """Read a value."""
         return await self._call(
-            lambda resolve: resolve(self.state.read(key), fakes.WAY_S)
+            lambda resolve: resolve(self.state.read(key), fake_network.DELIVERY_S)
         )
 
     async def swap(
@@ -116,7 +116,7 @@
             if isinstance(result, ports.Stored) and state.lose_answers > 0:
                 state.lose_answers -= 1
                 return
-            resolve(result, fakes.WAY_S)
+            resolve(result, fake_network.DELIVERY_S)
 
         return await self._call(carry_out)
 
@@ -129,10 +129,14 @@
         def carry_out(resolve: abc.Callable[[typing.Any, float], None]) -> None:
             stored = state.read(key)
             if stored.revision > after:
-                resolve(stored, fakes.WAY_S)
+                resolve(stored, fake_network.DELIVERY_S)
             else:
-                state.watchers.append((key, after, lambda s: resolve(s, fakes.WAY_S)))
-                state.world.after(wait_s, lambda: resolve(state.read(key), fakes.WAY_S))
+                state.watchers.append(
+                    (key, after, lambda s: resolve(s, fake_network.DELIVERY_S))
+                )
+                state.world.after(
+                    wait_s, lambda: resolve(state.read(key), fake_network.DELIVERY_S)
+                )
 
         return await self._call(carry_out, wait_s + WATCH_MARGIN_S)
 
@@ -142,13 +146,13 @@
     async def _call(
         self, carry_out: abc.Callable[..., None], timeout_s: float = STORE_TIMEOUT_S
     ) -> typing.Any:
-        future, resolve = fakes.reply(self.state.world, self.loop)
+        future, resolve = fake_network.reply(self.state.world, self.loop)
 
         def reach() -> None:
             if not self.state.down:
                 carry_out(resolve)
 
-        self.state.world.after(fakes.WAY_S, reach)
+        self.state.world.after(fake_network.DELIVERY_S, reach)
         try:
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
@@ -183,7 +187,7 @@
 
     async def fetch(self, known: int) -> ports.HostListing | ports.HostListFault | None:
         """Return the list if it is news."""
-        await asyncio.sleep(fakes.WAY_S)
+        await asyncio.sleep(fake_network.DELIVERY_S)
         if self.state.down:
             return ports.HostListFault.UNAVAILABLE
         listing = self.state.listing()
--- a/features/support/fake_upstreams.py
+++ b/features/support/fake_upstreams.py
@@ -1,5 +1,5 @@
 """
-Fake upstreams in a ``world``, their ledger, and forwarding between entries.
+Fake upstreams in a ``virtual_world``, their ledger, and forwarding between entries.
 
 The ledger is the oracle: it lists what began to run, where and when.
 """
@@ -9,7 +9,7 @@
 import typing
 from collections import abc
 
-from features.support import fakes, world as worlds
+from features.support import fake_network, virtual_world
 from spindlenotch import headers, ids, ports
 from spindlenotch.kernel import upstreams
 
@@ -42,14 +42,14 @@
 class Upstreams:
     """All upstreams of a world and the ledger of what ran where."""
 
-    def __init__(self, world: worlds.World) -> None:
+    def __init__(self, world: virtual_world.World) -> None:
         self.world = world
         self.upstream_by_address: dict[str, UpstreamState] = {}
         self.ledger: list[Run] = []
         self.forward_by_address: dict[
             str, abc.Callable[[ports.UpstreamRequest], abc.Awaitable[Answer]]
         ] = {}
-        self.loop_by_address: dict[str, worlds.WorldLoop] = {}
+        self.loop_by_address: dict[str, virtual_world.WorldLoop] = {}
 
     def run(self, one: UpstreamState, request: ports.UpstreamRequest) -> Run:
         """Enter a run into the ledger."""
@@ -97,8 +97,8 @@
     def __init__(
         self,
         everyone: Upstreams,
-        loop: worlds.WorldLoop,
-        network: fakes.Network,
+        loop: virtual_world.WorldLoop,
+        network: fake_network.Network,
         own: str,
     ) -> None:
         self.everyone = everyone
@@ -113,17 +113,19 @@
         world = self.everyone.world
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
-        await asyncio.sleep(fakes.WAY_S if request.fresh else 0)
+        await asyncio.sleep(fake_network.DELIVERY_S if request.fresh else 0)
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
-        future, resolve = fakes.reply(world, self.loop)
+        future, resolve = fake_network.reply(world, self.loop)
         if request.address in self.everyone.forward_by_address:
             self._forward(request, resolve)
         else:
             one = self.everyone.upstream_by_address[request.address]
             if one.mode == "refuse":
                 return ports.UpstreamFault.CONNECT_FAILED
-            world.after(fakes.WAY_S, lambda: self._reach(one, request, resolve))
+            world.after(
+                fake_network.DELIVERY_S, lambda: self._reach(one, request, resolve)
+            )
         result = await future
         if isinstance(result, Answer):
             shown = dict(result.headers).get(headers.REQUEST_ID)
@@ -160,10 +162,10 @@
         serve = self.everyone.forward_by_address[peer]
 
         async def carry_out() -> None:
-            resolve(await serve(request), fakes.WAY_S)
+            resolve(await serve(request), fake_network.DELIVERY_S)
 
         world = self.everyone.world
-        world.deliver(loop, fakes.WAY_S, lambda: _start(loop, carry_out()))
+        world.deliver(loop, fake_network.DELIVERY_S, lambda: _start(loop, carry_out()))
 
     def _reach(
         self,
@@ -178,7 +180,7 @@
             marks.append((headers.STATE, "draining"))
         if one.mode == "shed" or one.leaving_since is not None:
             marks.append((headers.OUTCOME, "not-run"))
-            resolve(Answer(503, marks, b""), fakes.WAY_S)
+            resolve(Answer(503, marks, b""), fake_network.DELIVERY_S)
             return
         if one.mode == "lost":
             resolve(ports.UpstreamFault.CONNECTION_LOST, 0.1)
@@ -197,7 +199,9 @@
         resolve(answer, delay)
 
 
-def _start(loop: worlds.WorldLoop, work: abc.Coroutine[None, None, None]) -> None:
+def _start(
+    loop: virtual_world.WorldLoop, work: abc.Coroutine[None, None, None]
+) -> None:
     task = loop.create_task(work)
     loop.world_tasks = getattr(loop, "world_tasks", set())  # type: ignore[attr-defined]
     loop.world_tasks.add(task)  # type: ignore[attr-defined]
--- a/features/support/machine.py
+++ b/features/support/machine.py
@@ -9,7 +9,7 @@
 
 from hypothesis import stateful, strategies
 
-from features.support import oracle, virtual_fleet, world as worlds
+from features.support import oracle, virtual_fleet, virtual_world
 from spindlenotch import headers
 from spindlenotch.entry import plugins
 
@@ -130,7 +130,7 @@
         """A process is killed."""
         entry = self._living(host)
         if entry is not None:
-            worlds.kill(entry.loop)
+            virtual_world.kill(entry.loop)
             self.fleet.network.link_by_address.pop(entry.address, None)
 
     @stateful.rule(host=hosts)
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -1,5 +1,5 @@
 """
-A few entries in a ``world``, with callers and operators to go with them.
+A few entries in a ``virtual_world``, with callers and operators to go with them.
 
 The entries run the product's own state, control loops, front, data path, ids
 and measuring; only the ports are fakes.
@@ -14,11 +14,11 @@
 import msgspec
 
 from features.support import (
+    fake_network,
     fake_platform,
     fake_upstreams,
-    fakes,
     sample_bundle,
-    world as worlds,
+    virtual_world,
 )
 from spindlenotch import headers, ids, ports, selection
 from spindlenotch.bundles import bundle_seal
@@ -76,7 +76,7 @@
             everything.upstreams, self.loop, everything.network, self.address
         )
         make_link = functools.partial(
-            fakes.FakeLink,
+            fake_network.FakeLink,
             network=everything.network,
             loop=self.loop,
             address=self.address,
@@ -175,10 +175,10 @@
     """Entries, store, host list, upstreams, callers and operators of a world."""
 
     def __init__(self, seed: int, upstream_count: int = 3) -> None:
-        self.world = worlds.World(seed)
+        self.world = virtual_world.World(seed)
         self.store = fake_platform.StoreState(self.world)
         self.hosts = fake_platform.HostsState()
-        self.network = fakes.Network(self.world)
+        self.network = fake_network.Network(self.world)
         self.upstreams = fake_upstreams.Upstreams(self.world)
         self.entries: list[VirtualEntry] = []
         self.attempts_by_work: dict[str, list[Attempt]] = {}
@@ -261,7 +261,9 @@
         assert isinstance(opened, bundle_seal.Opened)
         frame = peer_seal.DocumentFrame(1, False, entry_state.document_of(opened))
         self.world.deliver(
-            entry.loop, fakes.WAY_S, lambda: entry.control._on_frame(frame) and None
+            entry.loop,
+            fake_network.DELIVERY_S,
+            lambda: entry.control._on_frame(frame) and None,
         )
 
     def stored_version(self) -> int:
@@ -304,11 +306,13 @@
             answer = await entry.serve(method, path, pairs, b"one night")
             body = b"".join([p for p in answer._pieces if isinstance(p, bytes)])
             # The caller hangs up at its deadline.
-            self.world.after(fakes.WAY_S, lambda: self._heard(made, answer, body))
+            self.world.after(
+                fake_network.DELIVERY_S, lambda: self._heard(made, answer, body)
+            )
 
         self.world.deliver(
             entry.loop,
-            fakes.WAY_S,
+            fake_network.DELIVERY_S,
             lambda: fake_upstreams._start(entry.loop, carry_out()),
         )
         return made
