--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1,9 +1,9 @@
 """
-Show that the mixed-fault machine catches what it is there to catch.
+Show that the state machines catch what they are there to catch.
 
-Each mutant breaks one mechanism in a scratch copy of the tree, where the
-machine must then go red. A mutant that survives is printed and the exit code
-is 1. Not run in CI: ``make mutants`` takes some minutes.
+Each mutant breaks one mechanism in a scratch copy of the tree, where an oracle
+of the machines must then go red. A mutant that survives is printed and the exit
+code is 1. Not run in CI: ``make mutants`` takes some minutes.
 """
 
 import asyncio
@@ -13,11 +13,16 @@
 import sys
 import tempfile
 
+#: Plays of each machine against a mutant, and steps of a play. Chosen, not
+#: measured.
 PLAYS = 200
 STEPS = 40
+#: Mutants that are tried side by side. Chosen, not measured.
 SIDE_BY_SIDE = 6
+#: Longest time for one mutant, in seconds. Chosen, not measured.
 LIMIT_S = 500
-RUN = """
+#: Program that plays the machines in the scratch copy.
+PLAY_PROGRAM = """
 import sys, loguru
 loguru.logger.remove()
 from features.support import machines
@@ -127,8 +132,16 @@
 )
 
 
-async def survives(mutant: Mutant) -> tuple[bool, str]:
-    """Run the machines on a mutated copy; tell whether they stayed green."""
+@dataclasses.dataclass(frozen=True)
+class Trial:
+    """Whether a mutant survived, and the oracle's words or why not."""
+
+    survived: bool
+    reason: str
+
+
+async def try_mutant(mutant: Mutant) -> Trial:
+    """Play the machines on a mutated copy of the tree."""
     with tempfile.TemporaryDirectory() as scratch:
         copy = pathlib.Path(scratch)
         for tree in ("spindlenotch", "features"):
@@ -136,17 +149,17 @@
         path = copy / "spindlenotch" / f"{mutant.module}.py"
         text = path.read_text()
         if text.count(mutant.old) != 1:
-            return True, "the text to replace is not there exactly once"
+            return Trial(True, "the text to replace is not there exactly once")
         path.write_text(text.replace(mutant.old, mutant.new))
-        return await played(copy)
+        return await play(copy)
 
 
-async def played(copy: pathlib.Path) -> tuple[bool, str]:
-    """Play the machines in ``copy``; return whether green, and the error."""
+async def play(copy: pathlib.Path) -> Trial:
+    """Play the machines in ``copy``; only a failed assertion counts as caught."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        RUN.format(plays=PLAYS, steps=STEPS),
+        PLAY_PROGRAM.format(plays=PLAYS, steps=STEPS),
         cwd=copy,
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
@@ -156,30 +169,30 @@
             _, errors = await child.communicate()
     except TimeoutError:
         child.kill()
-        return True, f"no verdict within {LIMIT_S} s"
+        return Trial(True, f"no verdict within {LIMIT_S} s")
     text = errors.decode(errors="replace")
     lines = [line for line in text.splitlines() if "AssertionError" in line]
     if child.returncode != 0 and not lines:
         # It broke, but not by an oracle: that proves nothing.
-        return True, text[-300:]
-    return child.returncode == 0, lines[-1] if lines else ""
+        return Trial(True, text[-300:])
+    return Trial(child.returncode == 0, lines[-1] if lines else "")
 
 
 async def main() -> int:
     """Try all mutants, or those whose name holds a given word."""
     chosen = [m for m in MUTANTS if not sys.argv[1:] or sys.argv[1] in m.name]
-    room = asyncio.Semaphore(SIDE_BY_SIDE)
-
-    async def one(mutant: Mutant) -> bool:
-        async with room:
-            green, why = await survives(mutant)
-        verdict = "SURVIVED" if green else "caught"
-        print(f"{verdict}  {mutant.name}: {why[:160]}", flush=True)
-        return green
-
-    alive = sum(await asyncio.gather(*(one(m) for m in chosen)))
-    print(f"{len(chosen) - alive} of {len(chosen)} mutants caught")
-    return 1 if alive else 0
+    limit = asyncio.Semaphore(SIDE_BY_SIDE)
+
+    async def report(mutant: Mutant) -> bool:
+        async with limit:
+            trial = await try_mutant(mutant)
+        verdict = "SURVIVED" if trial.survived else "caught"
+        print(f"{verdict}  {mutant.name}: {trial.reason[:160]}", flush=True)
+        return trial.survived
+
+    survivors = sum(await asyncio.gather(*(report(m) for m in chosen)))
+    print(f"{len(chosen) - survivors} of {len(chosen)} mutants caught")
+    return 1 if survivors else 0
 
 
 if __name__ == "__main__":
--- a/tools/play_days.py
+++ b/tools/play_days.py
@@ -6,6 +6,7 @@
 """
 
 import argparse
+import dataclasses
 import json
 import pathlib
 import subprocess
@@ -15,8 +16,16 @@
 DAYS = pathlib.Path("deploy/days")
 
 
-def play(bench: str, site: str, day: pathlib.Path) -> tuple[str, bool]:
-    """Play one day; return what to print of it and whether it is clean."""
+@dataclasses.dataclass(frozen=True, slots=True)
+class Outcome:
+    """What to print of a day, and whether no rule was broken."""
+
+    text: str
+    clean: bool
+
+
+def play(bench: str, site: str, day: pathlib.Path) -> Outcome:
+    """Play one day on one site."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [bench, "run", site, str(day), "--why", f"own day {day.stem}"]
@@ -25,13 +34,13 @@
         )
         if not report.exists():
             last = (done.stdout + done.stderr).strip().splitlines()[-1:]
-            return f"{day.stem}: not played: {last}", False
-        found = json.loads(report.read_text())
-    breaks, fault = found["breaks"], found["fault"]
-    text = f"{day.stem}: worth {found['G']}, served in aim {found['served']}"
+            return Outcome(f"{day.stem}: not played: {last}", False)
+        result = json.loads(report.read_text())
+    breaks, fault = result["breaks"], result["fault"]
+    text = f"{day.stem}: worth {result['G']}, served in aim {result['served']}"
     if breaks or fault:
-        text += f", broken {breaks}, fault {fault}, first {found['first']}"
-    return text, not breaks and not fault
+        text += f", broken {breaks}, fault {fault}, first {result['first']}"
+    return Outcome(text, not breaks and not fault)
 
 
 def main() -> int:
@@ -39,13 +48,14 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench")
     parser.add_argument("sites", nargs="+")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     clean = True
-    for site in given.sites:
+    for site in arguments.sites:
         for day in sorted(DAYS.glob("*.toml")):
-            line, good = play(given.bench, site, day)
-            clean &= good
-            print(f"{'ok    ' if good else 'BROKEN'} {pathlib.Path(site).stem} {line}")
+            outcome = play(arguments.bench, site, day)
+            clean &= outcome.clean
+            verdict = "ok    " if outcome.clean else "BROKEN"
+            print(f"{verdict} {pathlib.Path(site).stem} {outcome.text}")
     return 0 if clean else 1
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -2,21 +2,27 @@
 Run every check and every feature; print one closing line for CI.
 
 Each check and each scenario counts once. A scenario listed in KNOWN-RED.txt
-is printed, and counts as failed only where it is not the failure listed.
+is printed, and counts neither as passed nor as failed when it fails.
 """
 
 import concurrent.futures
+import dataclasses
 import json
 import pathlib
 import subprocess
 import sys
 import tempfile
+import typing
+from collections import abc
 
 BIN = pathlib.Path(sys.executable).parent
 KNOWN_RED = pathlib.Path("KNOWN-RED.txt")
-#: Features run side by side; each starts up to a dozen processes.
+#: Features run side by side; each starts up to a dozen processes. Chosen, not
+#: measured.
 SIDE_BY_SIDE = 3
+#: Longest time of one feature, in seconds. Chosen, not measured.
 FEATURE_LIMIT_S = 900
+FAILED_STATUSES = ("failed", "error", "undefined")
 
 CHECKS = {
     "ruff format": [str(BIN / "ruff"), "format", "--check", "."],
@@ -27,15 +33,27 @@
     "platform names": [sys.executable, "tools/platform_names.py"],
 }
 
+#: A part of behave's JSON report.
+Element = dict[str, typing.Any]
 
-def run_check(name: str) -> list[tuple[str, bool, str]]:
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Result:
+    """One check or scenario; ``report`` is what to print where it failed."""
+
+    name: str
+    passed: bool
+    report: str
+
+
+def run_check(name: str) -> list[Result]:
     """Run one static check."""
     done = subprocess.run(CHECKS[name], capture_output=True, text=True)
-    return [(name, done.returncode == 0, done.stdout + done.stderr)]
+    return [Result(name, done.returncode == 0, done.stdout + done.stderr)]
 
 
-def run_feature(path: str) -> list[tuple[str, bool, str]]:
-    """Run one feature file; return name, verdict and report per scenario."""
+def run_feature(path: str) -> list[Result]:
+    """Run one feature file; return a result for each scenario."""
     with tempfile.NamedTemporaryFile(suffix=".json") as out:
         command = [sys.executable, "-m", "behave", "-f", "json", "-o", out.name]
         try:
@@ -46,33 +64,29 @@
                 timeout=FEATURE_LIMIT_S,
             )
         except subprocess.TimeoutExpired:
-            return [(path, False, f"not over within {FEATURE_LIMIT_S} s")]
+            return [Result(path, False, f"not over within {FEATURE_LIMIT_S} s")]
         text = pathlib.Path(out.name).read_text()
     if not text.strip():
-        return [(path, False, done.stdout + done.stderr)]
+        return [Result(path, False, done.stdout + done.stderr)]
     return [
-        scenario_result(feature, element)
+        scenario_result(feature["name"], element)
         for feature in json.loads(text)
         for element in feature["elements"]
         if element["type"] == "scenario"
     ]
 
 
-def scenario_result(
-    feature: dict[str, object], element: dict[str, object]
-) -> tuple[str, bool, str]:
-    """Return name, verdict and error text of one scenario."""
-    steps = element["steps"]
-    assert isinstance(steps, list)
+def scenario_result(feature_name: str, scenario: Element) -> Result:
+    """Return the result of one scenario of behave's report."""
     report = []
-    for step in steps:
+    for step in scenario["steps"]:
         result = step.get("result", {})
-        if result.get("status") in ("failed", "error", "undefined"):
+        if result.get("status") in FAILED_STATUSES:
             report.append(f"{step['keyword']} {step['name']}")
             message = result.get("error_message", "")
             report.append(message if isinstance(message, str) else "\n".join(message))
-    name = f"{feature['name']}: {element['name']}"
-    return name, element["status"] == "passed", "\n".join(report)
+    name = f"{feature_name}: {scenario['name']}"
+    return Result(name, scenario["status"] == "passed", "\n".join(report))
 
 
 def known_red() -> list[str]:
@@ -83,30 +97,42 @@
     return [line.split("|")[0].strip() for line in lines if "|" in line]
 
 
-def main() -> int:
-    """Run all; the exit code is that of the closing line."""
-    features = sys.argv[1:] or [
-        str(p) for p in sorted(pathlib.Path("features").glob("*.feature"))
-    ]
+def run_all(features: list[str], *, with_checks: bool) -> list[Result]:
+    """Run features side by side, after the static checks if asked for."""
     results = []
     with concurrent.futures.ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-        if not sys.argv[1:]:
+        if with_checks:
             for outcome in pool.map(run_check, CHECKS):
                 results += outcome
         for outcome in pool.map(run_feature, features):
             results += outcome
-    red = known_red()
+    return results
+
+
+def print_results(results: abc.Iterable[Result], red: abc.Container[str]) -> int:
+    """Print all results and the closing line; return the exit code."""
     passed = failed = 0
-    for name, good, report in results:
-        listed = name in red and not good
-        print(f"{'ok' if good else 'KNOWN RED' if listed else 'FAILED'}  {name}")
-        if not good:
-            print(report)
-        passed += good
-        failed += not good and not listed
+    for result in results:
+        listed = result.name in red and not result.passed
+        verdict = "ok" if result.passed else "KNOWN RED" if listed else "FAILED"
+        print(f"{verdict}  {result.name}")
+        if not result.passed:
+            print(result.report)
+        passed += result.passed
+        failed += not result.passed and not listed
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not passed else 0
 
 
+def main() -> int:
+    """Run the features given as arguments, or everything."""
+    chosen = sys.argv[1:]
+    features = chosen or [
+        str(path) for path in sorted(pathlib.Path("features").glob("*.feature"))
+    ]
+    results = run_all(features, with_checks=not chosen)
+    return print_results(results, known_red())
+
+
 if __name__ == "__main__":
     sys.exit(main())
