--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -39,9 +39,9 @@
     "too many hops": ("GET", "/s/resv/", {**GOOD, "Spindlenotch-Hops": "32"}),
     "operator pages": ("GET", "/state", {}),
 }
-#: Of requests with an id that are not declared first attempts, all the entry
-#: may say is that it does not know.
-UNKNOWN = {"nameless with id", "two ids"}
+#: Requests with an id that are not declared first attempts: an earlier attempt
+#: may have run, so the entry cannot answer "not run".
+OUTCOME_UNKNOWN = {"nameless with id", "two ids"}
 
 FRAMINGS: dict[str, bytes] = {
     "two lengths": b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -55,11 +55,11 @@
 
 @behave.when("a raw request is sent as {name}")
 def raw_request(context: typing.Any, name: str) -> None:
-    context.raw = context.runner.run(_raw(context.fleet, name))
+    context.raw = context.runner.run(_send_request(context.fleet, name))
     context.sent = name
 
 
-async def _raw(fleet: typing.Any, name: str) -> tuple[int, Fields]:
+async def _send_request(fleet: typing.Any, name: str) -> tuple[int, Fields]:
     method, path, fields = REQUESTS[name]
     url = f"http://{fleet.entry_by_host['e0'].address}{path}"
     async with aiohttp.ClientSession() as session:
@@ -72,7 +72,7 @@
 def raw_answer(context: typing.Any, status: int, reason: str) -> None:
     found, fields = context.raw
     assert (found, fields["Spindlenotch-Reason"]) == (status, reason), context.raw
-    outcome = "unknown" if context.sent in UNKNOWN else "not-run"
+    outcome = "unknown" if context.sent in OUTCOME_UNKNOWN else "not-run"
     assert fields["Spindlenotch-Outcome"] == outcome, fields
 
 
@@ -89,10 +89,10 @@
 @behave.when("raw bytes are sent with {name}")
 def raw_bytes(context: typing.Any, name: str) -> None:
     address = context.fleet.entry_by_host["e0"].address
-    context.raw = context.runner.run(_bytes(address, FRAMINGS[name]))
+    context.raw = context.runner.run(_send_bytes(address, FRAMINGS[name]))
 
 
-async def _bytes(address: str, rest: bytes) -> tuple[int, Fields]:
+async def _send_bytes(address: str, rest: bytes) -> tuple[int, Fields]:
     head = (
         b"POST /s/resv/bookings HTTP/1.1\r\nHost: a\r\nSpindlenotch-Timeout-Ms: 500\r\n"
     )
@@ -106,10 +106,10 @@
 @behave.when("{count:d} pieces of garbage are sent to the peer port by UDP and TCP")
 def garbage(context: typing.Any, count: int) -> None:
     address = context.fleet.entry_by_host["e0"].peer_address
-    context.runner.run(_garbage(address, count))
+    context.runner.run(_send_garbage(address, count))
 
 
-async def _garbage(address: str, count: int) -> None:
+async def _send_garbage(address: str, count: int) -> None:
     loop = asyncio.get_running_loop()
     target = peer_link.split(typing.cast(typing.Any, address))
     transport, _ = await loop.create_datagram_endpoint(
@@ -117,7 +117,7 @@
     )
     for number in range(count):
         transport.sendto(os.urandom(number * 7 % 1400 + 1))
-        # Paced, so that no datagram is lost before it reaches the entry.
+        # Slow enough that no datagram is lost before it reaches the entry.
         await asyncio.sleep(0.002)
     transport.close()
     for length in (0, 10, 5_000_000):
@@ -130,12 +130,12 @@
 @behave.then("the entry still serves")
 def still_serves(context: typing.Any) -> None:
     status, fields = context.runner.run(
-        _bytes_ok(context.fleet.entry_by_host["e0"].address)
+        _get_root(context.fleet.entry_by_host["e0"].address)
     )
     assert status == 200, (status, fields)
 
 
-async def _bytes_ok(address: str) -> tuple[int, Fields]:
+async def _get_root(address: str) -> tuple[int, Fields]:
     async with aiohttp.ClientSession() as session:
         url = f"http://{address}/s/resv/"
         async with session.get(url, headers=GOOD) as response:
--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -10,8 +10,8 @@
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
 
-def news(number: int) -> gossip.MemberRecord:
-    """Return a member's news."""
+def member(number: int) -> gossip.MemberRecord:
+    """Return the record of a member."""
     return gossip.MemberRecord(
         ids.HostId(f"e{number}"),
         ids.ZoneName("z1"),
@@ -25,7 +25,7 @@
     )
 
 
-def frame(body: bytes) -> bytes:
+def frame_with(body: bytes) -> bytes:
     """Return a document frame whose body goes over the wire as it is."""
     document = documents.Document(
         documents.DocumentKind.BUNDLE, 1, ids.Digest("d"), b"placeholder"
@@ -38,35 +38,35 @@
 
 @kernel.PROPERTIES.register("hostile peer bytes are refused and bounded")
 def hostile() -> None:
-    message = gossip.Message(news(0), 1, (), tuple(news(n) for n in range(4)))
+    message = gossip.Message(member(0), 1, (), tuple(member(n) for n in range(4)))
     good = peer_codec.encode_gossip(message)
 
     hostile_bytes.check(peer_codec.CAPNP, good)
-    many = gossip.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
-    crowd = peer_codec.encode_gossip(many)
-    assert peer_codec.decode_gossip(crowd) is peer_seal.CodecFault.GARBLED
+    members = tuple(member(n) for n in range(50))
+    too_many = peer_codec.encode_gossip(gossip.Message(member(0), 1, (), members))
+    assert peer_codec.decode_gossip(too_many) is peer_seal.CodecFault.GARBLED
     bomb = zlib.compress(b"0" * (8 * peer_seal.MAX_FRAME))
     assert len(bomb) < 100_000
-    assert peer_codec.decode_frame(frame(bomb)) is peer_seal.CodecFault.GARBLED
+    assert peer_codec.decode_frame(frame_with(bomb)) is peer_seal.CodecFault.GARBLED
     cut = zlib.compress(b"a body")[:-3]
-    assert peer_codec.decode_frame(frame(cut)) is peer_seal.CodecFault.GARBLED
+    assert peer_codec.decode_frame(frame_with(cut)) is peer_seal.CodecFault.GARBLED
 
 
 @kernel.PROPERTIES.register("peer keys can be rotated")
 def rotation() -> None:
     old = peer_seal.Sealer((FIRST,))
     both = peer_seal.Sealer((FIRST, SECOND))
-    turned = peer_seal.Sealer((SECOND, FIRST))
+    rotated = peer_seal.Sealer((SECOND, FIRST))
     new = peer_seal.Sealer((SECOND,))
-    for sender, receiver, heard in (
+    for sender, receiver, accepted in (
         (old, both, True),
         (both, old, True),
-        (both, turned, True),
-        (turned, both, True),
-        (turned, new, True),
-        (new, turned, True),
+        (both, rotated, True),
+        (rotated, both, True),
+        (rotated, new, True),
+        (new, rotated, True),
         (old, new, False),
         (new, old, False),
     ):
         opened = receiver.open(sender.seal(b"hello"), 1000)
-        assert (opened == b"hello") is heard, (sender.keys, receiver.keys)
+        assert (opened == b"hello") is accepted, (sender.keys, receiver.keys)
--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -11,7 +11,7 @@
 from spindlenotch.drivers import upstream_http
 from standins import server
 
-MARKS = ("Spindlenotch-Request-Id",)
+ECHOED_HEADERS = ("Spindlenotch-Request-Id",)
 
 
 @behave.when("an echoing upstream is asked for a redirect, a gzip body and a cookie")
@@ -24,13 +24,13 @@
 
     async def handle(request: web.Request) -> web.Response:
         seen.append(dict(request.headers))
-        marks = {name: request.headers.get(name, "") for name in MARKS}
+        echoed = {name: request.headers.get(name, "") for name in ECHOED_HEADERS}
         if request.path == "/redirect":
-            return web.Response(status=302, headers={**marks, "Location": "/else"})
+            return web.Response(status=302, headers={**echoed, "Location": "/else"})
         body = gzip.compress(b"packed")
-        marks["Content-Encoding"] = "gzip"
-        marks["Set-Cookie"] = "secret=1"
-        return web.Response(body=body, headers=marks)
+        echoed["Content-Encoding"] = "gzip"
+        echoed["Set-Cookie"] = "secret=1"
+        return web.Response(body=body, headers=echoed)
 
     app = web.Application()
     app.add_routes([web.get("/{tail:.*}", handle)])
