--- a/features/steps/under_load.py
+++ b/features/steps/under_load.py
@@ -13,9 +13,7 @@
 
 @behave.when("{count:d} requests are sent over {seconds:d} seconds")
 def many(context: typing.Any, count: int, seconds: int) -> None:
-    context.results = context.runner.run(
-        callers.send_many(context.fleet, count, seconds, None)
-    )
+    _send_many(context, count, seconds, None)
 
 
 @behave.when(
@@ -26,9 +24,7 @@
     async def stop() -> None:
         context.fleet.entry_by_host[host].process.send(signal.SIGTERM)
 
-    context.results = context.runner.run(
-        callers.send_many(context.fleet, count, seconds, stop)
-    )
+    _send_many(context, count, seconds, stop)
 
 
 @behave.when(
@@ -39,9 +35,7 @@
     async def kill() -> None:
         await context.fleet.entry_by_host[host].process.kill()
 
-    context.results = context.runner.run(
-        callers.send_many(context.fleet, count, seconds, kill)
-    )
+    _send_many(context, count, seconds, kill)
 
 
 @behave.when(
@@ -55,9 +49,7 @@
         for host in (one, other):
             await context.fleet.entry_by_host[host].process.kill()
 
-    context.results = context.runner.run(
-        callers.send_many(context.fleet, count, seconds, kill)
-    )
+    _send_many(context, count, seconds, kill)
 
 
 @behave.when(
@@ -86,6 +78,13 @@
         assert await old.process.ended() == 0, old.process.log[-2000:]
 
 
+def _send_many(
+    context: typing.Any, count: int, seconds: int, event: callers.Event | None
+) -> None:
+    sending = callers.send_many(context.fleet, count, seconds, event)
+    context.results = context.runner.run(sending)
+
+
 @behave.then("every request got its own whole answer")
 def all_own(context: typing.Any) -> None:
     bad = [pair for pair in context.results if not _is_own(*pair)]
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -11,6 +11,8 @@
 #: How long a caller waits for an answer, in seconds. Chosen, not measured.
 TIMEOUT_S = 8.0
 
+#: What happens while requests are sent.
+Event = abc.Callable[[], abc.Awaitable[None]]
 Result = tuple[str, client.Answer | client.NoAnswer]
 
 
@@ -32,7 +34,7 @@
     fleet: typing.Any,
     count: int,
     seconds: float,
-    event: abc.Callable[[], abc.Awaitable[None]] | None,
+    event: Event | None,
 ) -> list[Result]:
     """
     Send ``count`` reads evenly over ``seconds``; return each with its name.
--- a/features/support/entry_fleet.py
+++ b/features/support/entry_fleet.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from features.support import free_ports, processes, sample_bundle
+from features.support import free_ports, host_records, processes, sample_bundle
 from spindlenotch import client, ports
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
@@ -37,15 +37,9 @@
         self.operator_address = f"{LOOPBACK}:{operator}"
         self.process: processes.Process | None = None
 
-    def record(self) -> dict[str, typing.Any]:
+    def record(self) -> host_records.Record:
         """Return this entry as the host list shows it."""
-        return {
-            "id": self.host,
-            "role": "entry",
-            "zone": self.zone,
-            "address": self.address,
-            "peer_address": self.peer_address,
-        }
+        return host_records.entry(self.host, self.zone, self.address, self.peer_address)
 
 
 class Fleet:
@@ -82,20 +76,14 @@
         self, name: str, zone: str, generation: int = 1, state: str = "live"
     ) -> None:
         """Put an upstream into the host list."""
-        await self.post(
-            f"{self.hosts_url}/host",
-            [
-                {
-                    "id": name,
-                    "role": "upstream",
-                    "service": "resv",
-                    "zone": zone,
-                    "address": self.address_by_upstream[name],
-                    "generation": generation,
-                    "state": state,
-                }
-            ],
+        record = host_records.upstream(
+            name,
+            zone=zone,
+            address=self.address_by_upstream[name],
+            generation=generation,
+            state=state,
         )
+        await self.post(f"{self.hosts_url}/host", [record])
 
     async def start_entries(self, count: int = 3, **flags: str) -> None:
         """Start entries e0, e1, ... in zones z1 to z3 in turn; wait for ready."""
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -17,6 +17,7 @@
     fake_network,
     fake_platform,
     fake_upstreams,
+    host_records,
     sample_bundle,
     virtual_world,
 )
@@ -112,15 +113,9 @@
         self.state.set_addresses(ids.Address(self.address), ids.Address(self.address))
         self.measuring.start()
 
-    def record(self) -> dict[str, typing.Any]:
+    def record(self) -> host_records.Record:
         """Return this entry as the host list shows it."""
-        return {
-            "id": self.host,
-            "role": "entry",
-            "zone": self.zone,
-            "address": self.address,
-            "peer_address": self.address,
-        }
+        return host_records.entry(self.host, self.zone, self.address, self.address)
 
     async def serve(
         self, method: str, raw_path: str, pairs: list[tuple[str, str]], body: bytes
@@ -208,15 +203,14 @@
     def list_upstream(self, number: int, state: str = "live") -> None:
         """Show an upstream in the host list."""
         name = f"w{number}"
-        self.hosts.put(
-            id=name,
-            role="upstream",
+        record = host_records.upstream(
+            name,
             zone=ZONES[number % 3],
             address=f"10.1.0.{number}:80",
-            service="resv",
             generation=self.generation_by_upstream[name],
             state=state,
         )
+        self.hosts.put(**record)
 
     def upstream(self, number: int) -> fake_upstreams.UpstreamState:
         """Return one upstream."""
