--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -453,7 +453,7 @@
         day=day,
     )
     grant = bundle.CallerGrant(
-        name=ids.CallerName("hotel"),
+        name=ids.AccountName("hotel"),
         key_sha256="a3" * 32,
         class_names=(ids.ClassName("urgent"), ids.ClassName("browse")),
     )
--- a/spindlenotch/bundles/account_tables.py
+++ b/spindlenotch/bundles/account_tables.py
@@ -55,17 +55,19 @@
 
 def read_accounts(
     top: table_reader.TableReader, rank_by_class: RankByClass
-) -> dict[ids.CallerName, bundle.CallerGrant]:
+) -> dict[ids.AccountName, bundle.CallerGrant]:
     """Read the client accounts, ``[callers.NAME]``, by name."""
     return {
-        ids.CallerName(name): _read_account(table, ids.CallerName(name), rank_by_class)
+        ids.AccountName(name): _read_account(
+            table, ids.AccountName(name), rank_by_class
+        )
         for name, table in top.subtable("callers").named_subtables()
     }
 
 
 def _read_account(
     table: table_reader.TableReader,
-    name: ids.CallerName,
+    name: ids.AccountName,
     rank_by_class: RankByClass,
 ) -> bundle.CallerGrant:
     table.refuse_unknown(("key_sha256", "classes"))
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -69,7 +69,7 @@
 class CallerGrant:
     """Which classes a caller may use; the first is its usual one."""
 
-    name: ids.CallerName
+    name: ids.AccountName
     key_sha256: str
     class_names: tuple[ids.ClassName, ...]
 
@@ -93,5 +93,5 @@
     claim_keep_s: int
     rank_by_class: dict[ids.ClassName, int]
     unknown_class: ids.ClassName | None
-    caller_by_name: dict[ids.CallerName, CallerGrant]
+    caller_by_name: dict[ids.AccountName, CallerGrant]
     service_by_name: dict[ids.ServiceName, Service]
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -29,7 +29,7 @@
     operation: bundle.Operation
     target: str
     rank: int
-    caller: ids.CallerName | None
+    caller: ids.AccountName | None
     timeout_s: float
     ticket: str
     chosen_id: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Standing:
-    caller: ids.CallerName | None
+    caller: ids.AccountName | None
     rank: int
 
 
@@ -124,7 +124,7 @@
     name = fields.get(headers.CALLER)
     if name is None:
         return _nameless(current, asked)
-    grant = current.caller_by_name.get(ids.CallerName(name))
+    grant = current.caller_by_name.get(ids.AccountName(name))
     digest = hashlib.sha256(fields.get(headers.KEY, "").encode()).hexdigest()
     if grant is None or not hmac.compare_digest(digest, grant.key_sha256):
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
--- a/spindlenotch/entry/once_path.py
+++ b/spindlenotch/entry/once_path.py
@@ -27,7 +27,7 @@
     ``key`` is the caller's secret, passed on only to the id's home.
     """
 
-    caller: ids.CallerName | None
+    caller: ids.AccountName | None
     ticket: str
     chosen: str
     attempt: int
--- a/spindlenotch/ids.py
+++ b/spindlenotch/ids.py
@@ -12,7 +12,8 @@
 UpstreamId = typing.NewType("UpstreamId", str)
 HostId = typing.NewType("HostId", str)
 ZoneName = typing.NewType("ZoneName", str)
-CallerName = typing.NewType("CallerName", str)
+#: A client account: a caller whose key and classes the bundle lists.
+AccountName = typing.NewType("AccountName", str)
 ClassName = typing.NewType("ClassName", str)
 
 #: Name of one request as it travels through the system.
