--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -452,7 +452,7 @@
         operations=operations,
         day=day,
     )
-    grant = bundle.CallerGrant(
+    account = bundle.ClientAccount(
         name=ids.AccountName("hotel"),
         key_sha256="a3" * 32,
         class_names=(ids.ClassName("urgent"), ids.ClassName("browse")),
@@ -467,7 +467,7 @@
         claim_keep_s=7200,
         rank_by_class={ids.ClassName("urgent"): 1, ids.ClassName("browse"): 3},
         unknown_class=ids.ClassName("browse"),
-        caller_by_name={grant.name: grant},
+        account_by_name={account.name: account},
         service_by_name={service.name: service},
     )
 
@@ -505,7 +505,7 @@
         claim_keep_s=86_400,
         rank_by_class={ids.ClassName("browse"): 0},
         unknown_class=None,
-        caller_by_name={},
+        account_by_name={},
         service_by_name={service.name: service},
     )
 
--- a/spindlenotch/bundles/account_tables.py
+++ b/spindlenotch/bundles/account_tables.py
@@ -55,7 +55,7 @@
 
 def read_accounts(
     top: table_reader.TableReader, rank_by_class: RankByClass
-) -> dict[ids.AccountName, bundle.CallerGrant]:
+) -> dict[ids.AccountName, bundle.ClientAccount]:
     """Read the client accounts, ``[callers.NAME]``, by name."""
     return {
         ids.AccountName(name): _read_account(
@@ -69,7 +69,7 @@
     table: table_reader.TableReader,
     name: ids.AccountName,
     rank_by_class: RankByClass,
-) -> bundle.CallerGrant:
+) -> bundle.ClientAccount:
     table.refuse_unknown(("key_sha256", "classes"))
     key = table.get("key_sha256")
     if not (isinstance(key, str) and SHA256_HEX.fullmatch(key)):
@@ -78,7 +78,7 @@
     for class_name in class_names:
         if class_name not in rank_by_class:
             table.refuse("classes", class_name, faults.one_of(rank_by_class))
-    return bundle.CallerGrant(
+    return bundle.ClientAccount(
         name=name,
         key_sha256=str(key),
         class_names=tuple(map(ids.ClassName, class_names)),
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -66,8 +66,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerGrant:
-    """Which classes a caller may use; the first is its usual one."""
+class ClientAccount:
+    """
+    A caller that the operators know: its key and the classes it may use.
+
+    ``key_sha256`` is in hexadecimal. A request gets the class it asks for, else
+    its operation's, else the last of ``class_names``.
+    """
 
     name: ids.AccountName
     key_sha256: str
@@ -80,7 +85,7 @@
     All that the operators signed off, in one version.
 
     ``rank_by_class``: a lower rank is served first. ``unknown_class`` is the
-    class of callers without a grant, or None where they are refused.
+    class of callers without an account, or None where they are refused.
     ``measuring_share`` bounds probes as a share of upstream capacity.
     """
 
@@ -93,5 +98,5 @@
     claim_keep_s: int
     rank_by_class: dict[ids.ClassName, int]
     unknown_class: ids.ClassName | None
-    caller_by_name: dict[ids.AccountName, CallerGrant]
+    account_by_name: dict[ids.AccountName, ClientAccount]
     service_by_name: dict[ids.ServiceName, Service]
--- a/spindlenotch/bundles/bundle_check.py
+++ b/spindlenotch/bundles/bundle_check.py
@@ -70,7 +70,7 @@
         claim_keep_s=claims["keep_s"],
         rank_by_class=rank_by_class,
         unknown_class=account_tables.read_unknown_class(top, rank_by_class),
-        caller_by_name=account_tables.read_accounts(top, rank_by_class),
+        account_by_name=account_tables.read_accounts(top, rank_by_class),
         service_by_name=service_tables.read_services(top, rank_by_class, policies),
     )
 
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -124,16 +124,16 @@
     name = fields.get(headers.CALLER)
     if name is None:
         return _nameless(current, asked)
-    grant = current.caller_by_name.get(ids.AccountName(name))
+    account = current.account_by_name.get(ids.AccountName(name))
     digest = hashlib.sha256(fields.get(headers.KEY, "").encode()).hexdigest()
-    if grant is None or not hmac.compare_digest(digest, grant.key_sha256):
+    if account is None or not hmac.compare_digest(digest, account.key_sha256):
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
-    if asked is not None and asked not in grant.class_names:
+    if asked is not None and asked not in account.class_names:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
     wanted = ids.ClassName(asked or operation.class_name)
-    if wanted not in grant.class_names:
-        wanted = grant.class_names[-1]
-    return _Standing(grant.name, current.rank_by_class[wanted])
+    if wanted not in account.class_names:
+        wanted = account.class_names[-1]
+    return _Standing(account.name, current.rank_by_class[wanted])
 
 
 def _nameless(
