--- a/spindlenotch/bundles/bundle_check.py
+++ b/spindlenotch/bundles/bundle_check.py
@@ -59,7 +59,7 @@
     _check_timezone(top, scalars["timezone"])
     measuring = _read_scalar_table(top, "measuring", scalar_fields.MEASURING_FIELDS)
     claims = _read_scalar_table(top, "claims", scalar_fields.CLAIMS_FIELDS)
-    rank_by_class = account_tables.read_classes(top)
+    priority_by_class = account_tables.read_classes(top)
     return bundle.Bundle(
         version=ids.BundleVersion(scalars["version"]),
         deployment=scalars["deployment"],
@@ -68,10 +68,10 @@
         probe_ms=measuring["probe_ms"],
         claims_per_second=claims["per_second"],
         claim_keep_s=claims["keep_s"],
-        rank_by_class=rank_by_class,
-        unknown_class=account_tables.read_unknown_class(top, rank_by_class),
-        account_by_name=account_tables.read_accounts(top, rank_by_class),
-        service_by_name=service_tables.read_services(top, rank_by_class, policies),
+        priority_by_class=priority_by_class,
+        unknown_class=account_tables.read_unknown_class(top, priority_by_class),
+        account_by_name=account_tables.read_accounts(top, priority_by_class),
+        service_by_name=service_tables.read_services(top, priority_by_class, policies),
     )
 
 
--- a/spindlenotch/bundles/service_tables.py
+++ b/spindlenotch/bundles/service_tables.py
@@ -30,14 +30,14 @@
 
 def read_services(
     top: table_reader.TableReader,
-    rank_by_class: account_tables.RankByClass,
+    priority_by_class: account_tables.PriorityByClass,
     policies: tuple[str, ...],
 ) -> dict[ids.ServiceName, bundle.Service]:
     """Read all services by name; ``policies`` are those that may be named."""
     services = {}
     for text, table in top.subtable("services").named_subtables():
         name = ids.ServiceName(text)
-        services[name] = _read_service(table, name, rank_by_class, policies)
+        services[name] = _read_service(table, name, priority_by_class, policies)
     if not services:
         top.refuse("services", "nothing", "at least one service")
     return services
@@ -46,7 +46,7 @@
 def _read_service(
     table: table_reader.TableReader,
     name: ids.ServiceName,
-    rank_by_class: account_tables.RankByClass,
+    priority_by_class: account_tables.PriorityByClass,
     policies: tuple[str, ...],
 ) -> bundle.Service:
     scalar_names = scalar_fields.names(scalar_fields.SERVICE_FIELDS)
@@ -56,7 +56,7 @@
         table.refuse("policy", scalars["policy"], faults.one_of(policies))
     zones = _read_zones(table)
     operations = tuple(
-        _read_operation(operation, rank_by_class)
+        _read_operation(operation, priority_by_class)
         for operation in table.subtables("operations")
     )
     if not operations:
@@ -77,7 +77,7 @@
 
 
 def _read_operation(
-    table: table_reader.TableReader, rank_by_class: account_tables.RankByClass
+    table: table_reader.TableReader, priority_by_class: account_tables.PriorityByClass
 ) -> bundle.Operation:
     table.refuse_unknown(("name", "methods", "prefix", "class", "repeatable"))
     methods = table.strings("methods")
@@ -88,8 +88,8 @@
     if not (isinstance(prefix, str) and prefix.startswith("/")):
         table.refuse("prefix", prefix, "a string that begins with /")
     class_name = table.get("class")
-    if class_name not in rank_by_class:
-        table.refuse("class", class_name, faults.one_of(rank_by_class))
+    if class_name not in priority_by_class:
+        table.refuse("class", class_name, faults.one_of(priority_by_class))
     repeatable = table.get("repeatable", set(methods) <= REPEATABLE_METHODS)
     if type(repeatable) is not bool:
         table.refuse("repeatable", repeatable, "true or false")
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -133,7 +133,7 @@
     wanted = ids.ClassName(asked or operation.class_name)
     if wanted not in account.class_names:
         wanted = account.class_names[-1]
-    return _Standing(account.name, current.rank_by_class[wanted])
+    return _Standing(account.name, current.priority_by_class[wanted])
 
 
 def _nameless(
@@ -143,7 +143,7 @@
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
     if asked is not None and asked != current.unknown_class:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
-    return _Standing(None, current.rank_by_class[current.unknown_class])
+    return _Standing(None, current.priority_by_class[current.unknown_class])
 
 
 def _whole(fields: abc.Mapping[str, str], name: str, default: int) -> int | None:
