--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -466,7 +466,7 @@
         claims_per_second=75.0,
         claim_keep_s=7200,
         priority_by_class={ids.ClassName("urgent"): 1, ids.ClassName("browse"): 3},
-        unknown_class=ids.ClassName("browse"),
+        anonymous_class=ids.ClassName("browse"),
         account_by_name={account.name: account},
         service_by_name={service.name: service},
     )
@@ -504,7 +504,7 @@
         claims_per_second=100.0,
         claim_keep_s=86_400,
         priority_by_class={ids.ClassName("browse"): 0},
-        unknown_class=None,
+        anonymous_class=None,
         account_by_name={},
         service_by_name={service.name: service},
     )
--- a/spindlenotch/bundles/account_tables.py
+++ b/spindlenotch/bundles/account_tables.py
@@ -40,7 +40,7 @@
     return priority_by_class
 
 
-def read_unknown_class(
+def read_anonymous_class(
     top: table_reader.TableReader, priority_by_class: PriorityByClass
 ) -> ids.ClassName | None:
     """Return the class of callers without an account; None: they are refused."""
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -84,7 +84,7 @@
     """
     All that the operators signed off, in one version.
 
-    ``priority_by_class``: a lower number is served first. ``unknown_class`` is the
+    ``priority_by_class``: a lower number is served first. ``anonymous_class`` is the
     class of callers without an account, or None where they are refused.
     ``measuring_share`` bounds probes as a share of upstream capacity.
     """
@@ -97,6 +97,6 @@
     claims_per_second: float
     claim_keep_s: int
     priority_by_class: dict[ids.ClassName, int]
-    unknown_class: ids.ClassName | None
+    anonymous_class: ids.ClassName | None
     account_by_name: dict[ids.AccountName, ClientAccount]
     service_by_name: dict[ids.ServiceName, Service]
--- a/spindlenotch/bundles/bundle_check.py
+++ b/spindlenotch/bundles/bundle_check.py
@@ -69,7 +69,7 @@
         claims_per_second=claims["per_second"],
         claim_keep_s=claims["keep_s"],
         priority_by_class=priority_by_class,
-        unknown_class=account_tables.read_unknown_class(top, priority_by_class),
+        anonymous_class=account_tables.read_anonymous_class(top, priority_by_class),
         account_by_name=account_tables.read_accounts(top, priority_by_class),
         service_by_name=service_tables.read_services(top, priority_by_class, policies),
     )
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -139,11 +139,11 @@
 def _nameless(
     current: bundle.Bundle, asked: str | None
 ) -> _Standing | outcomes.Refusal:
-    if current.unknown_class is None:
+    if current.anonymous_class is None:
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
-    if asked is not None and asked != current.unknown_class:
+    if asked is not None and asked != current.anonymous_class:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
-    return _Standing(None, current.priority_by_class[current.unknown_class])
+    return _Standing(None, current.priority_by_class[current.anonymous_class])
 
 
 def _whole(fields: abc.Mapping[str, str], name: str, default: int) -> int | None:
