--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """One time a caller sent a request, and what it heard."""
+    """One time a caller sent a request, and the answer that it got."""
 
     work: str
     number: int
@@ -63,29 +63,28 @@
 class VirtualEntry:
     """One life of one entry process."""
 
-    def __init__(self, everything: "VirtualFleet", host: str, zone: str) -> None:
-        self.everything = everything
+    def __init__(self, fleet: "VirtualFleet", host: str, zone: str) -> None:
         self.host = host
         self.zone = zone
-        self.loop = everything.world.loop()
-        self.address = f"10.0.0.{len(everything.entries) + 1}:{len(host)}"
-        seed = everything.world.rng.getrandbits(32)
-        config = _config(host, zone, self.address, everything.peer_addresses(), seed)
-        self.state = entry_state.EntryState(config, everything.world.clock)
-        self.store = fake_platform.FakeStore(everything.store, self.loop)
+        self.loop = fleet.world.loop()
+        self.address = f"10.0.0.{len(fleet.entries) + 1}:{len(host)}"
+        seed = fleet.world.rng.getrandbits(32)
+        config = _config(host, zone, self.address, fleet.peer_addresses(), seed)
+        self.state = entry_state.EntryState(config, fleet.world.clock)
+        self.store = fake_platform.FakeStore(fleet.store, self.loop)
         port = fake_upstreams.FakeUpstreamPort(
-            everything.upstreams, self.loop, everything.network, self.address
+            fleet.upstreams, self.loop, fleet.network, self.address
         )
         make_link = functools.partial(
             fake_network.FakeLink,
-            network=everything.network,
+            network=fleet.network,
             loop=self.loop,
             address=self.address,
         )
         self.control = control.Control(
             self.state,
             self.store,
-            fake_platform.FakeHostList(everything.hosts),
+            fake_platform.FakeHostList(fleet.hosts),
             typing.cast(typing.Any, make_link),
         )
         self.path = data_path.DataPath(self.state, port)
@@ -98,8 +97,8 @@
         self.measuring = measuring.Measuring(
             self.state, self.store, port, self.control.spread_drain_notice
         )
-        everything.upstreams.forward_by_address[self.address] = self._forwarded
-        everything.upstreams.loop_by_address[self.address] = self.loop
+        fleet.upstreams.forward_by_address[self.address] = self._forwarded
+        fleet.upstreams.loop_by_address[self.address] = self.loop
         self.versions: list[int] = []
         self.loop.call_soon(lambda: fake_upstreams._start(self.loop, self._start()))
 
@@ -145,25 +144,25 @@
 async def _answer(
     result: once_path.Result, call_id: ids.CallId
 ) -> fake_upstreams.Answer:
-    marks = [(headers.REQUEST_ID, str(call_id))]
+    shown_headers = [(headers.REQUEST_ID, str(call_id))]
     if isinstance(result, outcomes.Refusal):
-        marks.append((headers.OUTCOME, result.outcome.value))
-        marks.append((headers.REASON, result.reason.value))
-        return fake_upstreams.Answer(texts.status_of(result.reason), marks, b"")
+        shown_headers.append((headers.OUTCOME, result.outcome.value))
+        shown_headers.append((headers.REASON, result.reason.value))
+        return fake_upstreams.Answer(texts.status_of(result.reason), shown_headers, b"")
     if isinstance(result, once.KeptAnswer):
         home = dict(result.headers)
         outcome = home.get(headers.OUTCOME, outcomes.Outcome.RAN.value)
-        marks.append((headers.OUTCOME, outcome))
-        marks.append((headers.REASON, home.get(headers.REASON, "served")))
-        return fake_upstreams.Answer(result.status, marks, result.body)
+        shown_headers.append((headers.OUTCOME, outcome))
+        shown_headers.append((headers.REASON, home.get(headers.REASON, "served")))
+        return fake_upstreams.Answer(result.status, shown_headers, result.body)
     body = b""
     while piece := await result.chunk():
         if isinstance(piece, ports.UpstreamFault):
-            marks.append((headers.OUTCOME, outcomes.Outcome.UNKNOWN.value))
-            return fake_upstreams.Answer(502, marks, b"")
+            shown_headers.append((headers.OUTCOME, outcomes.Outcome.UNKNOWN.value))
+            return fake_upstreams.Answer(502, shown_headers, b"")
         body += piece
-    marks.append((headers.OUTCOME, outcomes.Outcome.RAN.value))
-    return fake_upstreams.Answer(result.answer.status, marks, body)
+    shown_headers.append((headers.OUTCOME, outcomes.Outcome.RAN.value))
+    return fake_upstreams.Answer(result.answer.status, shown_headers, body)
 
 
 class VirtualFleet:
@@ -177,7 +176,7 @@
         self.upstreams = fake_upstreams.Upstreams(self.world)
         self.entries: list[VirtualEntry] = []
         self.attempts_by_work: dict[str, list[Attempt]] = {}
-        #: What operators know to be accepted, in the order they heard of it.
+        #: What operators know to be accepted, in the order in which they learned it.
         self.envelopes: list[bundle_seal.Envelope] = []
         self.operators: list[asyncio.Task[publishing.Published]] = []
         self.generation_by_upstream: dict[str, int] = {}
@@ -228,7 +227,7 @@
         return [entry for entry in self.entries if entry.alive]
 
     def publish(self, version: int, base: int, text: str = "") -> None:
-        """Let an operator publish; several may be at it at once."""
+        """Let an operator publish; several may do so at the same time."""
         sealed = bundle_seal.seal(sample_bundle.text_of(version) + text, SEED_KEYS[0])
         store = fake_platform.FakeStore(self.store, self.operator_loop)
 
@@ -278,10 +277,15 @@
     ) -> Attempt:
         """Let a caller send a booking (or, without an id, a read)."""
         now = self.world.now
-        made = Attempt(
-            work, attempt or 1, attempt is not None, entry.host, now, now + timeout_s
+        sent = Attempt(
+            work=work,
+            number=attempt or 1,
+            declared=attempt is not None,
+            host=entry.host,
+            sent_at=now,
+            deadline=now + timeout_s,
         )
-        self.attempts_by_work.setdefault(work, []).append(made)
+        self.attempts_by_work.setdefault(work, []).append(sent)
         pairs = [
             (headers.TIMEOUT_MS, str(int(timeout_s * 1000))),
             (headers.CALLER, "hotel"),
@@ -301,7 +305,7 @@
             body = b"".join([p for p in answer._pieces if isinstance(p, bytes)])
             # The caller hangs up at its deadline.
             self.world.after(
-                fake_network.DELIVERY_S, lambda: self._heard(made, answer, body)
+                fake_network.DELIVERY_S, lambda: self._record_answer(sent, answer, body)
             )
 
         self.world.deliver(
@@ -309,9 +313,9 @@
             fake_network.DELIVERY_S,
             lambda: fake_upstreams._start(entry.loop, carry_out()),
         )
-        return made
+        return sent
 
-    def _heard(
+    def _record_answer(
         self, attempt: Attempt, answer: fake_upstreams.Answer, body: bytes
     ) -> None:
         fields = dict(answer.headers)
--- a/spindlenotch/bundles/account_tables.py
+++ b/spindlenotch/bundles/account_tables.py
@@ -43,7 +43,7 @@
 def read_anonymous_class(
     top: table_reader.TableReader, priority_by_class: PriorityByClass
 ) -> ids.ClassName | None:
-    """Return the class of callers without an account; None: they are refused."""
+    """Return the class of callers that name no account; None: they are refused."""
     table = top.subtable("unknown_callers")
     table.refuse_unknown(("class",))
     name = table.get("class", "")
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -84,8 +84,8 @@
     """
     All that the operators signed off, in one version.
 
-    ``priority_by_class``: a lower number is served first. ``anonymous_class`` is the
-    class of callers without an account, or None where they are refused.
+    ``priority_by_class``: a lower number is served first. ``anonymous_class`` is
+    the class of callers that name no account, or None where they are refused.
     ``measuring_share`` bounds probes as a share of upstream capacity.
     """
 
