--- a/features/support/entry_fleet.py
+++ b/features/support/entry_fleet.py
@@ -87,16 +87,16 @@
 
     async def start_entries(self, count: int = 3, **flags: str) -> None:
         """Start entries e0, e1, ... in zones z1 to z3 in turn; wait for ready."""
-        fresh = []
+        started = []
         for _ in range(count):
             number = len(self.entry_by_host)
             entry = Entry(f"e{number}", f"z{number % 3 + 1}")
             self.entry_by_host[entry.host] = entry
-            fresh.append(entry)
-        await self.post(f"{self.hosts_url}/host", [e.record() for e in fresh])
-        for entry in fresh:
+            started.append(entry)
+        await self.post(f"{self.hosts_url}/host", [e.record() for e in started])
+        for entry in started:
             await self.start_entry(entry, **flags)
-        for entry in fresh:
+        for entry in started:
             await self.until_ready(entry)
 
     async def start_entry(self, entry: Entry, **flags: str) -> None:
@@ -167,9 +167,11 @@
     def client(self, **options: typing.Any) -> client.Client:
         """Return a caller's client that knows all entries as seeds."""
         seeds = [entry.address for entry in self.entry_by_host.values()]
-        made = client.Client(seeds, sample_bundle.ACCOUNT, sample_bundle.KEY, **options)
-        self.clients.append(made)
-        return made
+        connected = client.Client(
+            seeds, sample_bundle.ACCOUNT, sample_bundle.KEY, **options
+        )
+        self.clients.append(connected)
+        return connected
 
     async def state(self, host: str) -> dict[str, typing.Any]:
         """Return an entry's state dump."""
@@ -213,8 +215,8 @@
 
     async def close(self) -> None:
         """End every process that is left."""
-        for lib in self.clients:
-            await lib.close()
+        for connected in self.clients:
+            await connected.close()
         if self.session is not None:
             await self.session.close()
         for process in self.processes:
--- a/features/support/free_ports.py
+++ b/features/support/free_ports.py
@@ -1,11 +1,11 @@
 """
 Ports for processes that a test starts later.
 
-They lie below those that the system gives to outgoing connections: a port
-that was free a moment ago is otherwise taken by one of these before the
-process listens. They are drawn at random, and a run keeps those that it has
-given for itself: it holds the same port of ``HELD_ON`` bound until it ends, so
-that a run beside it is not given a port whose process is just not up.
+They lie below those that the system gives to outgoing connections, which
+could otherwise take a free port before the process listens. They are drawn at
+random, and a run reserves those that it hands out: it keeps the same port of
+``HELD_ON`` bound until it ends, so that another run at the same time does not
+get a port whose process happens to be down.
 """
 
 import random
@@ -15,6 +15,7 @@
 LOOPBACK = "127.0.0.1"
 #: No process of a test listens on this address.
 HELD_ON = "127.99.0.1"
+#: Below 32768, where Linux begins to draw ports for outgoing connections.
 PORTS = (12_000, 30_000)
 _held: dict[int, socket.socket] = {}
 
@@ -37,7 +38,7 @@
 
 
 def _hold(port: int) -> bool:
-    """Keep a port for this process until it ends; tell whether it was to be had."""
+    """Reserve a port until this process ends; tell whether it was free to reserve."""
     held = socket.socket()
     try:
         held.bind((HELD_ON, port))
@@ -50,9 +51,9 @@
 
 def _is_free(host: str, port: int) -> bool:
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(type=kind) as one:
+        with socket.socket(type=kind) as probe:
             try:
-                one.bind((host, port))
+                probe.bind((host, port))
             except OSError:
                 return False
     return True
--- a/features/support/machine.py
+++ b/features/support/machine.py
@@ -145,8 +145,8 @@
         entry = self._living(host)
         if entry is not None:
             entry.loop.frozen = True
-            # What it heard while frozen it heeds only later; the oracle for
-            # heeding refusals keeps to hosts that were never frozen.
+            # What arrives meanwhile is handled only later; the oracle on
+            # draining upstreams therefore skips hosts that were ever frozen.
             self.frozen_hosts.add(host)
 
     @stateful.rule(host=hosts)
@@ -279,7 +279,7 @@
 
     @stateful.invariant()
     def refusals_of_the_leaving_are_heeded(self) -> None:
-        """Whoever was told by an upstream that it drains asks no more."""
+        """An entry that an upstream refused as draining sends it nothing more."""
         self.oracle.check_drained_upstreams()
 
     @stateful.invariant()
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -70,7 +70,7 @@
             entry.versions.append(version)
 
     def check_drained_upstreams(self) -> None:
-        """Whoever was told by an upstream that it drains asks no more."""
+        """An entry that an upstream refused as draining sends it nothing more."""
         never_frozen = {
             entry.address
             for entry in self.fleet.entries
--- a/features/support/virtual_world.py
+++ b/features/support/virtual_world.py
@@ -16,6 +16,8 @@
 
 from spindlenotch import clock, ids
 
+#: Rounds within one instant after which a test fails instead of hanging.
+#: Chosen, not measured.
 MAX_STEPS = 10_000
 
 
@@ -90,20 +92,20 @@
         self._order = itertools.count()
 
     def loop(self) -> WorldLoop:
-        """Return a new loop."""
-        made = WorldLoop(self)
-        made.set_exception_handler(_raise_later(self))
-        self.loops.append(made)
-        return made
+        """Return the loop of a new process."""
+        loop = WorldLoop(self)
+        loop.set_exception_handler(_raise_later(self))
+        self.loops.append(loop)
+        return loop
 
     def after(self, delay: float, action: abc.Callable[[], None]) -> None:
-        """Do ``action`` in the outside world after ``delay`` seconds."""
+        """Call ``action`` outside all processes after ``delay`` seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def deliver(
         self, loop: WorldLoop, delay: float, action: abc.Callable[[], None]
     ) -> None:
-        """Let something arrive in a process after ``delay`` seconds."""
+        """Call ``action`` in a process after ``delay`` seconds, unless it is dead."""
 
         def arrive() -> None:
             if not loop.dead:
@@ -112,7 +114,7 @@
         self.after(delay, arrive)
 
     def run(self, seconds: float) -> None:
-        """Let the world go on for so long."""
+        """Advance the time by ``seconds``, and do all that is due until then."""
         until = self.now + seconds
         while True:
             self._settle()
