--- a/spindlenotch/bundles/scalar_fields.py
+++ b/spindlenotch/bundles/scalar_fields.py
@@ -57,24 +57,36 @@
     Field("timezone", str, "UTC", None, None, "", "zone of the day's schedule"),
 )
 MEASURING_FIELDS = (
+    Field("budget_share", float, 0.01, 0.0, 0.2, "share", "probes, of slots x time"),
     Field(
-        "budget_share", float, 0.01, 0.0, 0.2, "share", "of slots x time, all probes"
+        "probe_ms", float, 6.0, 0.1, 1000, "ms", "time for which a probe holds a slot"
     ),
-    Field("probe_ms", float, 6.0, 0.1, 1000, "ms", "slot time that one probe takes"),
 )
 CLAIMS_FIELDS = (
     Field("per_second", float, 100.0, 0.0, 500, "1/s", "claims written, whole fleet"),
     Field("keep_s", int, 86_400, 60, 604_800, "s", "how long a claim is kept"),
 )
 SERVICE_FIELDS = (
-    Field("slots", int, REQUIRED, 1, 1024, "", "requests one upstream runs at once"),
-    Field("connections", int, 250, 1, 65_535, "", "connections one upstream bears"),
-    Field("typical_ms", float, 20.0, 0.1, 600_000, "ms", "usual time of a request"),
+    Field(
+        "slots", int, REQUIRED, 1, 1024, "", "requests that one upstream runs at once"
+    ),
+    Field(
+        "connections",
+        int,
+        250,
+        1,
+        65_535,
+        "",
+        "connections one upstream accepts; not enforced",
+    ),
+    Field("typical_ms", float, 20.0, 0.1, 600_000, "ms", "typical time of a request"),
     Field("policy", str, "owned", None, None, "", "selection policy"),
     Field(
-        "hedge_share", float, 0.05, 0.0, 0.1, "share", "second copies of repeatables"
+        "hedge_share", float, 0.05, 0.0, 0.1, "share", "hedges, of repeatable requests"
+    ),
+    Field(
+        "retry_share", float, 0.05, 0.0, 0.1, "share", "retries, of repeatable requests"
     ),
-    Field("retry_share", float, 0.05, 0.0, 0.1, "share", "retries of repeatables"),
     Field("queue_limit", int, 200, 0, 100_000, "", "requests waiting in one entry"),
     Field("eject_share", float, 0.3, 0.0, 0.5, "share", "upstreams ejected at most"),
 )
--- a/spindlenotch/bundles/table_reader.py
+++ b/spindlenotch/bundles/table_reader.py
@@ -12,8 +12,8 @@
 
 from spindlenotch.bundles import faults, scalar_fields
 
-#: Names that end up in paths, metrics and logs: at most the 63 characters of
-#: a DNS label (RFC 1035).
+#: Names that end up in paths, metrics and logs; at most 63 characters, as in a
+#: DNS label. Chosen, not measured.
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,62})")
 NAME_ALLOWED = "a-z, 0-9 and inner hyphens, at most 63"
 
@@ -21,7 +21,7 @@
 
 
 class TableReader:
-    """One table, the path that leads to it and the list that takes its faults."""
+    """One table, its path, and the list to which its faults are added."""
 
     def __init__(self, table: Table, path: str, found: faults.FaultList) -> None:
         self.table = table
