--- a/features/steps/codec.py
+++ b/features/steps/codec.py
@@ -10,8 +10,8 @@
 FIRST, SECOND = b"the first peer key", b"the second peer key"
 
 
-def news(number: int) -> messages.MemberRecord:
-    """Return a member's news."""
+def member(number: int) -> messages.MemberRecord:
+    """Return the record of a member."""
     return messages.MemberRecord(
         ids.HostId(f"e{number}"),
         ids.ZoneName("z1"),
@@ -25,7 +25,7 @@
     )
 
 
-def frame(body: bytes) -> bytes:
+def frame_with(body: bytes) -> bytes:
     """Return a document frame whose body goes over the wire as it is."""
     document = documents.Document(
         documents.DocumentKind.BUNDLE, 1, ids.Digest("d"), b"placeholder"
@@ -38,35 +38,41 @@
 
 @kernel.PROPERTIES.register("hostile peer bytes are refused and bounded")
 def hostile() -> None:
-    message = messages.Message(news(0), 1, (), tuple(news(n) for n in range(4)))
+    message = messages.Message(member(0), 1, (), tuple(member(n) for n in range(4)))
     good = capnp_codec.CAPNP.encode_gossip(message)
 
     hostile_bytes.check(capnp_codec.CAPNP, good)
-    many = messages.Message(news(0), 1, (), tuple(news(n) for n in range(50)))
-    crowd = capnp_codec.CAPNP.encode_gossip(many)
+    too_many = messages.Message(member(0), 1, (), tuple(member(n) for n in range(50)))
+    crowd = capnp_codec.CAPNP.encode_gossip(too_many)
     assert capnp_codec.CAPNP.decode_gossip(crowd) is wire_format.CodecFault.GARBLED
     bomb = zlib.compress(b"0" * (8 * wire_format.MAX_FRAME_BYTES))
     assert len(bomb) < 100_000
-    assert capnp_codec.CAPNP.decode_frame(frame(bomb)) is wire_format.CodecFault.GARBLED
+    assert (
+        capnp_codec.CAPNP.decode_frame(frame_with(bomb))
+        is wire_format.CodecFault.GARBLED
+    )
     cut = zlib.compress(b"a body")[:-3]
-    assert capnp_codec.CAPNP.decode_frame(frame(cut)) is wire_format.CodecFault.GARBLED
+    assert (
+        capnp_codec.CAPNP.decode_frame(frame_with(cut))
+        is wire_format.CodecFault.GARBLED
+    )
 
 
 @kernel.PROPERTIES.register("peer keys can be rotated")
 def rotation() -> None:
     old = peer_seal.Sealer((FIRST,))
     both = peer_seal.Sealer((FIRST, SECOND))
-    turned = peer_seal.Sealer((SECOND, FIRST))
+    rotated = peer_seal.Sealer((SECOND, FIRST))
     new = peer_seal.Sealer((SECOND,))
-    for sender, receiver, heard in (
+    for sender, receiver, accepted in (
         (old, both, True),
         (both, old, True),
-        (both, turned, True),
-        (turned, both, True),
-        (turned, new, True),
-        (new, turned, True),
+        (both, rotated, True),
+        (rotated, both, True),
+        (rotated, new, True),
+        (new, rotated, True),
         (old, new, False),
         (new, old, False),
     ):
         opened = receiver.open(sender.seal(b"hello"), 1000)
-        assert (opened == b"hello") is heard, (sender.keys, receiver.keys)
+        assert (opened == b"hello") is accepted, (sender.keys, receiver.keys)
--- a/features/steps/defaults.py
+++ b/features/steps/defaults.py
@@ -7,29 +7,11 @@
 import behave
 from aiohttp import web
 
-from features.support import fleet as fleets
-from spindlenotch import client
+from features.support import sample_bundle
 from spindlenotch.drivers import upstream_http
 from standins import server
 
-MARKS = ("Spindlenotch-Request-Id",)
-
-
-@behave.given('upstream "{name}" behaves with {change}')
-def behaves(context: typing.Any, name: str, change: str) -> None:
-    context.runner.run(context.fleet.behave(name, **{change: True}))
-
-
-@behave.then("there is no whole answer")
-def no_answer(context: typing.Any) -> None:
-    answer = context.answer
-    if isinstance(answer, client.Answer):
-        assert answer.status == 502 and answer.outcome.value == "unknown", answer
-
-
-@behave.then("the answer says when to come back")
-def come_back(context: typing.Any) -> None:
-    assert context.answer.retry_after_s is not None, context.answer
+ECHOED_HEADERS = ("Spindlenotch-Request-Id",)
 
 
 @behave.when("an echoing upstream is asked for a redirect, a gzip body and a cookie")
@@ -42,20 +24,20 @@
 
     async def handle(request: web.Request) -> web.Response:
         seen.append(dict(request.headers))
-        marks = {name: request.headers.get(name, "") for name in MARKS}
+        echoed = {name: request.headers.get(name, "") for name in ECHOED_HEADERS}
         if request.path == "/redirect":
-            return web.Response(status=302, headers={**marks, "Location": "/else"})
+            return web.Response(status=302, headers={**echoed, "Location": "/else"})
         body = gzip.compress(b"packed")
-        marks["Content-Encoding"] = "gzip"
-        marks["Set-Cookie"] = "secret=1"
-        return web.Response(body=body, headers=marks)
+        echoed["Content-Encoding"] = "gzip"
+        echoed["Set-Cookie"] = "secret=1"
+        return web.Response(body=body, headers=echoed)
 
     app = web.Application()
     app.add_routes([web.get("/{tail:.*}", handle)])
     runner, address = await server.serve(app)
     fleet.address_by_upstream["echo"] = address
     await fleet.list_upstream("echo", "z1", generation=1)
-    await fleet.post(f"{fleet.hosts}/host", [{"id": "w0", "gone": True}])
+    await fleet.post(f"{fleet.hosts_url}/host", [{"id": "w0", "gone": True}])
     entry = fleet.entry_by_host["e0"]
 
     async def listed() -> bool:
@@ -68,7 +50,7 @@
     fields = {
         "Spindlenotch-Timeout-Ms": "3000",
         "Spindlenotch-Caller": "hotel",
-        "Spindlenotch-Key": fleets.KEY,
+        "Spindlenotch-Key": sample_bundle.KEY,
         "Connection": "keep-alive, X-Private",
         "X-Private": "1",
         "TE": "trailers",
--- a/features/support/fake_upstreams.py
+++ b/features/support/fake_upstreams.py
@@ -1,5 +1,5 @@
 """
-Fake upstreams in a ``world``, their ledger, and forwarding between entries.
+Fake upstreams in a ``virtual_world``, their ledger, and forwarding between entries.
 
 All run on the world's virtual clock and random numbers. The ledger is the
 oracle: it lists what began to run, where and when.
@@ -10,7 +10,7 @@
 import typing
 from collections import abc
 
-from features.support import fakes, world as worlds
+from features.support import fake_network, virtual_world
 from spindlenotch import headers, ids, ports
 from spindlenotch.kernel import upstreams
 
@@ -64,14 +64,14 @@
     requests that one entry forwards to another.
     """
 
-    def __init__(self, world: worlds.World) -> None:
+    def __init__(self, world: virtual_world.World) -> None:
         self.world = world
         self.upstream_by_address: dict[str, UpstreamState] = {}
         self.ledger: list[Run] = []
         self.forward_by_address: dict[
             str, abc.Callable[[ports.UpstreamRequest], abc.Awaitable[Answer]]
         ] = {}
-        self.loop_by_address: dict[str, worlds.WorldLoop] = {}
+        self.loop_by_address: dict[str, virtual_world.WorldLoop] = {}
 
     def run(self, upstream: UpstreamState, request: ports.UpstreamRequest) -> Run:
         """Enter a run into the ledger."""
@@ -123,8 +123,8 @@
     def __init__(
         self,
         all_upstreams: Upstreams,
-        loop: worlds.WorldLoop,
-        network: fakes.Network,
+        loop: virtual_world.WorldLoop,
+        network: fake_network.Network,
         own: str,
     ) -> None:
         self.all_upstreams = all_upstreams
@@ -139,17 +139,22 @@
         world = self.all_upstreams.world
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
-        await asyncio.sleep(fakes.WAY_S if request.needs_new_connection else 0)
+        await asyncio.sleep(
+            fake_network.DELIVERY_S if request.needs_new_connection else 0
+        )
         if not request.may_send():
             return ports.UpstreamFault.TOO_LATE
-        future, resolve = fakes.reply(world, self.loop)
+        future, resolve = fake_network.reply(world, self.loop)
         if request.address in self.all_upstreams.forward_by_address:
             self._forward(request, resolve)
         else:
             upstream = self.all_upstreams.upstream_by_address[request.address]
             if upstream.mode == "refuse":
                 return ports.UpstreamFault.CONNECT_FAILED
-            world.after(fakes.WAY_S, lambda: self._arrive(upstream, request, resolve))
+            world.after(
+                fake_network.DELIVERY_S,
+                lambda: self._arrive(upstream, request, resolve),
+            )
         result = await future
         if isinstance(result, Answer):
             echoed_id = dict(result.headers).get(headers.REQUEST_ID)
@@ -186,10 +191,10 @@
         serve = self.all_upstreams.forward_by_address[peer]
 
         async def carry_out() -> None:
-            resolve(await serve(request), fakes.WAY_S)
+            resolve(await serve(request), fake_network.DELIVERY_S)
 
         world = self.all_upstreams.world
-        world.deliver(loop, fakes.WAY_S, lambda: _start(loop, carry_out()))
+        world.deliver(loop, fake_network.DELIVERY_S, lambda: _start(loop, carry_out()))
 
     def _arrive(
         self,
@@ -205,7 +210,7 @@
             pairs.append((headers.STATE, "draining"))
         if upstream.mode == "shed" or upstream.leaving_since is not None:
             pairs.append((headers.OUTCOME, "not-run"))
-            resolve(Answer(503, pairs, b""), fakes.WAY_S)
+            resolve(Answer(503, pairs, b""), fake_network.DELIVERY_S)
             return
         if upstream.mode == "lost":
             resolve(ports.UpstreamFault.CONNECTION_LOST, LOSS_NOTICED_S)
@@ -233,7 +238,9 @@
     return Answer(200, pairs, body)
 
 
-def _start(loop: worlds.WorldLoop, work: abc.Coroutine[None, None, None]) -> None:
+def _start(
+    loop: virtual_world.WorldLoop, work: abc.Coroutine[None, None, None]
+) -> None:
     """Start a task of a loop, which holds it until it is done."""
     task = loop.create_task(work)
     loop.world_tasks = getattr(loop, "world_tasks", set())  # type: ignore[attr-defined]
--- a/features/support/recorded_samples.py
+++ b/features/support/recorded_samples.py
@@ -459,8 +459,8 @@
         operations=operations,
         day=day,
     )
-    grant = bundle.CallerGrant(
-        name=ids.CallerName("hotel"),
+    account = bundle.ClientAccount(
+        name=ids.AccountName("hotel"),
         key_sha256="a3" * 32,
         class_names=(ids.ClassName("urgent"), ids.ClassName("browse")),
     )
@@ -472,9 +472,9 @@
         probe_ms=4.5,
         claims_per_second=75.0,
         claim_keep_s=7200,
-        rank_by_class={ids.ClassName("urgent"): 1, ids.ClassName("browse"): 3},
-        unknown_class=ids.ClassName("browse"),
-        caller_by_name={grant.name: grant},
+        priority_by_class={ids.ClassName("urgent"): 1, ids.ClassName("browse"): 3},
+        anonymous_class=ids.ClassName("browse"),
+        account_by_name={account.name: account},
         service_by_name={service.name: service},
     )
 
@@ -510,9 +510,9 @@
         probe_ms=6.0,
         claims_per_second=100.0,
         claim_keep_s=86_400,
-        rank_by_class={ids.ClassName("browse"): 0},
-        unknown_class=None,
-        caller_by_name={},
+        priority_by_class={ids.ClassName("browse"): 0},
+        anonymous_class=None,
+        account_by_name={},
         service_by_name={service.name: service},
     )
 
@@ -525,7 +525,7 @@
 def earlier_envelope() -> bundle_seal.Envelope:
     """Return the envelope of version 41, whose log begins there."""
     sealed = bundle_seal.seal(text_of("bundle-bare.toml"), PRIVATE_EARLIER)
-    return bundle_seal.logged(sealed, None, 41, 1_700_000_000.5)
+    return bundle_seal.with_log(sealed, None, 41, 1_700_000_000.5)
 
 
 def sealed_bundle() -> bundle_seal.Envelope:
@@ -535,7 +535,9 @@
 
 def envelope() -> bundle_seal.Envelope:
     """Return the envelope of version 42 with its log."""
-    return bundle_seal.logged(sealed_bundle(), earlier_envelope(), 42, 1_700_000_060.25)
+    return bundle_seal.with_log(
+        sealed_bundle(), earlier_envelope(), 42, 1_700_000_060.25
+    )
 
 
 def opened(data: bytes) -> object:
@@ -649,7 +651,11 @@
         before = bundle_seal.encode(earlier_envelope())
         driver, session = http_store(answer(200, 6, before), answer(200, 7))
         done = await publishing.publish(
-            driver, sealed_bundle(), 42, 41, 1_700_000_060.25
+            driver,
+            sealed_bundle(),
+            version=42,
+            base=41,
+            published_at=1_700_000_060.25,
         )
         assert done.verdict is publishing.Verdict.ACCEPTED, done
         return recorded.pretty(session.calls[-1])
--- a/features/support/virtual_fleet.py
+++ b/features/support/virtual_fleet.py
@@ -1,5 +1,5 @@
 """
-A few entries in a ``world``, with callers and operators to go with them.
+A few entries in a ``virtual_world``, with callers and operators to go with them.
 
 The entries run the product's own state, control loops, front, data path, ids
 and measuring; only the ports are fakes.
@@ -13,7 +13,14 @@
 
 import msgspec
 
-from features.support import fake_upstreams, fakes, fleet, world as worlds
+from features.support import (
+    fake_network,
+    fake_platform,
+    fake_upstreams,
+    host_records,
+    sample_bundle,
+    virtual_world,
+)
 from spindlenotch import headers, ids, ports, selection
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
@@ -41,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """One time a caller sent a request, and what it heard."""
+    """One time a caller sent a request, and the answer that it got."""
 
     work: str
     number: int
@@ -58,29 +65,28 @@
 class VirtualEntry:
     """One life of one entry process."""
 
-    def __init__(self, everything: "VirtualFleet", host: str, zone: str) -> None:
-        self.everything = everything
+    def __init__(self, fleet: "VirtualFleet", host: str, zone: str) -> None:
         self.host = host
         self.zone = zone
-        self.loop = everything.world.loop()
-        self.address = f"10.0.0.{len(everything.entries) + 1}:{len(host)}"
-        seed = everything.world.rng.getrandbits(32)
-        config = _config(host, zone, self.address, everything.peer_addresses(), seed)
-        self.state = entry_state.EntryState(config, everything.world.clock)
-        self.store = fakes.FakeStore(everything.store, self.loop)
+        self.loop = fleet.world.loop()
+        self.address = f"10.0.0.{len(fleet.entries) + 1}:{len(host)}"
+        seed = fleet.world.rng.getrandbits(32)
+        config = _config(host, zone, self.address, fleet.peer_addresses(), seed)
+        self.state = entry_state.EntryState(config, fleet.world.clock)
+        self.store = fake_platform.FakeStore(fleet.store, self.loop)
         port = fake_upstreams.FakeUpstreamPort(
-            everything.upstreams, self.loop, everything.network, self.address
+            fleet.upstreams, self.loop, fleet.network, self.address
         )
         make_link = functools.partial(
-            fakes.FakeLink,
-            network=everything.network,
+            fake_network.FakeLink,
+            network=fleet.network,
             loop=self.loop,
             address=self.address,
         )
         self.control = control.Control(
             self.state,
             self.store,
-            fakes.FakeHostList(everything.hosts),
+            fake_platform.FakeHostList(fleet.hosts),
             typing.cast(typing.Any, make_link),
         )
         self.path = data_path.DataPath(
@@ -94,8 +100,8 @@
         self.prober = prober.Prober(
             self.state, self.store, port, self.control.spread_drain_notice
         )
-        everything.upstreams.forward_by_address[self.address] = self._forwarded
-        everything.upstreams.loop_by_address[self.address] = self.loop
+        fleet.upstreams.forward_by_address[self.address] = self._forwarded
+        fleet.upstreams.loop_by_address[self.address] = self.loop
         self.versions: list[int] = []
         self.loop.call_soon(lambda: fake_upstreams._start(self.loop, self._start()))
 
@@ -109,15 +115,9 @@
         self.state.set_addresses(ids.Address(self.address), ids.Address(self.address))
         self.prober.start()
 
-    def record(self) -> dict[str, typing.Any]:
+    def record(self) -> host_records.Record:
         """Return this entry as the host list shows it."""
-        return {
-            "id": self.host,
-            "role": "entry",
-            "zone": self.zone,
-            "address": self.address,
-            "peer_address": self.address,
-        }
+        return host_records.entry(self.host, self.zone, self.address, self.address)
 
     async def serve(
         self, method: str, raw_path: str, pairs: list[tuple[str, str]], body: bytes
@@ -147,39 +147,39 @@
 async def _answer(
     result: once_runs.Result, call_id: ids.CallId
 ) -> fake_upstreams.Answer:
-    marks = [(headers.REQUEST_ID, str(call_id))]
+    shown_headers = [(headers.REQUEST_ID, str(call_id))]
     if isinstance(result, outcomes.Refusal):
-        marks.append((headers.OUTCOME, result.outcome.value))
-        marks.append((headers.REASON, result.reason.value))
-        return fake_upstreams.Answer(texts.status_of(result.reason), marks, b"")
+        shown_headers.append((headers.OUTCOME, result.outcome.value))
+        shown_headers.append((headers.REASON, result.reason.value))
+        return fake_upstreams.Answer(texts.status_of(result.reason), shown_headers, b"")
     if isinstance(result, once.KeptAnswer):
         home = dict(result.headers)
         outcome = home.get(headers.OUTCOME, outcomes.Outcome.RAN.value)
-        marks.append((headers.OUTCOME, outcome))
-        marks.append((headers.REASON, home.get(headers.REASON, "served")))
-        return fake_upstreams.Answer(result.status, marks, result.body)
+        shown_headers.append((headers.OUTCOME, outcome))
+        shown_headers.append((headers.REASON, home.get(headers.REASON, "served")))
+        return fake_upstreams.Answer(result.status, shown_headers, result.body)
     body = b""
     while piece := await result.chunk():
         if isinstance(piece, ports.UpstreamFault):
-            marks.append((headers.OUTCOME, outcomes.Outcome.UNKNOWN.value))
-            return fake_upstreams.Answer(502, marks, b"")
+            shown_headers.append((headers.OUTCOME, outcomes.Outcome.UNKNOWN.value))
+            return fake_upstreams.Answer(502, shown_headers, b"")
         body += piece
-    marks.append((headers.OUTCOME, outcomes.Outcome.RAN.value))
-    return fake_upstreams.Answer(result.answer.status, marks, body)
+    shown_headers.append((headers.OUTCOME, outcomes.Outcome.RAN.value))
+    return fake_upstreams.Answer(result.answer.status, shown_headers, body)
 
 
 class VirtualFleet:
     """Entries, store, host list, upstreams, callers and operators of a world."""
 
     def __init__(self, seed: int, upstream_count: int = 3) -> None:
-        self.world = worlds.World(seed)
-        self.store = fakes.StoreState(self.world)
-        self.hosts = fakes.HostsState()
-        self.network = fakes.Network(self.world)
+        self.world = virtual_world.World(seed)
+        self.store = fake_platform.StoreState(self.world)
+        self.hosts = fake_platform.HostsState()
+        self.network = fake_network.Network(self.world)
         self.upstreams = fake_upstreams.Upstreams(self.world)
         self.entries: list[VirtualEntry] = []
         self.attempts_by_work: dict[str, list[Attempt]] = {}
-        #: What operators know to be accepted, in the order they heard of it.
+        #: What operators know to be accepted, in the order in which they learned it.
         self.envelopes: list[bundle_seal.Envelope] = []
         self.operators: list[asyncio.Task[publishing.Published]] = []
         self.generation_by_upstream: dict[str, int] = {}
@@ -205,15 +205,14 @@
     def list_upstream(self, number: int, state: str = "live") -> None:
         """Show an upstream in the host list."""
         name = f"w{number}"
-        self.hosts.put(
-            id=name,
-            role="upstream",
+        record = host_records.upstream(
+            name,
             zone=ZONES[number % 3],
             address=f"10.1.0.{number}:80",
-            service="resv",
             generation=self.generation_by_upstream[name],
             state=state,
         )
+        self.hosts.put(**record)
 
     def upstream(self, number: int) -> fake_upstreams.UpstreamState:
         """Return one upstream."""
@@ -231,13 +230,17 @@
         return [entry for entry in self.entries if entry.alive]
 
     def publish(self, version: int, base: int, text: str = "") -> None:
-        """Let an operator publish; several may be at it at once."""
-        sealed = bundle_seal.seal(fleet.bundle_text(version) + text, SEED_KEYS[0])
-        store = fakes.FakeStore(self.store, self.operator_loop)
+        """Let an operator publish; several may do so at the same time."""
+        sealed = bundle_seal.seal(sample_bundle.text_of(version) + text, SEED_KEYS[0])
+        store = fake_platform.FakeStore(self.store, self.operator_loop)
 
         async def run() -> publishing.Published:
             result = await publishing.publish(
-                store, sealed, version, base, self.world.now
+                store,
+                sealed,
+                version=version,
+                base=base,
+                published_at=self.world.now,
             )
             if result.verdict is publishing.Verdict.ACCEPTED:
                 assert result.envelope is not None
@@ -254,7 +257,9 @@
         assert isinstance(opened, bundle_seal.Opened)
         frame = messages.DocumentFrame(1, False, documents_in_force.document_of(opened))
         self.world.deliver(
-            entry.loop, fakes.WAY_S, lambda: entry.control._on_frame(frame) and None
+            entry.loop,
+            fake_network.DELIVERY_S,
+            lambda: entry.control._on_frame(frame) and None,
         )
 
     def stored_version(self) -> int:
@@ -275,14 +280,19 @@
     ) -> Attempt:
         """Let a caller send a booking (or, without an id, a read)."""
         now = self.world.now
-        made = Attempt(
-            work, attempt or 1, attempt is not None, entry.host, now, now + timeout_s
+        sent = Attempt(
+            work=work,
+            number=attempt or 1,
+            declared=attempt is not None,
+            host=entry.host,
+            sent_at=now,
+            deadline=now + timeout_s,
         )
-        self.attempts_by_work.setdefault(work, []).append(made)
+        self.attempts_by_work.setdefault(work, []).append(sent)
         pairs = [
             (headers.TIMEOUT_MS, str(int(timeout_s * 1000))),
             (headers.CALLER, "hotel"),
-            (headers.KEY, fleet.KEY),
+            (headers.KEY, sample_bundle.KEY),
             ("X-Work", work),
         ]
         if id_header is not None:
@@ -297,16 +307,18 @@
             answer = await entry.serve(method, path, pairs, b"one night")
             body = b"".join([p for p in answer._pieces if isinstance(p, bytes)])
             # The caller hangs up at its deadline.
-            self.world.after(fakes.WAY_S, lambda: self._heard(made, answer, body))
+            self.world.after(
+                fake_network.DELIVERY_S, lambda: self._record_answer(sent, answer, body)
+            )
 
         self.world.deliver(
             entry.loop,
-            fakes.WAY_S,
+            fake_network.DELIVERY_S,
             lambda: fake_upstreams._start(entry.loop, carry_out()),
         )
-        return made
+        return sent
 
-    def _heard(
+    def _record_answer(
         self, attempt: Attempt, answer: fake_upstreams.Answer, body: bytes
     ) -> None:
         fields = dict(answer.headers)
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -59,10 +59,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerGrant:
-    """Which classes a caller may use; the first is its default."""
+class ClientAccount:
+    """
+    A caller that the operators know: its key and the classes it may use.
+
+    ``key_sha256`` is in hexadecimal. A request gets the class it asks for, else
+    its operation's, else the last of ``class_names``.
+    """
 
-    name: ids.CallerName
+    name: ids.AccountName
     key_sha256: str
     class_names: tuple[ids.ClassName, ...]
 
@@ -72,8 +77,8 @@
     """
     All that the operators signed off, in one version.
 
-    ``rank_by_class``: a lower rank is served first. ``unknown_class`` is the
-    class of callers without a grant, or None where they are refused.
+    ``priority_by_class``: a lower number is served first. ``anonymous_class`` is
+    the class of callers that name no account, or None where they are refused.
     ``measuring_share`` bounds probes as a share of upstream capacity.
     """
 
@@ -84,7 +89,7 @@
     probe_ms: float
     claims_per_second: float
     claim_keep_s: int
-    rank_by_class: dict[ids.ClassName, int]
-    unknown_class: ids.ClassName | None
-    caller_by_name: dict[ids.CallerName, CallerGrant]
+    priority_by_class: dict[ids.ClassName, int]
+    anonymous_class: ids.ClassName | None
+    account_by_name: dict[ids.AccountName, ClientAccount]
     service_by_name: dict[ids.ServiceName, Service]
--- a/spindlenotch/entry/admit.py
+++ b/spindlenotch/entry/admit.py
@@ -37,8 +37,8 @@
     service: bundle.Service
     operation: bundle.Operation
     target: str
-    rank: int
-    client_account: ids.CallerName | None
+    priority: int
+    client_account: ids.AccountName | None
     timeout_s: float
     ticket: str
     chosen_id: str
@@ -51,10 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Rights:
-    """Whose request it is, and the rank of its class; lower is served first."""
+    """Whose request it is, and the priority of its class; lower is served first."""
 
-    client_account: ids.CallerName | None
-    rank: int
+    client_account: ids.AccountName | None
+    priority: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
         service=service,
         operation=operation,
         target=target,
-        rank=rights.rank,
+        priority=rights.priority,
         client_account=rights.client_account,
         timeout_s=timeout_s,
         ticket=request_id.ticket,
@@ -152,7 +152,7 @@
     name = fields.get(headers.CALLER)
     if name is None:
         return _rights_without_account(current, asked)
-    account = current.caller_by_name.get(ids.CallerName(name))
+    account = current.account_by_name.get(ids.AccountName(name))
     digest = hashlib.sha256(fields.get(headers.KEY, "").encode()).hexdigest()
     if account is None or not hmac.compare_digest(digest, account.key_sha256):
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
@@ -161,17 +161,17 @@
     class_name = ids.ClassName(asked or operation.class_name)
     if class_name not in account.class_names:
         class_name = account.class_names[-1]
-    return _Rights(account.name, current.rank_by_class[class_name])
+    return _Rights(account.name, current.priority_by_class[class_name])
 
 
 def _rights_without_account(
     current: bundle.Bundle, asked: str | None
 ) -> _Rights | outcomes.Refusal:
-    if current.unknown_class is None:
+    if current.anonymous_class is None:
         return outcomes.not_run(outcomes.Reason.UNAUTHENTICATED)
-    if asked is not None and asked != current.unknown_class:
+    if asked is not None and asked != current.anonymous_class:
         return outcomes.not_run(outcomes.Reason.CLASS_NOT_GRANTED)
-    return _Rights(None, current.rank_by_class[current.unknown_class])
+    return _Rights(None, current.priority_by_class[current.anonymous_class])
 
 
 def _number(fields: abc.Mapping[str, str], name: str, *, default: int) -> int | None:
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -129,7 +129,7 @@
         can_resend = operation.repeatable and isinstance(body, (bytes, type(None)))
         call = waiting.Call(
             id=call_id,
-            priority=admitted.rank,
+            priority=admitted.priority,
             repeatable=can_resend and not admitted.no_retry,
             deadline=ids.later(sent_at, admitted.timeout_s),
             latency_key=operation.name,
--- a/spindlenotch/entry/once_identity.py
+++ b/spindlenotch/entry/once_identity.py
@@ -22,7 +22,7 @@
     ``forwarded`` is true where a peer took this process for the home.
     """
 
-    client_account: ids.CallerName | None
+    client_account: ids.AccountName | None
     ticket: str
     chosen: str
     attempt: int
--- a/spindlenotch/ids.py
+++ b/spindlenotch/ids.py
@@ -19,11 +19,8 @@
 
 #: Name of an availability zone.
 ZoneName = typing.NewType("ZoneName", str)
-
-#: Name of a client account.
-CallerName = typing.NewType("CallerName", str)
-
-#: Name of a priority class of requests.
+#: A client account: a caller whose key and classes the bundle lists.
+AccountName = typing.NewType("AccountName", str)
 ClassName = typing.NewType("ClassName", str)
 
 #: Id of one request, the same in every process that handles it.
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -9,7 +9,7 @@
 from collections import abc
 
 from spindlenotch import events
-from spindlenotch.bundles import bundle_check
+from spindlenotch.bundles import scalar_fields
 from spindlenotch.entry import settings
 from spindlenotch.gateway import settings as gateway_settings
 from spindlenotch.settings import schema
@@ -21,7 +21,7 @@
 END = "<!-- made from the code: end of {} -->"
 
 
-def bundle_fields(title: str, rows: abc.Iterable[bundle_check.Field]) -> str:
+def bundle_fields(title: str, rows: abc.Iterable[scalar_fields.Field]) -> str:
     """Return a section with a table of bundle fields."""
     lines = [
         f"### {title}",
@@ -30,7 +30,7 @@
         "|---|---|---|---|---|---|---|",
     ]
     for f in rows:
-        default = "required" if f.default is bundle_check.REQUIRED else f.default
+        default = "required" if f.default is scalar_fields.REQUIRED else f.default
         low = "" if f.low is None else f"{f.low:g}"
         high = "" if f.high is None else f"{f.high:g}"
         lines.append(
@@ -43,10 +43,10 @@
 def bundle_reference() -> str:
     """Return the sections on all scalar fields of a bundle."""
     parts = (
-        bundle_fields("Top level", bundle_check.TOP_FIELDS),
-        bundle_fields("`[measuring]`", bundle_check.MEASURING_FIELDS),
-        bundle_fields("`[claims]`", bundle_check.CLAIMS_FIELDS),
-        bundle_fields("`[services.NAME]`", bundle_check.SERVICE_FIELDS),
+        bundle_fields("Top level", scalar_fields.TOP_FIELDS),
+        bundle_fields("`[measuring]`", scalar_fields.MEASURING_FIELDS),
+        bundle_fields("`[claims]`", scalar_fields.CLAIMS_FIELDS),
+        bundle_fields("`[services.NAME]`", scalar_fields.SERVICE_FIELDS),
     )
     return "\n".join(parts)
 
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -16,7 +16,7 @@
 import uvloop
 from hdrh import histogram
 
-from features.support import fleet
+from features.support import entry_fleet
 
 #: Requests per second. Chosen, not measured.
 RATES = (50, 200, 500)
@@ -78,7 +78,7 @@
 
 async def main() -> int:
     """Run all rounds."""
-    deployment = fleet.Fleet()
+    deployment = entry_fleet.Fleet()
     try:
         await deployment.start_platform(1, 200)
         await deployment.behave("w0", service_ms=0.001, steady=True)
@@ -90,7 +90,7 @@
     return 0
 
 
-async def measure(deployment: fleet.Fleet) -> None:
+async def measure(deployment: entry_fleet.Fleet) -> None:
     """Print what the entry adds, and what it uses."""
     entry = deployment.entry_by_host["e0"]
     assert entry.process is not None
