--- a/spindlenotch/cli/latencies.py
+++ b/spindlenotch/cli/latencies.py
@@ -6,6 +6,7 @@
 
 from hdrh import histogram
 
+#: By definition.
 MICROSECONDS_PER_S = 1_000_000
 #: Longest latency that is told apart, in microseconds; beyond it none is
 #: recorded. Chosen, not measured.
--- a/spindlenotch/gateway/log_sink.py
+++ b/spindlenotch/gateway/log_sink.py
@@ -16,6 +16,7 @@
 
 from spindlenotch import events
 
+#: Number of the standard output, by POSIX.
 STDOUT_DESCRIPTOR = 1
 #: Lines of one event in one second. Chosen, not measured.
 MAX_LINES_PER_EVENT = 50
