--- a/spindlenotch/cli/explain_entry.py
+++ b/spindlenotch/cli/explain_entry.py
@@ -121,10 +121,10 @@
 
 def _upstream_line(upstream: Upstream) -> str:
     return (
-        f"{upstream.id:<20} {upstream.state:<10} cost {upstream.cost!s:<7}"
-        f" believed running {upstream.believed_running!s:<6}"
+        f"{upstream.id:<20} {upstream.state:<10} cost {_exact(upstream.cost):<7}"
+        f" believed running {_exact(upstream.believed_running):<6}"
         f" own {upstream.outstanding} of {upstream.owned_slots} owned"
-        f" (belief {_milliseconds(upstream.belief_age_s)} old;"
+        f" ({_age(upstream.belief_age_s)};"
         f" {upstream.why})"
     )
 
@@ -138,12 +138,18 @@
         yield (
             f"    {candidate.upstream}: cost {_rounded(candidate.cost, 2)},"
             f" believed running {_rounded(candidate.believed_running, 1)},"
-            f" belief {_milliseconds(candidate.belief_age_s)} old"
+            f" {_age(candidate.belief_age_s)}"
         )
 
 
-def _milliseconds(seconds: Number) -> str:
-    return "infinitely" if seconds is None else f"{seconds * 1000:.0f} ms"
+def _age(seconds: Number) -> str:
+    if seconds is None:
+        return "no report yet"
+    return f"belief {seconds * 1000:.0f} ms old"
+
+
+def _exact(value: Number) -> str:
+    return "infinite" if value is None else str(value)
 
 
 def _rounded(value: Number, digits: int) -> str:
