--- /dev/null
+++ b/features/known_faults.feature
@@ -0,0 +1,7 @@
+Feature: Faults that are known and not mended yet
+
+  Scenario: A deadline that passes during a long answer breaks its connection off
+    Given upstreams whose long answer comes to a halt half way
+    When the deadline passes while the answer is passed on
+    Then the caller gets no second response within the first
+    And its connection is broken off
--- /dev/null
+++ b/features/steps/known_faults.py
@@ -0,0 +1,53 @@
+"""Steps that bring about faults which are known and not mended yet."""
+
+import typing
+
+import behave
+
+from features.support import served_gateway
+from spindlenotch import headers
+
+LONG = served_gateway.LONG_ANSWER_BYTES
+#: Long enough for the head and the first pieces on a loaded machine.
+DEADLINE_MS = 1000
+
+
+def served(
+    context: typing.Any, answer: typing.Callable[[], served_gateway.ScriptedAnswer]
+) -> None:
+    """Let the scenario's gateway have upstreams that answer so."""
+    context.answer = answer
+
+
+@behave.given("upstreams whose long answer comes to a halt half way")
+def halting(context: typing.Any) -> None:
+    start = b"a" * LONG
+    served(
+        context,
+        lambda: served_gateway.ScriptedAnswer(
+            200, [start], length=2 * LONG, hangs=True
+        ),
+    )
+
+
+@behave.when("the deadline passes while the answer is passed on")
+def deadline_passes(context: typing.Any) -> None:
+    async def run() -> None:
+        async with served_gateway.ServedGateway(context.answer) as gateway:
+            deadline = {headers.TIMEOUT_MS: str(DEADLINE_MS)}
+            context.received, context.closed = await gateway.raw(deadline)
+
+    context.runner.run(run())
+
+
+@behave.then("the caller gets no second response within the first")
+def one_response(context: typing.Any) -> None:
+    assert context.received.startswith(served_gateway.FIRST_STATUS_LINE)
+    second = context.received.find(served_gateway.ANY_STATUS_LINE, 1)
+    found = context.received[second : second + 40]
+    assert second == -1, f"byte {second} of what the caller got: {found!r}"
+
+
+@behave.then("its connection is broken off")
+def broken_off(context: typing.Any) -> None:
+    assert context.closed
