--- a/features/known_faults.feature
+++ b/features/known_faults.feature
@@ -5,3 +5,6 @@
     When the deadline passes while the answer is passed on
     Then the caller gets no second response within the first
     And its connection is broken off
+
+  Scenario: A long answer never says wrongly that its request has not run
+    Then a long answer that only looks like a refusal becomes a failure
--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -6,6 +6,8 @@
 
 from features.support import served_gateway
 from spindlenotch import headers
+from spindlenotch.gateway import answers, refusals
+from spindlenotch.kernel import outcomes
 
 LONG = served_gateway.LONG_ANSWER_BYTES
 #: Long enough for the head and the first pieces on a loaded machine.
@@ -51,3 +53,20 @@
 @behave.then("its connection is broken off")
 def broken_off(context: typing.Any) -> None:
     assert context.closed
+
+
+@behave.then("a long answer that only looks like a refusal becomes a failure")
+def no_false_promise(context: typing.Any) -> None:
+    async def status_passed_on(status: int) -> int:
+        def answer() -> served_gateway.ScriptedAnswer:
+            return served_gateway.ScriptedAnswer(status, [b"a" * LONG], length=LONG)
+
+        async with served_gateway.ServedGateway(answer) as gateway:
+            found, _ = await gateway.request()
+            return found
+
+    statuses = sorted(answers.NOT_RUN_STATUSES)
+    found = {s: context.runner.run(status_passed_on(s)) for s in statuses}
+    failure = refusals.failure_status(outcomes.Reason.CONNECTION_LOST)
+    wanted = dict.fromkeys(statuses, failure)
+    assert found == wanted, f"status passed on by that of the upstream: {found}"
