--- a/features/known_faults.feature
+++ b/features/known_faults.feature
@@ -8,3 +8,13 @@
 
   Scenario: A long answer never says wrongly that its request has not run
     Then a long answer that only looks like a refusal becomes a failure
+
+  Scenario: A streamed body is not sent again after an answer that is cut
+    Given upstreams whose answer is cut
+    When a caller sends a repeatable request whose body is streamed
+    Then upstreams got it once, with its whole body
+
+  Scenario: A streamed body is not sent again after an answer that is a failure
+    Given upstreams that answer with a failure
+    When a caller sends a repeatable request whose body is streamed
+    Then upstreams got it once, with its whole body
--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -5,11 +5,12 @@
 import behave
 
 from features.support import served_gateway
-from spindlenotch import headers
-from spindlenotch.gateway import answers, refusals
+from spindlenotch import headers, ports
+from spindlenotch.gateway import answers, refusals, request_body
 from spindlenotch.kernel import outcomes
 
 LONG = served_gateway.LONG_ANSWER_BYTES
+UPLOAD_BYTES = 2 * request_body.MAX_WHOLE_BODY_BYTES
 #: Long enough for the head and the first pieces on a loaded machine.
 DEADLINE_MS = 1000
 
@@ -32,6 +33,17 @@
     )
 
 
+@behave.given("upstreams whose answer is cut")
+def cut(context: typing.Any) -> None:
+    lost = ports.UpstreamFault.CONNECTION_LOST
+    served(context, lambda: served_gateway.ScriptedAnswer(200, [b"a", lost]))
+
+
+@behave.given("upstreams that answer with a failure")
+def failing(context: typing.Any) -> None:
+    served(context, lambda: served_gateway.ScriptedAnswer(500, [], length=0))
+
+
 @behave.when("the deadline passes while the answer is passed on")
 def deadline_passes(context: typing.Any) -> None:
     async def run() -> None:
@@ -70,3 +82,19 @@
     failure = refusals.failure_status(outcomes.Reason.CONNECTION_LOST)
     wanted = dict.fromkeys(statuses, failure)
     assert found == wanted, f"status passed on by that of the upstream: {found}"
+
+
+@behave.when("a caller sends a repeatable request whose body is streamed")
+def streamed(context: typing.Any) -> None:
+    async def run() -> None:
+        async with served_gateway.ServedGateway(context.answer) as gateway:
+            await gateway.request(body=b"x" * UPLOAD_BYTES)
+            context.sent = gateway.port.sent
+
+    context.runner.run(run())
+
+
+@behave.then("upstreams got it once, with its whole body")
+def sent_once(context: typing.Any) -> None:
+    sizes = [one.body_bytes for one in context.sent]
+    assert sizes == [UPLOAD_BYTES], f"bytes of the body with each try: {sizes}"
