--- a/features/known_faults.feature
+++ b/features/known_faults.feature
@@ -18,3 +18,8 @@
     Given upstreams that answer with a failure
     When a caller sends a repeatable request whose body is streamed
     Then upstreams got it once, with its whole body
+
+  Scenario: A caller that gives its request an endless time is served
+    Given upstreams that answer well
+    When a caller gives its request an endless time
+    Then it is served like that of a caller that states none
--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -44,6 +44,11 @@
     served(context, lambda: served_gateway.ScriptedAnswer(500, [], length=0))
 
 
+@behave.given("upstreams that answer well")
+def good(context: typing.Any) -> None:
+    served(context, lambda: served_gateway.ScriptedAnswer(200, [b"good"], length=4))
+
+
 @behave.when("the deadline passes while the answer is passed on")
 def deadline_passes(context: typing.Any) -> None:
     async def run() -> None:
@@ -98,3 +103,22 @@
 def sent_once(context: typing.Any) -> None:
     sizes = [one.body_bytes for one in context.sent]
     assert sizes == [UPLOAD_BYTES], f"bytes of the body with each try: {sizes}"
+
+
+@behave.when("a caller gives its request an endless time")
+def endless(context: typing.Any) -> None:
+    async def run() -> None:
+        async with served_gateway.ServedGateway(context.answer) as gateway:
+            context.without = await gateway.request()
+            context.endless = await gateway.request({headers.TIMEOUT_MS: "inf"})
+            context.sent = gateway.port.sent
+
+    context.runner.run(run())
+
+
+@behave.then("it is served like that of a caller that states none")
+def served_alike(context: typing.Any) -> None:
+    assert context.without == (200, b"good"), context.without
+    assert context.endless == context.without, context.endless
+    left = [dict(one.headers)[headers.TIMEOUT_MS] for one in context.sent]
+    assert left[0] == left[1], left
