--- a/features/known_faults.feature
+++ b/features/known_faults.feature
@@ -23,3 +23,8 @@
     Given upstreams that answer well
     When a caller gives its request an endless time
     Then it is served like that of a caller that states none
+
+  Scenario: An upstream gets its trial request soon after its ejection
+    Given an upstream of an owned pool whose ejection has ended
+    When a call comes before the next tick of the pool
+    Then the upstream gets its trial request and is active again
--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -1,18 +1,28 @@
 """Steps that bring about faults which are known and not mended yet."""
 
+import random
 import typing
 
 import behave
 
+from features.steps import kernel
 from features.support import served_gateway
-from spindlenotch import headers, ports
+from spindlenotch import headers, ids, ports
+from spindlenotch.decisions import balancer
 from spindlenotch.gateway import answers, refusals, request_body
-from spindlenotch.kernel import outcomes
+from spindlenotch.kernel import ejection, outcomes, upstreams
 
 LONG = served_gateway.LONG_ANSWER_BYTES
 UPLOAD_BYTES = 2 * request_body.MAX_WHOLE_BODY_BYTES
 #: Long enough for the head and the first pieces on a loaded machine.
 DEADLINE_MS = 1000
+#: Calls within which an upstream back from an ejection should get its trial.
+CALLS_UNTIL_TRIAL = 500
+#: Seconds between two calls, and calls between two ticks of the pool.
+CALL_EVERY_S = 0.02
+CALLS_PER_TICK = 20
+#: Least and greatest time of an answer, as multiples of the typical one.
+ANSWER_TIMES = (0.5, 1.5)
 
 
 def served(
@@ -122,3 +132,45 @@
     assert context.endless == context.without, context.endless
     left = [dict(one.headers)[headers.TIMEOUT_MS] for one in context.sent]
     assert left[0] == left[1], left
+
+
+@behave.given("an upstream of an owned pool whose ejection has ended")
+def ejection_over(context: typing.Any) -> None:
+    context.balancer = kernel.loaded(1, 4)
+    pool = context.balancer.pool
+    # The first of the order: the one that ``offer`` looks at.
+    context.upstream = pool.usable_order[0]
+    assert pool.eject(context.upstream, "test", kernel.NOW)
+    context.now = ids.later(kernel.NOW, ejection.pause_s(0))
+
+
+@behave.when("a call comes before the next tick of the pool")
+def call_before_tick(context: typing.Any) -> None:
+    context.upstreams = []
+    rng = random.Random(1)
+    for number in range(CALLS_UNTIL_TRIAL):
+        chosen = answered_by(context.balancer, number, context.now, rng)
+        context.upstreams.append(chosen)
+        context.now = ids.later(context.now, CALL_EVERY_S)
+        if number % CALLS_PER_TICK == 0:
+            context.balancer.pool.tick(context.now)
+
+
+def answered_by(
+    made: balancer.Balancer, number: int, now: ids.Instant, rng: random.Random
+) -> upstreams.Upstream:
+    """Place a call, let it be answered in about its time, and return by whom."""
+    offered = made.offer(kernel.call(number), now)
+    assert isinstance(offered, balancer.Grant), offered
+    ended_at = ids.later(now, made.service.typical_s * rng.uniform(*ANSWER_TIMES))
+    made.finish(offered, upstreams.Result.ANSWERED, None, ended_at)
+    made.forget(offered.call.id)
+    return offered.upstream
+
+
+@behave.then("the upstream gets its trial request and is active again")
+def trial(context: typing.Any) -> None:
+    known = context.upstream
+    calls = context.upstreams.count(known)
+    found = f"{calls} of {len(context.upstreams)} calls, {known.state}"
+    assert calls and known.state is upstreams.State.ACTIVE, found
