--- a/features/known_faults.feature
+++ b/features/known_faults.feature
@@ -28,3 +28,9 @@
     Given an upstream of an owned pool whose ejection has ended
     When a call comes before the next tick of the pool
     Then the upstream gets its trial request and is active again
+
+  Scenario: A control loop of an entry that fails is logged and begun anew
+    Given an entry whose reading of the host list fails for a while
+    When the host list can be read and has changed
+    Then the entry has the changed host list
+    And it logged that a control loop failed
--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -2,15 +2,18 @@
 
 import random
 import typing
+from unittest import mock
 
 import behave
+import loguru
 
 from features.steps import kernel
-from features.support import served_gateway
-from spindlenotch import headers, ids, ports
+from features.support import served_gateway, virtual_fleet
+from spindlenotch import events, headers, ids, ports
 from spindlenotch.decisions import balancer
 from spindlenotch.gateway import answers, refusals, request_body
 from spindlenotch.kernel import ejection, outcomes, upstreams
+from spindlenotch.peers import documents
 
 LONG = served_gateway.LONG_ANSWER_BYTES
 UPLOAD_BYTES = 2 * request_body.MAX_WHOLE_BODY_BYTES
@@ -23,6 +26,9 @@
 CALLS_PER_TICK = 20
 #: Least and greatest time of an answer, as multiples of the typical one.
 ANSWER_TIMES = (0.5, 1.5)
+#: Seconds for which a control loop fails, and then has for its work.
+FAILS_FOR_S = 3.0
+BACK_WITHIN_S = 10.0
 
 
 def served(
@@ -174,3 +180,40 @@
     calls = context.upstreams.count(known)
     found = f"{calls} of {len(context.upstreams)} calls, {known.state}"
     assert calls and known.state is upstreams.State.ACTIVE, found
+
+
+@behave.given("an entry whose reading of the host list fails for a while")
+def reading_fails(context: typing.Any) -> None:
+    context.everything = everything = virtual_fleet.VirtualFleet(1)
+    context.add_cleanup(everything.close)
+    context.lines = []
+    handler = loguru.logger.add(
+        context.lines.append, level="DEBUG", format="{extra[event]}"
+    )
+    context.add_cleanup(loguru.logger.remove, handler)
+    context.entry = everything.add_entry("e1", virtual_fleet.ZONES[0])
+    # An unhandled error of a task is what the scenario asks about.
+    context.entry.loop.set_exception_handler(lambda loop, about: None)
+    everything.world.run(FAILS_FOR_S)
+    with mock.patch.object(everything.hosts, "listing", side_effect=RuntimeError):
+        everything.world.run(FAILS_FOR_S)
+
+
+@behave.when("the host list can be read and has changed")
+def list_changed(context: typing.Any) -> None:
+    context.everything.add_upstream(9)
+    context.everything.world.run(BACK_WITHIN_S)
+
+
+@behave.then("the entry has the changed host list")
+def has_list(context: typing.Any) -> None:
+    found = context.entry.state.documents.fence.version(documents.DocumentKind.HOSTS)
+    wanted = context.everything.hosts.revision
+    assert found == wanted, f"revision {found} of {wanted}"
+
+
+@behave.then("it logged that a control loop failed")
+def loop_failed(context: typing.Any) -> None:
+    number = str(events.Event.LOOP_FAILED.value.number)
+    logged = [line.strip() for line in context.lines]
+    assert number in logged, sorted(set(logged))
