--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -11,7 +11,6 @@
 
 from spindlenotch import ids, ports
 from spindlenotch.entry import (
-    background,
     confirmation,
     document_relay,
     entry_state,
@@ -21,6 +20,7 @@
     upkeep,
 )
 from spindlenotch.peers import (
+    background,
     capnp_codec,
     documents,
     messages,
--- a/spindlenotch/entry/document_relay.py
+++ b/spindlenotch/entry/document_relay.py
@@ -10,8 +10,9 @@
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.entry import background, entry_state, membership_loop
+from spindlenotch.entry import entry_state, membership_loop
 from spindlenotch.peers import (
+    background,
     documents,
     messages,
     peer_link,
--- a/spindlenotch/entry/prober.py
+++ b/spindlenotch/entry/prober.py
@@ -10,8 +10,9 @@
 from collections import abc
 
 from spindlenotch import ids, ports
-from spindlenotch.entry import background, entry_state, probe_lease
+from spindlenotch.entry import entry_state, probe_lease
 from spindlenotch.kernel import budgets, ejection, upstreams
+from spindlenotch.peers import background
 
 #: Seconds between two looks for upstreams to probe. Chosen, not measured.
 CHECK_PERIOD_S = 0.05
