--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -98,7 +98,7 @@
             passing: relay.Relay = passing, news: documents.Document = news
         ) -> None:
             passing._offer(news)
-            await asyncio.gather(*passing.exchange.tasks)
+            await asyncio.gather(*passing.tasks.running)
 
         asyncio.run(offer())
         assert (ids.Address(SEED) in told) is reads
--- a/spindlenotch/entry/document_relay.py
+++ b/spindlenotch/entry/document_relay.py
@@ -1,9 +1,9 @@
 """
 Passing bundle and host list between entries.
 
-Owns which kinds are being fetched right now. What is in force is decided by
-``entry_state``; a document put in force here is announced to a few peers at
-once, and peers that lack it fetch it over TCP.
+Owns no state: what is in force is decided by ``entry_state``, and fetching is
+left to ``peers.document_exchange``. A document put in force here is announced
+to a few peers at once, and peers that lack it fetch it over TCP.
 """
 
 import asyncio
@@ -13,6 +13,7 @@
 from spindlenotch.entry import entry_state, membership_loop
 from spindlenotch.peers import (
     background,
+    document_exchange,
     documents,
     messages,
     peer_link,
@@ -39,7 +40,7 @@
         self.link = link
         self.membership = membership
         self._tasks = tasks
-        self._fetching: set[documents.DocumentKind] = set()
+        self._exchange = document_exchange.DocumentExchange(link, self.offer, tasks)
 
     def offer(
         self, document: documents.Document, *, authoritative: bool = False
@@ -52,19 +53,15 @@
 
     def answer(self, frame: messages.DocumentFrame) -> documents.Document:
         """Take in what a peer offers; return the document in force here."""
-        kind = frame.document.kind
         if not frame.wanted:
             self.offer(frame.document)
-        nothing = documents.Document(kind, 0, ids.Digest(""), b"")
-        return self.state.documents.fence.document_by_kind.get(kind, nothing)
+        return self.state.documents.fence.held(frame.document.kind)
 
     def fetch_newer(
         self, source: ids.Address, newer: abc.Iterable[messages.DocumentVersion]
     ) -> None:
         """Begin to fetch from ``source`` what it holds in newer versions."""
-        for version in newer:
-            if version.kind not in self._fetching:
-                self._tasks.spawn(self._fetch(source, version.kind))
+        self._exchange.fetch(source, newer)
 
     async def fetch_from_all(self, sources: abc.Iterable[ids.Address]) -> bool:
         """
@@ -84,15 +81,6 @@
                 found_bundle |= answer.kind is documents.DocumentKind.BUNDLE
         return found_bundle
 
-    async def _fetch(self, source: ids.Address, kind: documents.DocumentKind) -> None:
-        self._fetching.add(kind)
-        try:
-            document = await self.link.fetch(source, kind)
-        finally:
-            self._fetching.discard(kind)
-        if document is not None and document.kind is kind:
-            self.offer(document)
-
     async def _announce(self) -> None:
         for _ in range(ANNOUNCEMENTS):
             self.membership.send_to_some()
--- a/spindlenotch/gateway/relay.py
+++ b/spindlenotch/gateway/relay.py
@@ -21,6 +21,7 @@
     state,
 )
 from spindlenotch.peers import (
+    background,
     document_exchange,
     documents,
     gossip,
@@ -66,7 +67,11 @@
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.link = link
-        self.exchange = document_exchange.DocumentExchange(link, self._receive)
+        # Not stopped with the gateway: they end with their fetch or announcement.
+        self.tasks = background.BackgroundTasks()
+        self.exchange = document_exchange.DocumentExchange(
+            link, self._receive, self.tasks
+        )
         self.reader_heard_at = ids.Instant(float("-inf"))
         self.started_at = gateway_state.clock.now()
         self._reader_host: ids.HostId | None = None
@@ -156,7 +161,7 @@
         self.state.gossip.advertise(
             messages.DocumentVersion(document.kind, document.version, document.digest)
         )
-        self.exchange.spawn(self._announce())
+        self.tasks.spawn(self._announce())
 
     async def _announce(self) -> None:
         """
--- a/spindlenotch/peers/background.py
+++ b/spindlenotch/peers/background.py
@@ -18,16 +18,16 @@
     """
 
     def __init__(self) -> None:
-        self._running: set[asyncio.Task[None]] = set()
+        self.running: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: abc.Coroutine[None, None, None]) -> None:
         """Run ``work`` as a task."""
         task = asyncio.ensure_future(work)
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self.running.add(task)
+        task.add_done_callback(self.running.discard)
 
     async def stop(self) -> None:
         """Cancel all tasks and wait until they have ended."""
-        for task in list(self._running):
+        for task in list(self.running):
             task.cancel()
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self.running, return_exceptions=True)
--- a/spindlenotch/peers/document_exchange.py
+++ b/spindlenotch/peers/document_exchange.py
@@ -2,16 +2,15 @@
 Fetches documents that peers advertise as newer.
 
 Both daemons hear of versions by gossip and fetch the document itself over the
-peer link; one fetch of a kind runs at a time. Owns the tasks of these
-fetches and of whatever else its user spawns to spread a document; what is done
+peer link; one fetch of a kind runs at a time. Owns which kinds are being
+fetched; the tasks belong to the daemon's ``BackgroundTasks``, and what is done
 with a document is left to ``receive``.
 """
 
-import asyncio
 from collections import abc
 
 from spindlenotch import ids
-from spindlenotch.peers import documents, messages, peer_link
+from spindlenotch.peers import background, documents, messages, peer_link
 
 
 class DocumentExchange:
@@ -25,10 +24,11 @@
         self,
         link: peer_link.PeerLink,
         receive: abc.Callable[[documents.Document], None],
+        tasks: background.BackgroundTasks,
     ) -> None:
         self.link = link
         self.receive = receive
-        self.tasks: set[asyncio.Task[None]] = set()
+        self._tasks = tasks
         self._fetching: set[documents.DocumentKind] = set()
 
     def fetch(
@@ -37,13 +37,7 @@
         """Begin to fetch from ``source`` what it advertises and is not under way."""
         for version in newer:
             if version.kind not in self._fetching:
-                self.spawn(self._fetch(source, version.kind))
-
-    def spawn(self, work: abc.Coroutine[None, None, None]) -> None:
-        """Run ``work`` in the background; a reference is kept until it ends."""
-        task = asyncio.ensure_future(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+                self._tasks.spawn(self._fetch(source, version.kind))
 
     async def _fetch(self, source: ids.Address, kind: documents.DocumentKind) -> None:
         self._fetching.add(kind)
