--- /dev/null
+++ b/spindlenotch/collector.py
@@ -0,0 +1,26 @@
+"""
+Settings of Python's garbage collector for a process that serves requests.
+
+Both daemons apply them once they have started. Owns nothing; relies on modules
+and start-up state being complete by then, because they are never walked again.
+"""
+
+import gc
+
+#: Objects allocated, and younger collections, before a collection. Most objects
+#: die with their request; collections that walked the rest held up the loop. The
+#: values are chosen; their effect together with the freeze in ``tune`` is in
+#: docs/MEASUREMENTS.md, "What an entry adds".
+THRESHOLDS = (20_000, 20, 100)
+
+
+def tune() -> None:
+    """
+    Keep the garbage collector away from what lives as long as the process.
+
+    A full collection that walks modules and start-up state stops the loop for
+    tens of milliseconds (docs/MEASUREMENTS.md, "What an entry adds").
+    """
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*THRESHOLDS)
--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -1,27 +1,21 @@
 """
 Run a gateway as a process on a uvloop loop.
 
-Owns the process: signals, the settings file and the garbage collector's
-settings. ``aiomisc`` is left out, because each gateway's memory counts and loop,
-signals and stop are a few lines.
+Owns the process: signals and the settings file. ``aiomisc`` is left out, because
+each gateway's memory counts and loop, signals and stop are a few lines.
 """
 
 import asyncio
 import dataclasses
-import gc
 import os
 import signal
 from collections import abc
 
 import uvloop
 
-from spindlenotch import events
+from spindlenotch import collector, events
 from spindlenotch.gateway import gateway, log_sink, settings
 
-#: Objects allocated, and younger collections, before a collection. Most objects
-#: die with their request; collections that walked the rest held up the loop
-#: (docs/MEASUREMENTS.md, "What an entry adds").
-GC_THRESHOLDS = (20_000, 20, 100)
 #: Seconds between looks at the settings file; it may change without a signal.
 #: Chosen, not measured.
 SETTINGS_CHECK_S = 1.0
@@ -73,19 +67,12 @@
     loop.add_signal_handler(signal.SIGHUP, _reload, running, source)
     await running.start()
     file_watcher = asyncio.ensure_future(_watch_file(running, source))
-    _tune_collector()
+    collector.tune()
     await stop_requested.wait()
     file_watcher.cancel()
     await running.stop()
 
 
-def _tune_collector() -> None:
-    """Keep the garbage collector away from what stays for the process's life."""
-    gc.collect()
-    gc.freeze()
-    gc.set_threshold(*GC_THRESHOLDS)
-
-
 async def _watch_file(running: gateway.Gateway, source: SettingsSource) -> None:
     """Read the settings again when their file has changed."""
     seen_ns = source.modified_at_ns()
