--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -10,6 +10,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids, ports
+from spindlenotch.decisions import queueing
 from spindlenotch.forwarding import exchanges
 from spindlenotch.gateway import (
     answers,
@@ -81,7 +82,7 @@
         at = None if wait_s is None else ids.later(NOW, wait_s)
         refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, at)
         found = refusals.retry_after_s(refusal, NOW)
-        assert found >= refusals.LEAST_RETRY_AFTER_S
+        assert found >= queueing.LEAST_RETRY_AFTER_S
         if at is not None:
             assert found >= at - NOW
 
--- a/spindlenotch/gateway/refusals.py
+++ b/spindlenotch/gateway/refusals.py
@@ -9,10 +9,9 @@
 from aiohttp import web_response
 
 from spindlenotch import ids
+from spindlenotch.decisions import queueing
 from spindlenotch.kernel import outcomes
 
-#: Seconds of the shortest ``Retry-After``. Chosen, not measured.
-LEAST_RETRY_AFTER_S = 0.05
 #: Whether the request ran is unknown: it was sent, and no whole answer came.
 UNKNOWN_STATUS = 502
 #: The request has not run.
@@ -26,8 +25,8 @@
 def retry_after_s(refusal: outcomes.Refusal, now: ids.Instant) -> float:
     """Return in how many seconds a retry makes sense: at ``retry_at``, not at once."""
     if refusal.retry_at is None:
-        return LEAST_RETRY_AFTER_S
-    return max(LEAST_RETRY_AFTER_S, refusal.retry_at - now)
+        return queueing.LEAST_RETRY_AFTER_S
+    return max(queueing.LEAST_RETRY_AFTER_S, refusal.retry_at - now)
 
 
 def failure_status(reason: outcomes.Reason) -> int:
@@ -48,7 +47,7 @@
 
 def not_ready() -> web_response.Response:
     """Return the response before the first configuration and late in a stop."""
-    return not_run(outcomes.Reason.NOT_READY, LEAST_RETRY_AFTER_S)
+    return not_run(outcomes.Reason.NOT_READY, queueing.LEAST_RETRY_AFTER_S)
 
 
 def failed(reason: outcomes.Reason) -> web_response.Response:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -156,7 +156,6 @@
         constants=(
             "decisions/queueing.LEAST_RETRY_AFTER_S",
             "kernel/ejection.RETRY_AFTER_S",
-            "gateway/refusals.LEAST_RETRY_AFTER_S",
         ),
         events=("REQUEST_REFUSED", "REQUEST_FAILED"),
         tests=(
