--- a/features/steps/platform_properties.py
+++ b/features/steps/platform_properties.py
@@ -11,7 +11,8 @@
 
 from features.steps import kernel
 from features.support import recorded, recorded_samples
-from spindlenotch.gateway import settings, sources
+from spindlenotch.gateway import sources
+from spindlenotch.settings import schema
 from spindlenotch_platform import settings_file
 
 
@@ -81,6 +82,6 @@
             faults = settings_file.read_settings({settings_file.VARIABLE: str(path)})
         assert isinstance(faults, list), (found, faults)
         (fault,) = faults
-        assert isinstance(fault, settings.Fault)
+        assert isinstance(fault, schema.Fault)
         assert fault.flag.startswith("--probes-per-s"), fault
         assert fault.found == found and fault.allowed == "a number from 0 to 1000"
--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -15,6 +15,7 @@
 
 from spindlenotch import collector, events
 from spindlenotch.gateway import gateway, log_sink, settings
+from spindlenotch.settings import schema
 
 #: Seconds between looks at the settings file; it may change without a signal.
 #: Chosen, not measured.
@@ -32,7 +33,7 @@
     None where there is none.
     """
 
-    read: abc.Callable[[], "settings.GatewaySettings | list[settings.Fault]"]
+    read: abc.Callable[[], "settings.GatewaySettings | list[schema.Fault]"]
     path: str | None
 
     def modified_at_ns(self) -> int | None:
@@ -94,6 +95,6 @@
     events.emit(events.Event.SETTINGS_RELOADED, host=config.host)
 
 
-def _log_faults(faults: list[settings.Fault]) -> None:
+def _log_faults(faults: list[schema.Fault]) -> None:
     for fault in faults:
         events.emit(events.Event.SETTINGS_REFUSED, fault=str(fault))
--- a/spindlenotch/gateway/settings.py
+++ b/spindlenotch/gateway/settings.py
@@ -12,8 +12,6 @@
 from spindlenotch import ids
 from spindlenotch.settings import kinds, schema, toml_file
 
-Fault = schema.Fault
-
 SETTINGS = (
     schema.Setting("host", kinds.NAME, None, "this host's id, unique in the fleet"),
     schema.Setting("zone", kinds.NAME, None, "this host's availability zone"),
