--- a/spindlenotch/entry/once_runs.py
+++ b/spindlenotch/entry/once_runs.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from spindlenotch import clock as clocks, events, headers, ports
+from spindlenotch import clock, events, headers, ports
 from spindlenotch.entry import once
 from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.kernel import outcomes, upstreams
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, clock: clocks.Clock, table: once.OnceTable, path: data_path.DataPath
+        self, clock: clock.Clock, table: once.OnceTable, path: data_path.DataPath
     ) -> None:
         self.clock = clock
         self.table = table
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -8,7 +8,7 @@
 import asyncio
 import typing
 
-from spindlenotch import clock as clocks, ids
+from spindlenotch import clock, ids
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import jobs
 from spindlenotch.kernel import outcomes, upstreams
@@ -23,7 +23,7 @@
 class GrantState(typing.Protocol):
     """What grants need of the process that they run in."""
 
-    clock: clocks.Clock
+    clock: clock.Clock
     balancer_by_service: dict[ids.ServiceName, balancer.Balancer]
 
 
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -10,7 +10,7 @@
 import typing
 from collections import abc
 
-from spindlenotch import clock as clocks, events, ids, metrics, ports
+from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import exchanges, granting, jobs, judgement, sending
 from spindlenotch.kernel import outcomes, upstreams
@@ -19,7 +19,7 @@
 class UpstreamState(typing.Protocol):
     """What a race needs of the process that it runs in."""
 
-    clock: clocks.Clock
+    clock: clock.Clock
     metrics: metrics.Metrics
 
     def leave_upstream(
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -7,7 +7,7 @@
 import asyncio
 import typing
 
-from spindlenotch import clock as clocks, events, metrics, ports
+from spindlenotch import clock, events, metrics, ports
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import jobs
 from spindlenotch.kernel import outcomes
@@ -29,7 +29,7 @@
 class SendState(typing.Protocol):
     """What sending needs of the process that it runs in."""
 
-    clock: clocks.Clock
+    clock: clock.Clock
     metrics: metrics.Metrics
 
 
@@ -59,9 +59,9 @@
         return task
 
     def _request(self, job: jobs.Job, grant: balancer.Grant) -> ports.UpstreamRequest:
-        clock = self.state.clock
+        steady_clock = self.state.clock
         deadline = job.call.deadline
-        left_s = max(LEAST_TIME_S, deadline - clock.now() - RETURN_TIME_S)
+        left_s = max(LEAST_TIME_S, deadline - steady_clock.now() - RETURN_TIME_S)
         labels = self.label(job, grant, left_s)
         return ports.UpstreamRequest(
             address=grant.upstream.spec.address,
@@ -71,7 +71,7 @@
             body=job.body,
             request_id=labels.request_id,
             needs_new_connection=job.needs_new_connection,
-            may_send=lambda: clock.now() < deadline,
+            may_send=lambda: steady_clock.now() < deadline,
         )
 
     def _record_extra(
