--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -265,10 +265,6 @@
             self.hedges.spend(now)
         return hedge
 
-    def expected_wait(self, ahead: int) -> float:
-        """Estimate the wait behind ``ahead`` calls, in seconds."""
-        return queueing.expected_wait_s(self.pool, ahead)
-
     def _place(
         self, call: waiting.Call, now: ids.Instant
     ) -> Grant | Waiting | outcomes.Refusal:
