--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -7,7 +7,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest
+from spindlenotch.decisions import balancer, soonest, verdicts
 from spindlenotch.kernel import crowding, extra_budgets, upstreams
 
 NOW = kernel.NOW
@@ -52,7 +52,7 @@
     made.pool.reported(slow, upstreams.LoadReport(0, 0, 7.0), NOW)
     for number in range(4):
         grant = made.offer(kernel.call(number), NOW)
-        assert isinstance(grant, balancer.Grant)
+        assert isinstance(grant, verdicts.Grant)
         assert grant.upstream.spec.id == "u1"
 
 
@@ -70,7 +70,7 @@
             known = [u.spec for u in made.pool.upstream_by_id.values()]
             made.pool.set_listed([*known, spec], now)
         grant = made.offer(kernel.call(number), now)
-        assert isinstance(grant, balancer.Grant)
+        assert isinstance(grant, verdicts.Grant)
         now = ids.later(now, took_s)
         made.finish(grant, upstreams.Result.ANSWERED, None, now)
     answers = {u.spec.id: u.answers for u in made.pool.usable_order}
@@ -93,13 +93,13 @@
         for number in range(3)
     )
     grant = made.offer(first, NOW)
-    assert isinstance(grant, balancer.Grant)
-    assert isinstance(made.offer(second, NOW), balancer.Waiting)
-    assert isinstance(made.offer(third, NOW), balancer.Waiting)
+    assert isinstance(grant, verdicts.Grant)
+    assert isinstance(made.offer(second, NOW), verdicts.Waiting)
+    assert isinstance(made.offer(third, NOW), verdicts.Waiting)
     soon = ids.later(NOW, 0.02)
     (settled,) = made.finish(grant, upstreams.Result.ANSWERED, None, soon)
     assert settled.call is second
-    assert isinstance(settled.verdict, balancer.Grant)
+    assert isinstance(settled.verdict, verdicts.Grant)
     assert settled.verdict.upstream.spec.id == "u1"
 
 
@@ -109,7 +109,7 @@
     slow_down(made, "u0")
     slow_down(made, "u1")
     call = dataclasses.replace(kernel.call(0), wait_until=ids.later(NOW, 0.1))
-    assert isinstance(made.offer(call, NOW), balancer.Grant)
+    assert isinstance(made.offer(call, NOW), verdicts.Grant)
 
 
 @kernel.PROPERTIES.register("the last slots stay empty where filling them slows work")
@@ -179,7 +179,7 @@
             made = paced([4, 4])
             call = dataclasses.replace(kernel.call(0), repeatable=repeatable)
             grant = made.offer(call, NOW)
-            assert isinstance(grant, balancer.Grant)
+            assert isinstance(grant, verdicts.Grant)
             retry = made.retry(grant, NOW, known_not_run=not_run)
             assert (retry is not None) is (repeatable or not_run)
 
@@ -189,7 +189,7 @@
     made = paced([4, 4, 4])
     call = dataclasses.replace(kernel.call(0), most_tries=2)
     grant = made.offer(call, NOW)
-    assert isinstance(grant, balancer.Grant)
+    assert isinstance(grant, verdicts.Grant)
     second = made.retry(grant, NOW, known_not_run=True)
     assert second is not None
     assert made.retry(second, NOW, known_not_run=True) is None
@@ -203,7 +203,7 @@
         made.offer(kernel.call(number), NOW)
     until = ids.later(NOW, 0.1)
     call = dataclasses.replace(kernel.call(9), wait_until=until)
-    assert isinstance(made.offer(call, NOW), balancer.Waiting)
+    assert isinstance(made.offer(call, NOW), verdicts.Waiting)
     assert made.give_up(ids.later(NOW, 0.05)) == []
     (settled,) = made.give_up(ids.later(NOW, 0.1))
     assert settled.call is call
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, registry, selection
 from spindlenotch.bundles import bundle_check
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, verdicts
 from spindlenotch.kernel import (
     budgets,
     extra_budgets,
@@ -259,7 +259,7 @@
             elif trouble == "eject":
                 made.pool.eject(victim, "test", NOW)
             offered = made.offer(call(number), NOW)
-            if isinstance(offered, balancer.Grant):
+            if isinstance(offered, verdicts.Grant):
                 state = offered.upstream.state
                 assert state is upstreams.State.ACTIVE, state
                 failed = upstreams.Result.FAILED
@@ -318,7 +318,7 @@
         made = loaded(seed, 8)
         for number in range(calls):
             offered = made.offer(call(number), NOW)
-            if not isinstance(offered, balancer.Grant):
+            if not isinstance(offered, verdicts.Grant):
                 continue
             last = made.decisions[-1]
             assert (last.call, last.upstream) == (
@@ -380,10 +380,10 @@
     while True:
         number += 1
         offered = made.offer(call(number, rank=2, deadline=0.5), NOW)
-        if not isinstance(offered, balancer.Grant):
+        if not isinstance(offered, verdicts.Grant):
             break
         grants.append(offered)
-    assert isinstance(offered, balancer.Waiting)
+    assert isinstance(offered, verdicts.Waiting)
     # The upstream turns slow: what waits can no longer be answered in time.
     made.pool.latencies.overall.value = 0.6
     made.pool.latencies.latency_by_key["read"].typical.value = 0.6
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -22,7 +22,7 @@
 from spindlenotch import api, clock, events, headers, ids, metrics, ports, selection
 from spindlenotch.bundles import bundle_seal
 from spindlenotch.cli import publishing
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.drivers import upstream_dialect
 from spindlenotch.entry import claims, explain, plugins, readiness, settings
 from spindlenotch.forwarding import exchanges, granting, jobs
@@ -358,7 +358,7 @@
         body=None,
         needs_new_connection=False,
     )
-    grant = balancer.Grant(call, upstream, balancer.Kind.RETRY, now, 2.5)
+    grant = verdicts.Grant(call, upstream, verdicts.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
     grants = typing.cast(granting.Grants, None)
     exchange = exchanges.Exchange(grants, job, grant, answer)
@@ -461,7 +461,7 @@
     kinds = {
         "outcomes of requests": outcomes.Outcome,
         "reasons of outcomes": outcomes.Reason,
-        "tries": balancer.Kind,
+        "tries": verdicts.Kind,
         "rules of selection": selection.Rule,
         "states of upstreams": upstreams.State,
         "phases of an entry": readiness.Phase,
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -8,12 +8,10 @@
 """
 
 import collections
-import dataclasses
-import enum
 import random
 
 from spindlenotch import ids, selection
-from spindlenotch.decisions import hedging, queueing, retrying
+from spindlenotch.decisions import hedging, queueing, retrying, verdicts
 from spindlenotch.kernel import (
     outcomes,
     ownership,
@@ -27,64 +25,6 @@
 DECISIONS_KEPT = 2000
 
 
-class Kind(enum.Enum):
-    """Which try of a call a grant is."""
-
-    FIRST = "first"
-    RETRY = "retry"
-    HEDGE = "hedge"
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Grant:
-    """
-    Permission to send a call to one upstream now.
-
-    Both estimates are those of the moment it was granted: ``slowdown`` is how
-    many times its typical time work takes there, ``load`` the number of
-    requests in the upstream, this one included.
-    """
-
-    call: waiting.Call
-    upstream: upstreams.Upstream
-    kind: Kind
-    sent_at: ids.Instant
-    slowdown: float = 1.0
-    load: float = 1.0
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
-    """
-    The call waits in the queue; a settlement follows.
-
-    ``displaced`` settles a less urgent call whose place it took.
-    """
-
-    call: waiting.Call
-    displaced: "Settlement | None" = None
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Settlement:
-    """What became of a call that waited."""
-
-    call: waiting.Call
-    verdict: Grant | outcomes.Refusal
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Decision:
-    """A decision as remembered for ``explain``."""
-
-    at: ids.Instant
-    call: ids.CallId
-    kind: Kind
-    upstream: ids.UpstreamId | None
-    rule: str
-    candidates: tuple[selection.Candidate, ...]
-
-
 class Balancer:
     """
     Decides for one service in one process.
@@ -109,7 +49,7 @@
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
-        self.decisions: collections.deque[Decision] = collections.deque(
+        self.decisions: collections.deque[verdicts.Decision] = collections.deque(
             maxlen=DECISIONS_KEPT
         )
 
@@ -124,7 +64,7 @@
 
     def offer(
         self, call: waiting.Call, now: ids.Instant
-    ) -> Grant | Waiting | outcomes.Refusal:
+    ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         """Decide on a new call."""
         self.extra.earn(now)
         if call.deadline <= now:
@@ -140,11 +80,11 @@
 
     def finish(
         self,
-        grant: Grant,
+        grant: verdicts.Grant,
         result: upstreams.Result,
         report: upstreams.LoadReport | None,
         now: ids.Instant,
-    ) -> list[Settlement]:
+    ) -> list[verdicts.Settlement]:
         """Record the end of a grant and hand the freed slot on."""
         upstream = grant.upstream
         answered = result is upstreams.Result.ANSWERED
@@ -167,7 +107,7 @@
         return self.settle(now)
 
     def _learn_crowding(
-        self, grant: Grant, report: upstreams.LoadReport, latency_ratio: float
+        self, grant: verdicts.Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
         self.pool.crowding.add(
             slots=grant.upstream.slots,
@@ -181,23 +121,23 @@
         """Drop what was kept to place further tries of a call."""
         self.tried_by_call.pop(call_id, None)
 
-    def settle(self, now: ids.Instant) -> list[Settlement]:
+    def settle(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """Refuse what is too late, then place waiting calls while one finds room."""
         settled = [
-            Settlement(call, outcomes.not_run(outcomes.Reason.DEADLINE_PASSED))
+            verdicts.Settlement(call, outcomes.not_run(outcomes.Reason.DEADLINE_PASSED))
             for call in self.queue.expired(now)
         ]
         while (call := self.queue.head()) is not None:
-            grant = self._grant(call, Kind.FIRST, now)
+            grant = self._grant(call, verdicts.Kind.FIRST, now)
             if grant is None:
                 break
             self.queue.take(call)
-            settled.append(Settlement(call, grant))
+            settled.append(verdicts.Settlement(call, grant))
         if len(self.queue) and not self._any_usable(now):
             settled.extend(self._refuse_all(now))
         return settled
 
-    def give_up(self, now: ids.Instant) -> list[Settlement]:
+    def give_up(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """
         Refuse the waiting calls that are not worth waiting for any longer.
 
@@ -214,15 +154,15 @@
             self.queue.remove(call.id)
             self.pool.refused_share.add(1.0)
         refusal = outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
-        return [Settlement(call, refusal) for call in given_up]
+        return [verdicts.Settlement(call, refusal) for call in given_up]
 
     def withdraw(self, call_id: ids.CallId) -> None:
         """Take a call out of the queue; its caller is gone."""
         self.queue.remove(call_id)
 
     def retry(
-        self, grant: Grant, now: ids.Instant, *, known_not_run: bool = False
-    ) -> Grant | None:
+        self, grant: verdicts.Grant, now: ids.Instant, *, known_not_run: bool = False
+    ) -> verdicts.Grant | None:
         """
         Place another try of a failed call, if it may have one.
 
@@ -236,19 +176,19 @@
         )
         if not allowed or not self.retries.available(now):
             return None
-        retry = self._grant(call, Kind.RETRY, now)
+        retry = self._grant(call, verdicts.Kind.RETRY, now)
         if retry is not None:
             self.retries.spend(now)
         return retry
 
-    def next_check(self, grant: Grant, now: ids.Instant) -> ids.Instant:
+    def next_check(self, grant: verdicts.Grant, now: ids.Instant) -> ids.Instant:
         """Return when to look again whether the answer is overdue."""
         interval_s = hedging.check_interval_s(
             self.pool, grant.upstream, grant.call.latency_key
         )
         return ids.later(now, interval_s)
 
-    def hedge(self, grant: Grant, now: ids.Instant) -> Grant | None:
+    def hedge(self, grant: verdicts.Grant, now: ids.Instant) -> verdicts.Grant | None:
         """Place a second copy of a call whose answer is overdue, if it may have one."""
         self._eject_if_frozen(grant, now)
         call = grant.call
@@ -260,17 +200,17 @@
         )
         if not overdue or not self.hedges.available(now):
             return None
-        hedge = self._grant(call, Kind.HEDGE, now)
+        hedge = self._grant(call, verdicts.Kind.HEDGE, now)
         if hedge is not None:
             self.hedges.spend(now)
         return hedge
 
     def _place(
         self, call: waiting.Call, now: ids.Instant
-    ) -> Grant | Waiting | outcomes.Refusal:
+    ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         ahead = self.queue.ahead_of(call.priority)
         if ahead == 0:
-            grant = self._grant(call, Kind.FIRST, now)
+            grant = self._grant(call, verdicts.Kind.FIRST, now)
             if grant is not None:
                 return grant
         if queueing.is_hopeless(self.pool, call, ahead, now):
@@ -278,7 +218,7 @@
             return outcomes.not_run(outcomes.Reason.DEADLINE_HOPELESS, retry_at)
         return self._enqueue(call, now)
 
-    def _eject_if_frozen(self, grant: Grant, now: ids.Instant) -> None:
+    def _eject_if_frozen(self, grant: verdicts.Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
@@ -292,7 +232,9 @@
                 return True
         return False
 
-    def _grant(self, call: waiting.Call, kind: Kind, now: ids.Instant) -> Grant | None:
+    def _grant(
+        self, call: waiting.Call, kind: verdicts.Kind, now: ids.Instant
+    ) -> verdicts.Grant | None:
         tried = self.tried_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
         choice = self.policy.choose(self.pool, call, now, tried)
@@ -305,7 +247,7 @@
         slowdown = upstream.slowdown(now)
         self.pool.in_flight += 1
         self.decisions.append(
-            Decision(
+            verdicts.Decision(
                 at=now,
                 call=call.id,
                 kind=kind,
@@ -314,7 +256,7 @@
                 candidates=choice.candidates,
             )
         )
-        return Grant(
+        return verdicts.Grant(
             call=call,
             upstream=upstream,
             kind=kind,
@@ -325,10 +267,10 @@
 
     def _enqueue(
         self, call: waiting.Call, now: ids.Instant
-    ) -> Waiting | outcomes.Refusal:
+    ) -> verdicts.Waiting | outcomes.Refusal:
         if len(self.queue) < self.queue.limit:
             self.queue.push(call)
-            return Waiting(call)
+            return verdicts.Waiting(call)
         retry_at = queueing.retry_at(self.pool, len(self.queue), now)
         refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, retry_at)
         displaced = queueing.displaced_by(self.queue, call)
@@ -336,13 +278,13 @@
             return refusal
         self.queue.remove(displaced.id)
         self.queue.push(call)
-        return Waiting(call, Settlement(displaced, refusal))
+        return verdicts.Waiting(call, verdicts.Settlement(displaced, refusal))
 
-    def _refuse_all(self, now: ids.Instant) -> list[Settlement]:
+    def _refuse_all(self, now: ids.Instant) -> list[verdicts.Settlement]:
         refusal = outcomes.not_run(
             outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
         )
         waiting_calls = list(self.queue)
         for call in waiting_calls:
             self.queue.remove(call.id)
-        return [Settlement(call, refusal) for call in waiting_calls]
+        return [verdicts.Settlement(call, refusal) for call in waiting_calls]
--- /dev/null
+++ b/spindlenotch/decisions/verdicts.py
@@ -0,0 +1,72 @@
+"""
+What the balancer returns: the messages between it and the data path.
+
+A call that is offered gets a ``Grant``, a place in the queue (``Waiting``) or a
+refusal of ``kernel.outcomes``; what becomes of a waiting call follows as a
+``Settlement``. ``Decision`` is what is kept of each grant for ``explain``. Values
+only; nothing here decides.
+"""
+
+import dataclasses
+import enum
+
+from spindlenotch import ids, selection
+from spindlenotch.kernel import outcomes, upstreams, waiting
+
+
+class Kind(enum.Enum):
+    """Which try of a call a grant is."""
+
+    FIRST = "first"
+    RETRY = "retry"
+    HEDGE = "hedge"
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Grant:
+    """
+    Permission to send a call to one upstream now.
+
+    Both estimates are those of the moment it was granted: ``slowdown`` is how
+    many times its typical time work takes there, ``load`` the number of
+    requests in the upstream, this one included.
+    """
+
+    call: waiting.Call
+    upstream: upstreams.Upstream
+    kind: Kind
+    sent_at: ids.Instant
+    slowdown: float = 1.0
+    load: float = 1.0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Waiting:
+    """
+    The call waits in the queue; a settlement follows.
+
+    ``displaced`` settles a less urgent call whose place it took.
+    """
+
+    call: waiting.Call
+    displaced: "Settlement | None" = None
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Settlement:
+    """What became of a call that waited."""
+
+    call: waiting.Call
+    verdict: Grant | outcomes.Refusal
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Decision:
+    """A decision as remembered for ``explain``."""
+
+    at: ids.Instant
+    call: ids.CallId
+    kind: Kind
+    upstream: ids.UpstreamId | None
+    rule: str
+    candidates: tuple[selection.Candidate, ...]
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.bundles import bundle_seal
-from spindlenotch.decisions import balancer, queueing_cost
+from spindlenotch.decisions import balancer, queueing_cost, verdicts
 from spindlenotch.entry import entry_state, state_view
 from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import membership, messages
@@ -151,7 +151,7 @@
     )
 
 
-def _decision(decision: balancer.Decision, now: ids.Instant) -> state_view.DecisionView:
+def _decision(decision: verdicts.Decision, now: ids.Instant) -> state_view.DecisionView:
     return state_view.DecisionView(
         call=decision.call,
         seconds_ago=round(now - decision.at, 4),
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -11,7 +11,7 @@
 from collections import abc
 
 from spindlenotch import ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.forwarding import exchanges, granting, jobs, race, sending
 from spindlenotch.kernel import outcomes
 
@@ -65,7 +65,7 @@
         return await self._race(job).run(verdict)
 
     async def again(
-        self, job: jobs.Job, failed: balancer.Grant
+        self, job: jobs.Job, failed: verdicts.Grant
     ) -> exchanges.Exchange | outcomes.Refusal:
         """Retry a request whose answer was no good once its body was read."""
         grant = job.balancer.retry(failed, self.state.clock.now())
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -9,7 +9,7 @@
 import dataclasses
 
 from spindlenotch import ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.forwarding import granting, jobs, judgement
 from spindlenotch.kernel import upstreams
 
@@ -24,7 +24,7 @@
 
     grants: granting.Grants
     job: jobs.Job
-    grant: balancer.Grant
+    grant: verdicts.Grant
     answer: ports.UpstreamAnswer
     ended: bool = False
 
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -9,7 +9,7 @@
 import typing
 
 from spindlenotch import clock, ids
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, verdicts
 from spindlenotch.forwarding import jobs
 from spindlenotch.kernel import outcomes, upstreams
 
@@ -17,7 +17,7 @@
 #: measured.
 QUEUE_CHECK_S = 0.02
 
-Verdict = balancer.Grant | outcomes.Refusal
+Verdict = verdicts.Grant | outcomes.Refusal
 
 
 class GrantState(typing.Protocol):
@@ -43,14 +43,14 @@
     async def take(self, job: jobs.Job) -> Verdict:
         """Get a new request its first grant, waiting in the queue if need be."""
         offered = job.balancer.offer(job.call, self.state.clock.now())
-        if isinstance(offered, balancer.Waiting):
+        if isinstance(offered, verdicts.Waiting):
             return await self._wait(job, offered)
         return offered
 
     def finish(
         self,
         job: jobs.Job,
-        grant: balancer.Grant,
+        grant: verdicts.Grant,
         result: upstreams.Result,
         report: upstreams.LoadReport | None,
     ) -> None:
@@ -58,13 +58,13 @@
         now = self.state.clock.now()
         self._settle(job.balancer.finish(grant, result, report, now))
 
-    def _settle(self, settlements: list[balancer.Settlement]) -> None:
+    def _settle(self, settlements: list[verdicts.Settlement]) -> None:
         for settlement in settlements:
             future = self._future_by_call.pop(settlement.call.id, None)
             if future is not None and not future.done():
                 future.set_result(settlement.verdict)
 
-    async def _wait(self, job: jobs.Job, offered: balancer.Waiting) -> Verdict:
+    async def _wait(self, job: jobs.Job, offered: verdicts.Waiting) -> Verdict:
         if offered.displaced is not None:
             self._settle([offered.displaced])
         loop = asyncio.get_running_loop()
@@ -83,7 +83,7 @@
         # The grant may have arrived in the same iteration of the event loop.
         if future.done() and not future.cancelled():
             verdict = future.result()
-            if isinstance(verdict, balancer.Grant):
+            if isinstance(verdict, verdicts.Grant):
                 self.finish(job, verdict, upstreams.Result.CANCELLED, None)
 
     def _schedule_queue_check(self) -> None:
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -10,7 +10,7 @@
 from collections import abc
 
 from spindlenotch import headers
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, verdicts
 from spindlenotch.kernel import waiting
 
 
@@ -54,10 +54,10 @@
 
 
 #: Names one try of a job, given the seconds that are left for its answer.
-Labeller = abc.Callable[[Job, balancer.Grant, float], Labels]
+Labeller = abc.Callable[[Job, verdicts.Grant, float], Labels]
 
 
-def own_labels(job: Job, grant: balancer.Grant, left_s: float) -> Labels:
+def own_labels(job: Job, grant: verdicts.Grant, left_s: float) -> Labels:
     """Name a try as the product's own protocol does; ``left_s`` is in seconds."""
     request_id = f"{job.call.id}.{grant.kind.value}"
     own_headers = [
@@ -65,6 +65,6 @@
         (headers.REQUEST_ID, request_id),
         (headers.HOPS, str(job.hop_count)),
     ]
-    if grant.kind is not balancer.Kind.FIRST or not job.call.repeatable:
+    if grant.kind is not verdicts.Kind.FIRST or not job.call.repeatable:
         own_headers.append((headers.NO_RETRY, "1"))
     return Labels(request_id, own_headers)
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -11,7 +11,7 @@
 from collections import abc
 
 from spindlenotch import clock, events, ids, metrics, ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.forwarding import exchanges, granting, jobs, judgement, sending
 from spindlenotch.kernel import outcomes, upstreams
 
@@ -50,12 +50,12 @@
         self.grants = grants
         self.sender = sender
         self.on_drain_notice = on_drain_notice
-        self._grant_by_task: dict[sending.TryTask, balancer.Grant] = {}
+        self._grant_by_task: dict[sending.TryTask, verdicts.Grant] = {}
         self._may_have_run = False
         self._reason = outcomes.Reason.NO_UPSTREAM
         self._retry_after_s: float | None = None
 
-    async def run(self, first: balancer.Grant) -> exchanges.Exchange | outcomes.Refusal:
+    async def run(self, first: verdicts.Grant) -> exchanges.Exchange | outcomes.Refusal:
         """Send the first try and those that follow from it."""
         newest = first
         self._start(first)
@@ -79,11 +79,11 @@
         finally:
             self._cancel_rest()
 
-    def _start(self, grant: balancer.Grant) -> None:
+    def _start(self, grant: verdicts.Grant) -> None:
         task = self.sender.start(self.job, grant, self._reason)
         self._grant_by_task[task] = grant
 
-    def _check_in_s(self, newest: balancer.Grant) -> float:
+    def _check_in_s(self, newest: verdicts.Grant) -> float:
         """Return the seconds until the newest try is looked at again."""
         now = self.state.clock.now()
         check = self.job.balancer.next_check(newest, now)
@@ -92,7 +92,7 @@
     def _deadline_passed(self) -> bool:
         return self.state.clock.now() >= self.job.call.deadline
 
-    def _hedge(self, newest: balancer.Grant) -> balancer.Grant:
+    def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
         hedge = self.job.balancer.hedge(newest, self.state.clock.now())
         if hedge is None:
@@ -119,7 +119,7 @@
         return exchange
 
     def _end_with_fault(
-        self, grant: balancer.Grant, fault: ports.UpstreamFault
+        self, grant: verdicts.Grant, fault: ports.UpstreamFault
     ) -> None:
         if fault is ports.UpstreamFault.FOREIGN_ANSWER:
             self._record_foreign(grant)
@@ -128,7 +128,7 @@
         self.grants.finish(self.job, grant, end.result, None)
         self._retry(grant, known_not_run=not end.may_have_run)
 
-    def _end_shed(self, grant: balancer.Grant, answer: ports.UpstreamAnswer) -> None:
+    def _end_shed(self, grant: verdicts.Grant, answer: ports.UpstreamAnswer) -> None:
         answer.abandon()
         self._keep(judgement.SHED)
         self._retry_after_s = answer.retry_after_s
@@ -141,7 +141,7 @@
         if end.reason is not None:
             self._reason = end.reason
 
-    def _retry(self, grant: balancer.Grant, *, known_not_run: bool) -> None:
+    def _retry(self, grant: verdicts.Grant, *, known_not_run: bool) -> None:
         """Send a failed try again if its body and the balancer allow it."""
         if not self.job.body_is_whole:
             return
@@ -168,7 +168,7 @@
             self._start(retry)
         return True
 
-    def _note_drain(self, grant: balancer.Grant) -> None:
+    def _note_drain(self, grant: verdicts.Grant) -> None:
         service = self.job.balancer.service.name
         left_now = self.state.leave_upstream(
             service, grant.upstream.spec, "said it is draining"
@@ -176,7 +176,7 @@
         if left_now and self.on_drain_notice is not None:
             self.on_drain_notice()
 
-    def _record_foreign(self, grant: balancer.Grant) -> None:
+    def _record_foreign(self, grant: verdicts.Grant) -> None:
         service = self.job.balancer.service.name
         self.state.metrics.foreign_answers.labels(service).inc()
         events.emit(
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -8,7 +8,7 @@
 import typing
 
 from spindlenotch import clock, events, metrics, ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.forwarding import jobs
 from spindlenotch.kernel import outcomes
 
@@ -44,7 +44,7 @@
         self.label = label
 
     def start(
-        self, job: jobs.Job, grant: balancer.Grant, last_reason: outcomes.Reason
+        self, job: jobs.Job, grant: verdicts.Grant, last_reason: outcomes.Reason
     ) -> TryTask:
         """
         Start the try that ``grant`` allows.
@@ -54,11 +54,11 @@
         """
         request = self._request(job, grant)
         task = asyncio.ensure_future(self.port.send(request))
-        if grant.kind is not balancer.Kind.FIRST:
+        if grant.kind is not verdicts.Kind.FIRST:
             self._record_extra(job, grant, request.request_id, last_reason)
         return task
 
-    def _request(self, job: jobs.Job, grant: balancer.Grant) -> ports.UpstreamRequest:
+    def _request(self, job: jobs.Job, grant: verdicts.Grant) -> ports.UpstreamRequest:
         steady_clock = self.state.clock
         deadline = job.call.deadline
         left_s = max(LEAST_TIME_S, deadline - steady_clock.now() - RETURN_TIME_S)
@@ -77,7 +77,7 @@
     def _record_extra(
         self,
         job: jobs.Job,
-        grant: balancer.Grant,
+        grant: verdicts.Grant,
         request_id: str,
         last_reason: outcomes.Reason,
     ) -> None:
@@ -97,9 +97,9 @@
         )
 
 
-def _cause(kind: balancer.Kind, last_reason: outcomes.Reason) -> str:
+def _cause(kind: verdicts.Kind, last_reason: outcomes.Reason) -> str:
     """Say in the log why a request is sent again."""
-    if kind is balancer.Kind.HEDGE:
+    if kind is verdicts.Kind.HEDGE:
         return CAUSE_OVERDUE
     if last_reason is outcomes.Reason.NO_UPSTREAM:
         # Nothing failed on the way: the answer itself was bad.
--- a/spindlenotch/gateway/job_factory.py
+++ b/spindlenotch/gateway/job_factory.py
@@ -13,7 +13,7 @@
 from aiohttp import web_request
 
 from spindlenotch import headers, ids
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import verdicts
 from spindlenotch.forwarding import jobs
 from spindlenotch.gateway import dialect, request_body, routing, state
 from spindlenotch.kernel import waiting
@@ -153,10 +153,10 @@
 
 def labels(
     gateway_dialect: dialect.Dialect,
-) -> abc.Callable[[jobs.Job, balancer.Grant, float], jobs.Labels]:
+) -> abc.Callable[[jobs.Job, verdicts.Grant, float], jobs.Labels]:
     """Return the function that sets the headers of each try in that dialect."""
 
-    def label(job: jobs.Job, grant: balancer.Grant, left_s: float) -> jobs.Labels:
+    def label(job: jobs.Job, grant: verdicts.Grant, left_s: float) -> jobs.Labels:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
         left_ms = max(LEAST_TIME_LEFT_MS, int(left_s * 1000))
         extra = [(gateway_dialect.deadline_ms, str(left_ms))]
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -19,7 +19,7 @@
 
 from spindlenotch import ids, metrics, selection
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, verdicts
 from spindlenotch.entry import once, plugins
 from spindlenotch.kernel import (
     extra_budgets,
@@ -118,9 +118,9 @@
     )
 
 
-def _offer(made: balancer.Balancer, number: int) -> balancer.Grant | None:
+def _offer(made: balancer.Balancer, number: int) -> verdicts.Grant | None:
     granted = made.offer(_call(f"c{number}"), slopes.NOW)
-    return granted if isinstance(granted, balancer.Grant) else None
+    return granted if isinstance(granted, verdicts.Grant) else None
 
 
 def _round(made: balancer.Balancer) -> None:
