--- a/features/steps/known_faults.py
+++ b/features/steps/known_faults.py
@@ -10,7 +10,7 @@
 from features.steps import kernel
 from features.support import served_gateway, virtual_fleet
 from spindlenotch import events, headers, ids, ports
-from spindlenotch.decisions import balancer
+from spindlenotch.decisions import balancer, verdicts
 from spindlenotch.gateway import answers, refusals, request_body
 from spindlenotch.kernel import ejection, outcomes, upstreams
 from spindlenotch.peers import documents
@@ -167,7 +167,7 @@
 ) -> upstreams.Upstream:
     """Place a call, let it be answered in about its time, and return by whom."""
     offered = made.offer(kernel.call(number), now)
-    assert isinstance(offered, balancer.Grant), offered
+    assert isinstance(offered, verdicts.Grant), offered
     ended_at = ids.later(now, made.service.typical_s * rng.uniform(*ANSWER_TIMES))
     made.finish(offered, upstreams.Result.ANSWERED, None, ended_at)
     made.forget(offered.call.id)
