--- a/spindlenotch/gateway/job_factory.py
+++ b/spindlenotch/gateway/job_factory.py
@@ -60,7 +60,7 @@
         body: request_body.Body,
     ) -> jobs.Job:
         """Build the job of a request; advances the route's round robin."""
-        service = self.state.turns.next(route)
+        service = self.state.round_robin.next(route)
         return jobs.Job(
             balancer=self.state.balancer_by_service[service],
             call=self._call(request, route, body),
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -50,7 +50,7 @@
         self.metrics = metrics.Metrics()
         self.phase = lifecycle.Phase.STARTING
         self.table: routing.RouteTable | None = None
-        self.turns = routing.WeightedRoundRobin()
+        self.round_robin = routing.WeightedRoundRobin()
         self.listing = listing.Listing()
         self.balancer_by_service: dict[ids.ServiceName, balancer.Balancer] = {}
         self.local_member = ownership.Member(config.zone, config.host)
@@ -85,7 +85,7 @@
         if self.table is not None and configuration.version <= self.version:
             return False
         self.table = routing.RouteTable(configuration)
-        self.turns.forget_missing(configuration.routes)
+        self.round_robin.forget_missing(configuration.routes)
         for name in configuration.service_by_name:
             if name not in self.balancer_by_service:
                 self.balancer_by_service[name] = self._new_balancer(name)
