--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -128,7 +128,7 @@
                 answer = await self._exchange(target, request)
         except CONNECTION_FAULTS as fault:
             # A peer that is away is normal; the caller asks another or again.
-            loguru.logger.debug("no document from {}: {!r}", target, fault)
+            loguru.logger.trace("no document from {}: {!r}", target, fault)
             return None
         if answer is None or answer.correlation != request.correlation:
             return None
@@ -152,7 +152,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.connections >= MAX_CONNECTIONS:
-            loguru.logger.debug("document connection refused: {} open", MAX_CONNECTIONS)
+            loguru.logger.trace("document connection refused: {} open", MAX_CONNECTIONS)
             writer.close()
             return
         self.connections += 1
@@ -161,7 +161,7 @@
                 await self._answer(reader, writer)
         except CONNECTION_FAULTS as fault:
             # The peer sees no answer and asks another member or again.
-            loguru.logger.debug("document connection ended early: {!r}", fault)
+            loguru.logger.trace("document connection ended early: {!r}", fault)
         finally:
             self.connections -= 1
             writer.close()
