--- a/features/recorded_bytes.feature
+++ b/features/recorded_bytes.feature
@@ -1,7 +1,7 @@
 Feature: What was recorded is read and written as it was
 
   Bytes of the code of 31fa0e6, in features/recorded. They never change; where
-  names do, the samples in features/support/recorded_samples.py follow.
+  names do, the samples in features/support/recorded_*.py follow.
 
   Scenario Outline: <kind> are as they were recorded
     Then everything recorded of <kind> is read and written to the byte
--- a/features/steps/platform_properties.py
+++ b/features/steps/platform_properties.py
@@ -10,7 +10,7 @@
 import loguru
 
 from features.steps import kernel
-from features.support import recorded, recorded_samples
+from features.support import recorded, recorded_store
 from spindlenotch.gateway import sources
 from spindlenotch.settings import schema
 from spindlenotch_platform import settings_file
@@ -18,7 +18,7 @@
 
 def follow(*answers: recorded.Answer) -> sources.Changes | sources.SourceFault:
     """Return what the platform's source reads from these answers of its store."""
-    source, session = recorded_samples.platform_source(b"")
+    source, session = recorded_store.platform_source(b"")
     session.answers = list(answers)
     return typing.cast(
         "sources.Changes | sources.SourceFault", asyncio.run(source.follow(1, 0.1))
--- a/features/steps/recorded_bytes.py
+++ b/features/steps/recorded_bytes.py
@@ -8,16 +8,24 @@
 import behave
 import msgspec
 
-from features.support import recorded, recorded_names, recorded_samples
+from features.support import (
+    recorded,
+    recorded_answers,
+    recorded_bundles,
+    recorded_names,
+    recorded_peers,
+    recorded_settings,
+    recorded_store,
+)
 from spindlenotch.bundles import bundle_check
 from spindlenotch.gateway import settings
 
 SAMPLES = {
-    "peer messages": recorded_samples.peer_samples,
-    "signed bundles": recorded_samples.bundle_samples,
-    "records in the store": recorded_samples.store_samples,
-    "settings": recorded_names.settings_samples,
-    "answers and the host list": recorded_names.answer_samples,
+    "peer messages": recorded_peers.peer_samples,
+    "signed bundles": recorded_bundles.bundle_samples,
+    "records in the store": recorded_store.store_samples,
+    "settings": recorded_settings.settings_samples,
+    "answers and the host list": recorded_answers.answer_samples,
     "names": recorded_names.name_samples,
 }
 
@@ -86,7 +94,7 @@
 
 @behave.then("unknown fields in a bundle are refused")
 def refused(context: typing.Any) -> None:
-    text = recorded_samples.text_of("bundle.toml")
+    text = recorded_bundles.text_of("bundle.toml")
     lines = text.splitlines()
     places = ("", "measuring", "claims", "services.core", "services.core.operations[0]")
     headers = ("format = 1", "[measuring]", "[claims]", "[services.core]")
@@ -95,7 +103,7 @@
     ):
         at = lines.index(header) + 1
         grown = [*lines[:at], f"{recorded.STRANGER} = 1", *lines[at:]]
-        found = bundle_check.check("\n".join(grown), recorded_samples.POLICIES)
+        found = bundle_check.check("\n".join(grown), recorded_bundles.POLICIES)
         assert isinstance(found, list), (place, found)
         path = f"{place}.{recorded.STRANGER}".lstrip(".")
         assert [(one.path, one.found) for one in found] == [
--- a/features/support/recorded.py
+++ b/features/support/recorded.py
@@ -3,7 +3,7 @@
 
 A sample says how the product of today builds, writes and reads one recorded
 thing; the files under ``features/recorded`` never change. ``recorded_samples``
-holds the samples.
+and ``recorded_names`` collect the samples, which the modules beside them build.
 """
 
 import dataclasses
@@ -45,6 +45,11 @@
     strangers: str = ""
 
 
+def table(name: str, make: abc.Callable[[], object]) -> Sample:
+    """Return the sample of a table that is written only."""
+    return Sample(f"{name}.json", "json", None, lambda: pretty(make()))
+
+
 def path_of(sample: Sample) -> pathlib.Path:
     """Return the file of a sample."""
     return FOLDER / sample.file
--- /dev/null
+++ b/features/support/recorded_gateway.py
@@ -0,0 +1,132 @@
+"""
+A gateway without any socket, and the values that it works with.
+
+The samples of peers, of the store and of names are built on these. Addresses,
+keys and numbers are fixed, since the recorded bytes hold them.
+"""
+
+import asyncio
+import typing
+from collections import abc
+
+from features.support import recorded_messages
+from spindlenotch import clock, ids
+from spindlenotch.gateway import (
+    fleet as fleets,
+    membership,
+    relay,
+    routing,
+    settings,
+    sources,
+    state as states,
+)
+from spindlenotch.peers import messages
+
+Result = typing.TypeVar("Result")
+KEY = b"a peer key of the records"
+STORE_URL = "http://127.0.0.9:7000"
+ZONE = ids.ZoneName("zone-a")
+ME = ids.Address("127.0.0.1:9001")
+
+
+def configuration() -> routing.Configuration:
+    """Return a configuration with everything in it."""
+    kinds = routing.RequestKind
+    routes = tuple(
+        routing.Route(
+            name=routing.RouteName(f"route-{number}"),
+            host="shop.example",
+            prefix=f"/path-{number}",
+            kind=kind,
+            timeout_s=3.5 + number,
+            target_s=0.25 + number,
+            rank=2 + number,
+            most_tries=3 + number,
+            parts=(
+                routing.Part(service=ids.ServiceName("core"), weight=2.5),
+                routing.Part(service=ids.ServiceName("extra"), weight=0.5),
+            ),
+        )
+        for number, kind in enumerate((kinds.SAFE, kinds.UNSAFE, kinds.UPLOAD))
+    )
+    services = {
+        ids.ServiceName(name): routing.ServiceSpec(
+            name=ids.ServiceName(name), health_path=f"/health-{name}", connections=17
+        )
+        for name in ("core", "extra")
+    }
+    limits = routing.Limits(
+        header_bytes=8_000,
+        body_bytes=1_000_000,
+        header_timeout_s=2.5,
+        idle_timeout_s=12.5,
+    )
+    return routing.Configuration(
+        version=1234, routes=routes, service_by_name=services, limits=limits
+    )
+
+
+def bare_configuration() -> routing.Configuration:
+    """Return what a configuration without any limits is read as."""
+    limits = routing.Limits(
+        header_bytes=16_384,
+        body_bytes=67_108_864,
+        header_timeout_s=10.0,
+        idle_timeout_s=60.0,
+    )
+    return routing.Configuration(
+        version=7, routes=(), service_by_name={}, limits=limits
+    )
+
+
+def listed() -> tuple[sources.ListedUpstream, ...]:
+    """Return a list of upstreams with everything in it."""
+    pairs = ((1, sources.UpstreamState.READY), (2, sources.UpstreamState.DRAINING))
+    return tuple(
+        sources.ListedUpstream(
+            id=ids.UpstreamId(f"up-{number}"),
+            service=ids.ServiceName("core"),
+            address=ids.Address(f"127.0.0.{number}:6000"),
+            zone=ids.ZoneName(f"zone-{number}"),
+            slots=4 + number,
+            state=state,
+            cold_s=2.5 + number,
+        )
+        for number, state in pairs
+    )
+
+
+def gateway() -> tuple[states.GatewayState, relay.Relay]:
+    """Return a gateway's state and its relay, without any socket."""
+    given = {
+        "host": "host-1",
+        "zone": ZONE,
+        "peer_listen": ME,
+        "source": STORE_URL,
+        "source_driver": "platform",
+        "peer_keys": KEY.decode(),
+        "seed": "1",
+    }
+    config = settings.read(given, {})
+    assert isinstance(config, settings.GatewaySettings), config
+    state = states.GatewayState(config, clock.ManualClock())
+    fleet = fleets.Fleet(state)
+    return state, relay.Relay(state, fleet, membership.Membership(state).link)
+
+
+def run(work: abc.Coroutine[typing.Any, typing.Any, Result]) -> Result:
+    """Run a coroutine in a loop of its own."""
+    with asyncio.Runner() as runner:
+        return runner.run(work)
+
+
+def serving() -> tuple[states.GatewayState, typing.Any]:
+    """Return a gateway with everything in force and a peer, and its relay."""
+    state, passing = gateway()
+    by_id = {one.id: one for one in listed()}
+    bad = (sources.BadItem("servers/up-9", "a reason"),)
+    snapshot = sources.Snapshot(5, configuration(), by_id, bad)
+    state.apply_snapshot(snapshot)
+    news = recorded_messages.member(2, messages.Status.READY)
+    state.gossip.handle(messages.Message(news, 1), state.clock.now())
+    return state, passing
--- /dev/null
+++ b/features/support/recorded_messages.py
@@ -0,0 +1,115 @@
+"""
+The gossip messages and document frames whose bytes are recorded.
+
+One message has every field filled; the bare one has the required fields alone.
+``recorded_peers`` says how they are written and read.
+"""
+
+from spindlenotch import ids
+from spindlenotch.peers import documents, messages, workload
+
+
+def member(number: int, status: messages.Status) -> messages.MemberRecord:
+    """Return the news of one member."""
+    return messages.MemberRecord(
+        host=ids.HostId(f"host-{number}"),
+        zone=ids.ZoneName(f"zone-{number}"),
+        incarnation=ids.Incarnation(f"{number:016x}"),
+        address=ids.Address(f"127.0.0.{number}:8080"),
+        peer_address=ids.Address(f"127.0.0.{number}:8081"),
+        epoch=1_700_000_000_000 + number,
+        heartbeat=40 + number,
+        status=status,
+        configuration_version=70 + number,
+        capacity=workload.Work(requests_per_s=1500.5 + number, bytes_per_s=2.5e8),
+        demand=workload.Work(requests_per_s=300.25, bytes_per_s=4.5e6 + number),
+    )
+
+
+def message() -> messages.Message:
+    """Return a gossip message that has everything."""
+    return messages.Message(
+        sender=member(1, messages.Status.READY),
+        sequence=4711,
+        documents=(
+            messages.DocumentVersion(
+                documents.DocumentKind.BUNDLE, 12, ids.Digest("ab12")
+            ),
+            messages.DocumentVersion(
+                kind=documents.DocumentKind.HOSTS,
+                version=25_600,
+                digest=ids.Digest("cd34"),
+            ),
+        ),
+        members=(
+            member(2, messages.Status.STARTING),
+            member(3, messages.Status.LEAVING),
+        ),
+        drain_notices=(
+            messages.DrainNotice(
+                service=ids.ServiceName("core"),
+                upstream=ids.UpstreamId("up-7"),
+                generation=3,
+            ),
+        ),
+        wants_reply=True,
+        wants_members=True,
+        suspicions=(
+            messages.Suspicion(
+                host=ids.HostId("host-9"), epoch=1_700_000_000_009, heartbeat=49
+            ),
+        ),
+        reads_source=True,
+        loads=(
+            workload.LoadRecord(
+                upstream=ids.UpstreamId("up-1"),
+                running=4,
+                queued=2,
+                slowdown=2.5,
+                age_s=0.25,
+            ),
+        ),
+    )
+
+
+def bare_message() -> messages.Message:
+    """Return what a message with the required fields alone is read as."""
+    sender = messages.MemberRecord(
+        host=ids.HostId("h"),
+        zone=ids.ZoneName("z"),
+        incarnation=ids.Incarnation("i"),
+        address=ids.Address("a"),
+        peer_address=ids.Address("p"),
+        epoch=1,
+        heartbeat=2,
+        status=messages.Status.READY,
+        configuration_version=3,
+        capacity=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
+        demand=workload.Work(requests_per_s=0.0, bytes_per_s=0.0),
+    )
+    return messages.Message(
+        sender=sender,
+        sequence=5,
+        documents=(),
+        members=(),
+        drain_notices=(),
+        wants_reply=False,
+        wants_members=False,
+        suspicions=(),
+        reads_source=False,
+        loads=(),
+    )
+
+
+def frame(kind: documents.DocumentKind, body: bytes) -> messages.DocumentFrame:
+    """Return a document frame."""
+    return messages.DocumentFrame(
+        correlation=815,
+        wanted=True,
+        document=documents.Document(
+            kind=kind, version=25_601, digest=ids.Digest("ef56"), body=body
+        ),
+    )
+
+
+SHORT = frame(documents.DocumentKind.HOSTS, b"a short body")
--- /dev/null
+++ b/features/support/recorded_peers.py
@@ -0,0 +1,205 @@
+"""
+The samples of what gateways and entries send each other.
+
+Messages and frames in both codecs, sealed datagrams and streams, and the
+documents that a gateway hands to its peers. To record something new, add a
+sample to ``peer_samples`` and run ``recorded_samples``.
+"""
+
+import asyncio
+import zlib
+from collections import abc
+
+from features.support import recorded, recorded_gateway, recorded_messages
+from spindlenotch import ids, metrics
+from spindlenotch.gateway import sources
+from spindlenotch.peers import (
+    capnp_codec,
+    documents,
+    messages,
+    msgpack_codec,
+    peer_link,
+    peer_seal,
+)
+
+Sample = recorded.Sample
+KEYS = (recorded_gateway.KEY, b"a second key, accepted")
+
+
+def handed_out(kind: documents.DocumentKind) -> bytes:
+    """Return the document that a gateway hands out after reading its source."""
+
+    async def publish() -> bytes:
+        state, passing = recorded_gateway.gateway()
+        by_id = {one.id: one for one in recorded_gateway.listed()}
+        state.apply_snapshot(
+            sources.Snapshot(5, recorded_gateway.configuration(), by_id)
+        )
+        passing.publish(5)
+        return passing.link.on_frame(recorded_messages.frame(kind, b"")).body
+
+    return recorded_gateway.run(publish())
+
+
+def taken_in(kind: documents.DocumentKind, body: bytes) -> object:
+    """Return what a gateway holds after it took in a peer's document."""
+
+    async def take() -> object:
+        state, passing = recorded_gateway.gateway()
+        passing._receive(documents.Document(kind, 9, ids.Digest(""), body))
+        if kind is documents.DocumentKind.HOSTS:
+            return state.listing.listed(state.clock.now())
+        return None if state.table is None else state.table.configuration
+
+    return recorded_gateway.run(take())
+
+
+def peer_samples() -> list[Sample]:
+    """Return the samples of what gateways and entries tell each other."""
+    codec = msgpack_codec.MSGPACK
+    bundle_kind, hosts_kind = documents.DocumentKind
+    body = b'{"the body of a document":"as it is"}'
+    hosts = recorded_messages.frame(hosts_kind, body)
+    return [
+        Sample(
+            "gossip.msgpack.hex",
+            "msgpack",
+            recorded_messages.message(),
+            lambda: zlib.decompress(codec.encode_gossip(recorded_messages.message())),
+            lambda data: codec.decode_gossip(zlib.compress(data)),
+            strangers="passed over",
+        ),
+        Sample(
+            "gossip-bare.msgpack.hex",
+            "msgpack",
+            recorded_messages.bare_message(),
+            read=lambda data: codec.decode_gossip(zlib.compress(data)),
+            bare=True,
+        ),
+        Sample(
+            "frame.msgpack.hex",
+            "msgpack",
+            hosts,
+            lambda: zlib.decompress(codec.encode_frame(hosts)),
+            lambda data: codec.decode_frame(zlib.compress(data)),
+            strangers="passed over",
+        ),
+        Sample(
+            "datagram.sealed.hex",
+            "sealed",
+            recorded_messages.message(),
+            lambda: resealed(
+                "datagram.sealed.hex", codec.encode_gossip(recorded_messages.message())
+            ),
+            open_datagram,
+        ),
+        Sample(
+            "stream.sealed.hex",
+            "sealed",
+            hosts,
+            lambda: framed("stream.sealed.hex", codec.encode_frame(hosts)),
+            open_stream,
+        ),
+        Sample(
+            "gossip.capnp.hex",
+            "capnp",
+            recorded_messages.message(),
+            lambda: capnp_codec.CAPNP.encode_gossip(recorded_messages.message()),
+            capnp_codec.CAPNP.decode_gossip,
+            look_gossip,
+        ),
+        Sample(
+            "frame.capnp.hex",
+            "capnp",
+            recorded_messages.SHORT,
+            lambda: capnp_codec.CAPNP.encode_frame(recorded_messages.SHORT),
+            capnp_codec.CAPNP.decode_frame,
+            look_frame,
+        ),
+        Sample(
+            "configuration.json",
+            "json",
+            recorded_gateway.configuration(),
+            lambda: handed_out(bundle_kind),
+            lambda data: taken_in(bundle_kind, data),
+            strangers="passed over",
+        ),
+        Sample(
+            "configuration-bare.json",
+            "json",
+            recorded_gateway.bare_configuration(),
+            read=lambda data: taken_in(bundle_kind, data),
+            bare=True,
+        ),
+        Sample(
+            "upstreams.json",
+            "json",
+            recorded_gateway.listed(),
+            lambda: handed_out(hosts_kind),
+            lambda data: taken_in(hosts_kind, data),
+            strangers="passed over",
+        ),
+    ]
+
+
+def resealed(file: str, payload: bytes) -> bytes:
+    """
+    Return the recorded payload sealed anew; that given where none is recorded.
+
+    Compressors differ in their bytes between releases, so that which bytes
+    were compressed is compared before, and how they are sealed here.
+    """
+    path = recorded.FOLDER / file
+    if path.exists():
+        payload = bytes.fromhex(path.read_text())[peer_seal.MAC_BYTES :]
+    return peer_seal.Sealer(KEYS).seal(payload)
+
+
+def framed(file: str, payload: bytes) -> bytes:
+    """Return the recorded payload sealed anew, with its length in front."""
+    path = recorded.FOLDER / file
+    if path.exists():
+        start = peer_link.LENGTH.size + peer_seal.MAC_BYTES
+        payload = bytes.fromhex(path.read_text())[start:]
+    data = peer_seal.Sealer(KEYS).seal(payload)
+    return peer_link.LENGTH.pack(len(data)) + data
+
+
+def open_datagram(data: bytes) -> object:
+    """Return what a link that knows the key hears in a datagram."""
+    heard: list[messages.Message] = []
+    link(heard.append).datagram_received(data, None)
+    return heard[0] if heard else None
+
+
+def open_stream(data: bytes) -> object:
+    """Return what a link that knows the key reads from a connection."""
+
+    async def read() -> object:
+        reader = asyncio.StreamReader()
+        reader.feed_data(data)
+        reader.feed_eof()
+        return await link(lambda message: None)._read(reader)
+
+    return recorded_gateway.run(read())
+
+
+def link(on_gossip: abc.Callable[[messages.Message], None]) -> peer_link.PeerLink:
+    """Return a link whose first key is another one, without any socket."""
+    return peer_link.PeerLink(
+        peer_seal.Sealer((b"a newer key in front", recorded_gateway.KEY)),
+        metrics.Metrics(),
+        on_gossip=on_gossip,
+        on_frame=lambda frame: frame.document,
+        codec=msgpack_codec.MSGPACK,
+    )
+
+
+def look_gossip(data: bytes) -> object:
+    """Return a Cap'n Proto message as maps by the schema's names."""
+    return capnp_codec._schema.Gossip.from_bytes_packed(data).to_dict()
+
+
+def look_frame(data: bytes) -> object:
+    """Return a Cap'n Proto frame as maps by the schema's names."""
+    return capnp_codec._schema.DocumentFrame.from_bytes_packed(data).to_dict()
--- a/features/support/served_gateway.py
+++ b/features/support/served_gateway.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from features.support import free_ports, recorded_samples
+from features.support import free_ports, recorded_gateway
 from spindlenotch import ids, ports
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import dialect, ingress, job_factory, routing, sources
@@ -121,7 +121,7 @@
         self.port = ScriptedPort(answer)
         (number,) = free_ports.find(1)
         self.address = ids.Address(f"{free_ports.LOOPBACK}:{number}")
-        state, _ = recorded_samples.gateway()
+        state, _ = recorded_gateway.gateway()
         state.config = dataclasses.replace(
             state.config, listen=self.address, extra_reserve=EXTRA_RESERVE
         )
