--- a/features/support/recorded.py
+++ b/features/support/recorded.py
@@ -76,6 +76,13 @@
     return True
 
 
+def record_missing(samples: abc.Iterable[Sample]) -> None:
+    """Record what is not there yet, and print which files those are."""
+    for sample in samples:
+        if record(sample):
+            print(f"recorded {path_of(sample)}")
+
+
 def complaints(sample: Sample) -> list[str]:
     """Return what is no longer as it was recorded, each with its field."""
     data = load(sample)
--- a/features/support/recorded_names.py
+++ b/features/support/recorded_names.py
@@ -52,9 +52,7 @@
 
 def main() -> None:
     """Record what is not there yet."""
-    for sample in all_samples():
-        if recorded.record(sample):
-            print(f"recorded {recorded.path_of(sample)}")
+    recorded.record_missing(all_samples())
 
 
 if __name__ == "__main__":
