--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -101,7 +101,6 @@
             "decisions/overload.REFUSED_SHARE",
             "decisions/overload.QUEUED_PER_SLOT",
         ),
-        events=(),
         tests=(
             Scenario("kernel", "own slots of all entries add up to all slots"),
             Scenario("kernel", "nobody unfit is chosen"),
