--- a/spindlenotch/peers/documents.py
+++ b/spindlenotch/peers/documents.py
@@ -84,7 +84,7 @@
 
     def held(self, kind: DocumentKind) -> Document:
         """Return the document in force; one of version zero where there is none."""
-        return self.document_by_kind.get(kind, Document(kind, 0, ids.Digest(""), b""))
+        return self.document_by_kind.get(kind, absent(kind))
 
     def judge(self, document: Document) -> Offer:
         """Return what ``offer`` would return, and change nothing."""
