--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -220,10 +220,10 @@
         )
         return ids.later(now, interval_s)
 
-    def seems_ended(self, grant: verdicts.Grant, now: ids.Instant) -> bool:
+    def may_have_crashed(self, grant: verdicts.Grant, now: ids.Instant) -> bool:
         """Tell whether a grant's upstream may have ended under it."""
         p95_s = self.pool.latencies.p95_s(grant.call.latency_key)
-        return silence.seems_ended(grant.upstream, grant.sent_at, p95_s, now)
+        return silence.may_have_crashed(grant.upstream, grant.sent_at, p95_s, now)
 
     def hedge(self, grant: verdicts.Grant, now: ids.Instant) -> verdicts.Grant | None:
         """Place a second copy of a call whose answer is overdue, if it may have one."""
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -26,7 +26,7 @@
     return upstream.silent_s(now) * max(1, upstream.outstanding) / typical_s
 
 
-def seems_ended(
+def may_have_crashed(
     upstream: upstreams.Upstream,
     sent_at: ids.Instant,
     p95_s: float,
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -117,7 +117,7 @@
     def _ask_after(self, grant: verdicts.Grant) -> None:
         """Find out, now and then, whether an upstream has ended without a sign."""
         now = self.state.clock.now()
-        if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
+        if now < self._ask_at or not self.job.balancer.may_have_crashed(grant, now):
             return
         self._ask_at = ids.later(now, ASK_AGAIN_S)
         self.watch.lost(self.job, grant)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -19,7 +19,7 @@
             "kernel/fingerprints.of",
             "kernel/crash_notes.CrashNote.merged",
             "forwarding/crash_watch.CrashWatch.lost",
-            "decisions/silence.seems_ended",
+            "decisions/silence.may_have_crashed",
             "forwarding/recent_answers.RecentAnswers.holds",
             "forwarding/trials.Trials.admit",
             "gateway/quarantine/writer.QuarantineWriter.look",
