--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -44,7 +44,7 @@
 
 
 @selection.POLICIES.register(NAME)
-class SoonestPolicy:
+class LeastLatencyPolicy:
     """
     Chooses the upstream with the soonest expected end.
 
