--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -141,14 +141,14 @@
     Rule(
         question="What a gateway that has just started does with requests",
         functions=(
-            "decisions/start_limit.hold_until",
+            "decisions/wait_limit.hold_until",
             "gateway/state.GatewayState.until_can_serve",
         ),
         inputs="when the process started (instant), whether routes and upstreams are"
         " known.",
         reason="After a loss of power callers come back at once, twice, and the first"
         " gateways can serve some moments later: the requests are held that long.",
-        constants=("decisions/start_limit.START_HOLD_S",),
+        constants=("decisions/wait_limit.START_HOLD_S",),
         events=("READY",),
         tests=(
             Scenario(
@@ -162,7 +162,7 @@
         functions=(
             "decisions/balancer.Balancer.offer",
             "decisions/admission.Admission",
-            "decisions/start_limit.start_limit",
+            "decisions/wait_limit.start_limit",
             "decisions/queueing.rule_against_new",
             "decisions/queueing.rule_against",
             "decisions/queueing.rule_to_give_up",
@@ -177,9 +177,9 @@
         " one can pass it, and one that can still be in time one that can't. It is"
         " refused as soon as it can't make its deadline, or its target.",
         constants=(
-            "decisions/start_limit.LATE_WAIT_SHARE",
-            "decisions/start_limit.WAIT_WITHOUT_TARGET_S",
-            "decisions/start_limit.RETURN_S",
+            "decisions/wait_limit.LATE_WAIT_SHARE",
+            "decisions/wait_limit.WAIT_WITHOUT_TARGET_S",
+            "decisions/wait_limit.RETURN_S",
             "gateway/serving/caller_age.CLASS_RATIO",
             "gateway/serving/caller_age.COMMON_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
