--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -74,7 +74,7 @@
         strategies.floats(0.05, 5.0),
     )
     def check(age_s: float, typical_s: float, target_s: float) -> None:
-        limit = wait_limit.start_limit(
+        limit = wait_limit.for_request(
             NOW, target_s=target_s, age_s=age_s, typical_s=typical_s
         )
         wait_s = limit.wait_until - NOW
@@ -89,7 +89,7 @@
             assert math.isclose(end_s, target_s, abs_tol=1e-6)
 
     check()
-    without = wait_limit.start_limit(NOW, target_s=None, age_s=9.0, typical_s=9.0)
+    without = wait_limit.for_request(NOW, target_s=None, age_s=9.0, typical_s=9.0)
     assert not without.late
     assert without.wait_until == NOW + wait_limit.WAIT_WITHOUT_TARGET_S
 
--- a/spindlenotch/decisions/wait_limit.py
+++ b/spindlenotch/decisions/wait_limit.py
@@ -47,7 +47,7 @@
     late: bool
 
 
-def start_limit(
+def for_request(
     now: ids.Instant, *, target_s: float | None, age_s: float, typical_s: float
 ) -> StartLimit:
     """
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -99,7 +99,7 @@
         now = ids.later(self.state.clock.now(), -held_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
         typical_s = chosen.pool.latencies.typical_s(route.name)
-        limit = wait_limit.start_limit(
+        limit = wait_limit.for_request(
             now,
             target_s=route.target_s,
             age_s=self._ages.age_s(route.name, timeout_s),
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -162,7 +162,7 @@
         functions=(
             "decisions/balancer.Balancer.offer",
             "decisions/admission.Admission",
-            "decisions/wait_limit.start_limit",
+            "decisions/wait_limit.for_request",
             "decisions/queueing.rule_against_new",
             "decisions/queueing.rule_against",
             "decisions/queueing.rule_to_give_up",
