--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -235,8 +235,8 @@
             assert (status, body) == (503, b"not-ready\n")
             # Once that time is over nothing is held any more.
             steady = typing.cast(clock.ManualClock, lost.state.clock)
-            steady.advance(wait_limit.START_HOLD_S)
-            async with asyncio.timeout(wait_limit.START_HOLD_S / 2):
+            steady.advance(wait_limit.STARTUP_HOLD_S)
+            async with asyncio.timeout(wait_limit.STARTUP_HOLD_S / 2):
                 status, _ = await lost.request()
             assert status == 503
 
--- a/spindlenotch/decisions/wait_limit.py
+++ b/spindlenotch/decisions/wait_limit.py
@@ -23,7 +23,7 @@
 #: Seconds after the start of a process until which requests are held where it can't
 #: serve yet. Most gateways can 0.02 to 0.35 s after their ports are open; callers come
 #: back twice only, and had spent both tries by then on refusals 0.05 s apart.
-START_HOLD_S = 0.6
+STARTUP_HOLD_S = 0.6
 
 
 def hold_until(started_at: ids.Instant) -> ids.Instant:
@@ -33,7 +33,7 @@
     Answers a fleet that lost power: callers try again at once when the hosts are
     back, and the first gateways learn routes and upstreams some moments later.
     """
-    return ids.later(started_at, START_HOLD_S)
+    return ids.later(started_at, STARTUP_HOLD_S)
 
 
 class WaitLimit(msgspec.Struct, frozen=True):
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -148,7 +148,7 @@
         " known.",
         reason="After a loss of power callers come back at once, twice, and the first"
         " gateways can serve some moments later: the requests are held that long.",
-        constants=("decisions/wait_limit.START_HOLD_S",),
+        constants=("decisions/wait_limit.STARTUP_HOLD_S",),
         events=("READY",),
         tests=(
             Scenario(
