--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -223,7 +223,7 @@
                 running = self.running_by_id.get(upstream.spec.id, 0)
                 one.pool.reported(upstream, upstreams.LoadReport(running, 0), now)
             self._settle(one, one.settle(now), at)
-            self._settle(one, one.give_up(now), at)
+            self._settle(one, one.refuse_hopeless(now), at)
 
     def _used_by_region(self, at: float) -> dict[ids.RegionName, float]:
         """Return how full the regions are, as told a second ago."""
--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -116,7 +116,7 @@
     assert isinstance(made.offer(second, NOW), verdicts.Waiting)
     # The queues are settled before calls are given up.
     assert made.settle(until) == []
-    (settled,) = made.give_up(until)
+    (settled,) = made.refuse_hopeless(until)
     assert settled.call is second
     assert isinstance(settled.verdict, outcomes.Refusal)
 
@@ -288,7 +288,7 @@
     until = ids.later(NOW, 0.1)
     call = msgspec.structs.replace(kernel.call(2), wait_until=until)
     assert isinstance(made.offer(call, NOW), verdicts.Waiting)
-    (given_up,) = made.give_up(until)
+    (given_up,) = made.refuse_hopeless(until)
     assert isinstance(given_up.verdict, outcomes.Refusal)
     assert given_up.verdict.rule is rules.WAIT_OVER
     # One call ends each second: a call behind another waits for longer than that.
@@ -314,8 +314,8 @@
     until = ids.later(NOW, 0.1)
     call = msgspec.structs.replace(kernel.call(9), wait_until=until)
     assert isinstance(made.offer(call, NOW), verdicts.Waiting)
-    assert made.give_up(ids.later(NOW, 0.05)) == []
-    (settled,) = made.give_up(ids.later(NOW, 0.1))
+    assert made.refuse_hopeless(ids.later(NOW, 0.05)) == []
+    (settled,) = made.refuse_hopeless(ids.later(NOW, 0.1))
     assert settled.call is call
 
 
--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -67,7 +67,7 @@
 
     def _check(self, now: ids.Instant) -> None:
         settled = self.decider.settle(now)
-        settled += self.decider.give_up(now)
+        settled += self.decider.refuse_hopeless(now)
         self._take(settled)
         due_in_s = granting.check_in_s([self.decider], now)
         self._check_at = ids.later(now, due_in_s + self._rng.random() * TIMER_LATE_S)
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -317,7 +317,7 @@
     made.pool.latencies.overall.value = 0.6
     made.pool.latencies.latency_by_key["read"].typical.value = 0.6
     later = ids.later(NOW, 0.1)
-    (settled,) = made.give_up(later)
+    (settled,) = made.refuse_hopeless(later)
     assert isinstance(settled.verdict, outcomes.Refusal)
     assert settled.verdict.outcome is outcomes.Outcome.NOT_RUN
     assert settled.verdict.retry_at is not None and settled.verdict.retry_at > later
--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -29,7 +29,7 @@
             return self._hopeless(rule, now)
         return self._enqueue(call, now)
 
-    def give_up(self, now: ids.Instant) -> list[verdicts.Settlement]:
+    def refuse_hopeless(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """Refuse the waiting calls that will get no room while they may wait."""
         given_up = []
         for ahead, call in enumerate(list(self.queue)):
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -167,7 +167,7 @@
             settled.extend(self.admission.refuse_stranded(self._usable_at, now))
         return settled
 
-    def give_up(self, now: ids.Instant) -> list[verdicts.Settlement]:
+    def refuse_hopeless(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """
         Refuse the waiting calls that are not worth waiting for any longer.
 
@@ -177,7 +177,7 @@
         """
         return [
             self._far_instead(settlement, now)
-            for settlement in self.admission.give_up(now)
+            for settlement in self.admission.refuse_hopeless(now)
         ]
 
     def next_turn(self, now: ids.Instant) -> ids.Instant:
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -115,6 +115,6 @@
         for decider in self.state.balancer_by_service.values():
             if len(decider.queue):
                 self._settle(decider.settle(now))
-                self._settle(decider.give_up(now))
+                self._settle(decider.refuse_hopeless(now))
         if self._future_by_call:
             self._schedule_queue_check()
