--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -33,7 +33,7 @@
         """Refuse the waiting calls that will get no room while they may wait."""
         given_up = []
         for ahead, call in enumerate(list(self.queue)):
-            rule = queueing.rule_to_give_up(self.pool, call, ahead, now)
+            rule = queueing.refusal_rule_for_waiting(self.pool, call, ahead, now)
             if rule is not None:
                 refusal = self._hopeless(rule, now)
                 given_up.append(verdicts.Settlement(call, refusal))
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -67,7 +67,7 @@
     return rule_against(pool, call, ahead, now, reserve_s)
 
 
-def rule_to_give_up(
+def refusal_rule_for_waiting(
     pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -165,7 +165,7 @@
             "decisions/wait_limit.for_request",
             "decisions/queueing.rule_against_new",
             "decisions/queueing.rule_against",
-            "decisions/queueing.rule_to_give_up",
+            "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
             "gateway/serving/caller_age.CallerAges.age_s",
             "kernel/completion_rate.CompletionRate",
