--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -24,7 +24,7 @@
         self, call: waiting.Call, ahead: int, now: ids.Instant
     ) -> verdicts.Waiting | outcomes.Refusal:
         """Let a call wait behind ``ahead`` others, or refuse it at once."""
-        rule = queueing.rule_against_new(self.pool, call, ahead, now)
+        rule = queueing.refusal_rule_for_new(self.pool, call, ahead, now)
         if rule is not None:
             return self._hopeless(rule, now)
         return self._enqueue(call, now)
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -59,7 +59,7 @@
     return None
 
 
-def rule_against_new(
+def refusal_rule_for_new(
     pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -163,7 +163,7 @@
             "decisions/balancer.Balancer.offer",
             "decisions/admission.Admission",
             "decisions/wait_limit.for_request",
-            "decisions/queueing.rule_against_new",
+            "decisions/queueing.refusal_rule_for_new",
             "decisions/queueing.rule_against",
             "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
