--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -36,7 +36,7 @@
     return ahead / max(LEAST_PER_S, per_s)
 
 
-def rule_against(
+def refusal_rule(
     pool: upstream_pool.Pool,
     call: waiting.Call,
     ahead: int,
@@ -64,7 +64,7 @@
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
     reserve_s = TURN_RESERVE_S if pool.turns(now) is not None else 0.0
-    return rule_against(pool, call, ahead, now, reserve_s)
+    return refusal_rule(pool, call, ahead, now, reserve_s)
 
 
 def refusal_rule_for_waiting(
@@ -78,7 +78,7 @@
     """
     if now >= call.wait_until:
         return outcomes.RefusalRule.WAIT_OVER
-    return rule_against(pool, call, ahead, now)
+    return refusal_rule(pool, call, ahead, now)
 
 
 def retry_at(pool: upstream_pool.Pool, queued: int, now: ids.Instant) -> ids.Instant:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -164,7 +164,7 @@
             "decisions/admission.Admission",
             "decisions/wait_limit.for_request",
             "decisions/queueing.refusal_rule_for_new",
-            "decisions/queueing.rule_against",
+            "decisions/queueing.refusal_rule",
             "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
             "gateway/serving/caller_age.CallerAges.age_s",
