--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -26,7 +26,7 @@
         """Let a call wait behind ``ahead`` others, or refuse it at once."""
         rule = queueing.refusal_rule_for_new(self.pool, call, ahead, now)
         if rule is not None:
-            return self._hopeless(rule, now)
+            return self._refuse_early(rule, now)
         return self._enqueue(call, now)
 
     def refuse_hopeless(self, now: ids.Instant) -> list[verdicts.Settlement]:
@@ -35,7 +35,7 @@
         for ahead, call in enumerate(list(self.queue)):
             rule = queueing.refusal_rule_for_waiting(self.pool, call, ahead, now)
             if rule is not None:
-                refusal = self._hopeless(rule, now)
+                refusal = self._refuse_early(rule, now)
                 given_up.append(verdicts.Settlement(call, refusal))
         for settlement in given_up:
             self.queue.remove(settlement.call.id)
@@ -88,7 +88,7 @@
         self.queue.push(call)
         return verdicts.Waiting(call, verdicts.Settlement(displaced, refusal))
 
-    def _hopeless(
+    def _refuse_early(
         self, rule: outcomes.RefusalRule, now: ids.Instant
     ) -> outcomes.Refusal:
         """Refuse a call for which ``rule`` says that it will get no room."""
