--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -48,7 +48,7 @@
 MOST_KEPT = 1_024
 
 
-class Standing(enum.IntEnum):
+class CrashStatus(enum.IntEnum):
     """What is held of a request; a higher one is worse."""
 
     CLEAR = 0
@@ -72,7 +72,7 @@
     """That a request was quarantined, or is no longer; for the log."""
 
     note: crash_notes.CrashNote
-    standing: Standing
+    standing: CrashStatus
 
 
 class Kept(msgspec.Struct):
@@ -82,7 +82,7 @@
     until: ids.Instant
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> CrashStatus:
         """Return what is held of the request."""
         return standing_of(self.note)
 
@@ -112,7 +112,7 @@
             return False
         return fingerprints.target_digits(target) in self._count_by_target
 
-    def standing(self, known: fingerprints.Fingerprints) -> Standing:
+    def standing(self, known: fingerprints.Fingerprints) -> CrashStatus:
         """Return what is held of a request: the worse of what both prints tell."""
         return max(self._standing(one) for one in known.each())
 
@@ -122,7 +122,7 @@
         return max(
             one.until
             for one in kept
-            if one is not None and one.standing is Standing.QUARANTINED
+            if one is not None and one.standing is CrashStatus.QUARANTINED
         )
 
     def mark(self, fingerprint: ids.Fingerprint) -> Mark:
@@ -161,7 +161,7 @@
         )
         is_news = self.merge(strike, now)
         after = standing_of(self.note(fingerprint))
-        if before is not Standing.QUARANTINED is after:
+        if before is not CrashStatus.QUARANTINED is after:
             self._retrial_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
         return is_news
 
@@ -203,7 +203,7 @@
         kept = self.kept_by_fingerprint
         over = [name for name, one in kept.items() if one.until <= now]
         for fingerprint in over:
-            if kept[fingerprint].standing is Standing.QUARANTINED:
+            if kept[fingerprint].standing is CrashStatus.QUARANTINED:
                 # A new round: peers that are a moment behind must not bring it back.
                 self.clear(fingerprint, now)
             else:
@@ -212,7 +212,7 @@
     def quarantined(self) -> abc.Iterator[crash_notes.CrashNote]:
         """Return the notes on all requests that are not sent any more."""
         for kept in self.kept_by_fingerprint.values():
-            if kept.standing is Standing.QUARANTINED:
+            if kept.standing is CrashStatus.QUARANTINED:
                 yield kept.note
 
     def _retrial_s(self, fingerprint: ids.Fingerprint) -> float:
@@ -222,10 +222,10 @@
     def _is_retrial_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         return self._retrial_at.get(fingerprint, ids.NEVER) <= now
 
-    def _standing(self, fingerprint: ids.Fingerprint) -> Standing:
+    def _standing(self, fingerprint: ids.Fingerprint) -> CrashStatus:
         standing = standing_of(self.note(fingerprint))
         if fingerprint in self._doubts:
-            return max(standing, Standing.SUSPECT)
+            return max(standing, CrashStatus.SUSPECT)
         return standing
 
     def _keep(
@@ -234,9 +234,9 @@
         before = standing_of(self.note(note.fingerprint))
         after = standing_of(note)
         until = min(until, ids.later(now, KEPT_S_BY_STANDING[after]))
-        if before is Standing.QUARANTINED is after:
+        if before is CrashStatus.QUARANTINED is after:
             until = self.kept_by_fingerprint[note.fingerprint].until
-        elif Standing.QUARANTINED in (before, after):
+        elif CrashStatus.QUARANTINED in (before, after):
             self.changes.append(Change(note, after))
             self._retrial_at.pop(note.fingerprint, None)
         if note.is_retried:
@@ -251,7 +251,9 @@
     def _least_needed(self) -> ids.Fingerprint:
         """Return whose note changed longest ago, quarantined requests last."""
         kept = self.kept_by_fingerprint.items()
-        return min(kept, key=lambda item: item[1].standing is Standing.QUARANTINED)[0]
+        return min(kept, key=lambda item: item[1].standing is CrashStatus.QUARANTINED)[
+            0
+        ]
 
     def _forget(self, fingerprint: ids.Fingerprint) -> None:
         if self.kept_by_fingerprint.pop(fingerprint, None) is not None:
@@ -266,16 +268,16 @@
 
 #: For how many seconds a note is kept since it changed.
 KEPT_S_BY_STANDING = {
-    Standing.CLEAR: ANSWERED_S,
-    Standing.SUSPECT: SUSPECT_S,
-    Standing.QUARANTINED: QUARANTINE_S,
+    CrashStatus.CLEAR: ANSWERED_S,
+    CrashStatus.SUSPECT: SUSPECT_S,
+    CrashStatus.QUARANTINED: QUARANTINE_S,
 }
 
 
-def standing_of(note: crash_notes.CrashNote) -> Standing:
+def standing_of(note: crash_notes.CrashNote) -> CrashStatus:
     """Return what is held of a request of which this is known."""
     if not note.depth:
-        return Standing.CLEAR
+        return CrashStatus.CLEAR
     if note.depth >= LEAST_DEPTH and len(note.ended) >= LEAST_ENDED:
-        return Standing.QUARANTINED
-    return Standing.SUSPECT
+        return CrashStatus.QUARANTINED
+    return CrashStatus.SUSPECT
