--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -55,7 +55,7 @@
 
 def standing(known: quarantine.Quarantine) -> CrashStatus:
     """Return what is held of the request."""
-    return quarantine.standing_of(known.note(PRINT))
+    return quarantine.status_of(known.note(PRINT))
 
 
 @kernel.PROPERTIES.register("a request under which three upstreams end is quarantined")
@@ -202,7 +202,7 @@
 
     def _arrive(self, number: int, wait_until: float) -> None:
         known = self.known[number]
-        found = quarantine.standing_of(known.note(PRINT))
+        found = quarantine.status_of(known.note(PRINT))
         both = fingerprints.Fingerprints(PRINT, PRINT)
         if found is CrashStatus.QUARANTINED:
             if known.take_retrial(both, ids.Instant(self.now)):
@@ -239,7 +239,7 @@
             self._arrive_again(number)
 
     def _arrive_again(self, number: int) -> None:
-        found = quarantine.standing_of(self.known[number].note(PRINT))
+        found = quarantine.status_of(self.known[number].note(PRINT))
         if found is CrashStatus.SUSPECT and self.trying_until[number] <= self.now:
             self._send(number, may_retry=False)
 
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -84,7 +84,7 @@
     @property
     def standing(self) -> CrashStatus:
         """Return what is held of the request."""
-        return standing_of(self.note)
+        return status_of(self.note)
 
 
 class Quarantine:
@@ -155,12 +155,12 @@
         now: ids.Instant,
     ) -> bool:
         """Take in that an upstream ended under a try with this mark; see ``merge``."""
-        before = standing_of(self.note(fingerprint))
+        before = status_of(self.note(fingerprint))
         strike = crash_notes.CrashNote(
             fingerprint, mark.round, mark.depth + 1, (upstream,)
         )
         is_news = self.merge(strike, now)
-        after = standing_of(self.note(fingerprint))
+        after = status_of(self.note(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
             self._retrial_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
         return is_news
@@ -223,7 +223,7 @@
         return self._retrial_at.get(fingerprint, ids.NEVER) <= now
 
     def _standing(self, fingerprint: ids.Fingerprint) -> CrashStatus:
-        standing = standing_of(self.note(fingerprint))
+        standing = status_of(self.note(fingerprint))
         if fingerprint in self._doubts:
             return max(standing, CrashStatus.SUSPECT)
         return standing
@@ -231,8 +231,8 @@
     def _keep(
         self, note: crash_notes.CrashNote, now: ids.Instant, until: ids.Instant
     ) -> None:
-        before = standing_of(self.note(note.fingerprint))
-        after = standing_of(note)
+        before = status_of(self.note(note.fingerprint))
+        after = status_of(note)
         until = min(until, ids.later(now, KEPT_S_BY_STANDING[after]))
         if before is CrashStatus.QUARANTINED is after:
             until = self.kept_by_fingerprint[note.fingerprint].until
@@ -274,7 +274,7 @@
 }
 
 
-def standing_of(note: crash_notes.CrashNote) -> CrashStatus:
+def status_of(note: crash_notes.CrashNote) -> CrashStatus:
     """Return what is held of a request of which this is known."""
     if not note.depth:
         return CrashStatus.CLEAR
--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -44,7 +44,7 @@
             for stored in self.stored_by_fingerprint.values()
             if (note := self.known.note(stored.note.fingerprint)).round
             > stored.note.round
-            and quarantine.standing_of(note) is not quarantine.CrashStatus.QUARANTINED
+            and quarantine.status_of(note) is not quarantine.CrashStatus.QUARANTINED
         ]
 
     def _take(self, found: abc.Iterable[sources.StoredQuarantine]) -> None:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -13,7 +13,7 @@
     Rule(
         question="When a request is not sent any more because it ends upstreams",
         functions=(
-            "decisions/quarantine.standing_of",
+            "decisions/quarantine.status_of",
             "decisions/quarantine.Quarantine.strike",
             "decisions/quarantine.Quarantine.take_retrial",
             "kernel/fingerprints.of",
