--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -233,7 +233,7 @@
     ) -> None:
         before = status_of(self.note(note.fingerprint))
         after = status_of(note)
-        until = min(until, ids.later(now, KEPT_S_BY_STANDING[after]))
+        until = min(until, ids.later(now, KEEP_S_BY_STATUS[after]))
         if before is CrashStatus.QUARANTINED is after:
             until = self.kept_by_fingerprint[note.fingerprint].until
         elif CrashStatus.QUARANTINED in (before, after):
@@ -267,7 +267,7 @@
 
 
 #: For how many seconds a note is kept since it changed.
-KEPT_S_BY_STANDING = {
+KEEP_S_BY_STATUS = {
     CrashStatus.CLEAR: ANSWERED_S,
     CrashStatus.SUSPECT: SUSPECT_S,
     CrashStatus.QUARANTINED: QUARANTINE_S,
