--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -53,7 +53,7 @@
         known.strike(PRINT, known.mark(PRINT), upstream(number), NOW)
 
 
-def standing(known: quarantine.Quarantine) -> CrashStatus:
+def status(known: quarantine.Quarantine) -> CrashStatus:
     """Return what is held of the request."""
     return quarantine.status_of(known.note(PRINT))
 
@@ -61,11 +61,11 @@
 @kernel.PROPERTIES.register("a request under which three upstreams end is quarantined")
 def three_in_turn() -> None:
     known = quarantine.Quarantine()
-    assert standing(known) is CrashStatus.CLEAR
+    assert status(known) is CrashStatus.CLEAR
     struck_in_turn(known, 2)
-    assert standing(known) is CrashStatus.SUSPECT
+    assert status(known) is CrashStatus.SUSPECT
     struck_in_turn(known, 3)
-    assert standing(known) is CrashStatus.QUARANTINED
+    assert status(known) is CrashStatus.QUARANTINED
 
 
 @kernel.PROPERTIES.register("upstreams that end together quarantine no request")
@@ -74,7 +74,7 @@
     mark = known.mark(PRINT)
     for number in range(20):
         known.strike(PRINT, mark, upstream(number), NOW)
-    assert standing(known) is CrashStatus.SUSPECT
+    assert status(known) is CrashStatus.SUSPECT
 
 
 @kernel.PROPERTIES.register("an answer clears a request, and older notes are no news")
@@ -83,10 +83,10 @@
     struck_in_turn(known, 3)
     before, mark = known.note(PRINT), known.mark(PRINT)
     assert known.clear(PRINT, NOW)
-    assert standing(known) is CrashStatus.CLEAR
+    assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
     assert not known.strike(PRINT, mark, upstream(9), NOW)
-    assert standing(known) is CrashStatus.CLEAR
+    assert status(known) is CrashStatus.CLEAR
 
 
 @kernel.PROPERTIES.register("a quarantined request is sent once more, by one gateway")
@@ -125,11 +125,11 @@
         one = ids.Fingerprint(f"{number:08x}bb")
         known.strike(one, quarantine.UNMARKED, upstream(number), NOW)
     assert len(known.kept_by_fingerprint) == quarantine.MOST_KEPT
-    assert standing(known) is CrashStatus.QUARANTINED
+    assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
     known.expire(ids.later(NOW, quarantine.QUARANTINE_S))
-    assert standing(known) is CrashStatus.CLEAR
+    assert status(known) is CrashStatus.CLEAR
     known.expire(ids.later(NOW, quarantine.QUARANTINE_S + quarantine.ANSWERED_S))
     assert not known.kept_by_fingerprint and not known.knows_target("/a")
 
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -72,7 +72,7 @@
     """That a request was quarantined, or is no longer; for the log."""
 
     note: crash_notes.CrashNote
-    standing: CrashStatus
+    status: CrashStatus
 
 
 class Kept(msgspec.Struct):
@@ -82,7 +82,7 @@
     until: ids.Instant
 
     @property
-    def standing(self) -> CrashStatus:
+    def status(self) -> CrashStatus:
         """Return what is held of the request."""
         return status_of(self.note)
 
@@ -112,7 +112,7 @@
             return False
         return fingerprints.target_digits(target) in self._count_by_target
 
-    def standing(self, known: fingerprints.Fingerprints) -> CrashStatus:
+    def status(self, known: fingerprints.Fingerprints) -> CrashStatus:
         """Return what is held of a request: the worse of what both prints tell."""
         return max(self._standing(one) for one in known.each())
 
@@ -122,7 +122,7 @@
         return max(
             one.until
             for one in kept
-            if one is not None and one.standing is CrashStatus.QUARANTINED
+            if one is not None and one.status is CrashStatus.QUARANTINED
         )
 
     def mark(self, fingerprint: ids.Fingerprint) -> Mark:
@@ -203,7 +203,7 @@
         kept = self.kept_by_fingerprint
         over = [name for name, one in kept.items() if one.until <= now]
         for fingerprint in over:
-            if kept[fingerprint].standing is CrashStatus.QUARANTINED:
+            if kept[fingerprint].status is CrashStatus.QUARANTINED:
                 # A new round: peers that are a moment behind must not bring it back.
                 self.clear(fingerprint, now)
             else:
@@ -212,7 +212,7 @@
     def quarantined(self) -> abc.Iterator[crash_notes.CrashNote]:
         """Return the notes on all requests that are not sent any more."""
         for kept in self.kept_by_fingerprint.values():
-            if kept.standing is CrashStatus.QUARANTINED:
+            if kept.status is CrashStatus.QUARANTINED:
                 yield kept.note
 
     def _retrial_s(self, fingerprint: ids.Fingerprint) -> float:
@@ -223,10 +223,10 @@
         return self._retrial_at.get(fingerprint, ids.NEVER) <= now
 
     def _standing(self, fingerprint: ids.Fingerprint) -> CrashStatus:
-        standing = status_of(self.note(fingerprint))
+        status = status_of(self.note(fingerprint))
         if fingerprint in self._doubts:
-            return max(standing, CrashStatus.SUSPECT)
-        return standing
+            return max(status, CrashStatus.SUSPECT)
+        return status
 
     def _keep(
         self, note: crash_notes.CrashNote, now: ids.Instant, until: ids.Instant
@@ -251,9 +251,7 @@
     def _least_needed(self) -> ids.Fingerprint:
         """Return whose note changed longest ago, quarantined requests last."""
         kept = self.kept_by_fingerprint.items()
-        return min(kept, key=lambda item: item[1].standing is CrashStatus.QUARANTINED)[
-            0
-        ]
+        return min(kept, key=lambda item: item[1].status is CrashStatus.QUARANTINED)[0]
 
     def _forget(self, fingerprint: ids.Fingerprint) -> None:
         if self.kept_by_fingerprint.pop(fingerprint, None) is not None:
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -124,7 +124,7 @@
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
-        if self.trials.standing(self.job) is not quarantine.CrashStatus.CLEAR:
+        if self.trials.status(self.job) is not quarantine.CrashStatus.CLEAR:
             # Of a request that ends what runs it each copy costs an upstream.
             return newest
         hedge = self.job.balancer.hedge(newest, self.state.clock.now())
@@ -217,7 +217,7 @@
 
     async def _may_risk_another(self) -> bool:
         """Tell whether a request that may end what runs it gets another upstream."""
-        if self.trials.standing(self.job) is quarantine.CrashStatus.CLEAR:
+        if self.trials.status(self.job) is quarantine.CrashStatus.CLEAR:
             return True
         if self._grant_by_task or not self.watch.marks.may_retry(self.job.call.id):
             return False
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -59,17 +59,17 @@
         self._trial_by_content: dict[ids.Fingerprint, Trial] = {}
         self._content_by_call: dict[ids.CallId, ids.Fingerprint] = {}
 
-    def standing(self, job: jobs.Job) -> quarantine.CrashStatus:
+    def status(self, job: jobs.Job) -> quarantine.CrashStatus:
         """Return what is held of a request."""
         if not self.quarantine.knows_target(job.target):
             return quarantine.CrashStatus.CLEAR
-        return self.quarantine.standing(job.fingerprints())
+        return self.quarantine.status(job.fingerprints())
 
     async def admit(self, job: jobs.Job) -> outcomes.Refusal | None:
         """Wait until a call may be sent, or return why it may not."""
-        while (standing := self.standing(job)) is not quarantine.CrashStatus.CLEAR:
+        while (status := self.status(job)) is not quarantine.CrashStatus.CLEAR:
             now = self.state.clock.now()
-            if standing is quarantine.CrashStatus.QUARANTINED:
+            if status is quarantine.CrashStatus.QUARANTINED:
                 return self._retry_or_refuse(job, now)
             trial = self._trial_by_content.get(job.fingerprints().content)
             if trial is None or trial.until <= now or trial.call == job.call.id:
@@ -83,7 +83,7 @@
 
     def refusal(self, job: jobs.Job) -> outcomes.Refusal | None:
         """Return the refusal of a request that is quarantined; None where it is not."""
-        if self.standing(job) is not quarantine.CrashStatus.QUARANTINED:
+        if self.status(job) is not quarantine.CrashStatus.QUARANTINED:
             return None
         prints = job.fingerprints()
         trial = self._trial_by_content.get(prints.content)
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -98,7 +98,7 @@
         self.state.metrics.quarantined_requests.set(count)
 
     def _report(self, change: quarantine.Change, told_by: str) -> None:
-        is_held = change.standing is quarantine.CrashStatus.QUARANTINED
+        is_held = change.status is quarantine.CrashStatus.QUARANTINED
         events.emit(
             events.Event.REQUEST_QUARANTINED
             if is_held
