--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -114,7 +114,7 @@
 
     def status(self, known: fingerprints.Fingerprints) -> CrashStatus:
         """Return what is held of a request: the worse of what both prints tell."""
-        return max(self._standing(one) for one in known.each())
+        return max(self._status(one) for one in known.each())
 
     def until(self, known: fingerprints.Fingerprints) -> ids.Instant:
         """Return until when a request is quarantined."""
@@ -222,7 +222,7 @@
     def _is_retrial_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         return self._retrial_at.get(fingerprint, ids.NEVER) <= now
 
-    def _standing(self, fingerprint: ids.Fingerprint) -> CrashStatus:
+    def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
         status = status_of(self.note(fingerprint))
         if fingerprint in self._doubts:
             return max(status, CrashStatus.SUSPECT)
