--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -50,7 +50,7 @@
 def struck_in_turn(known: quarantine.Quarantine, times: int) -> None:
     """Let upstreams end under a request one after the other."""
     for number in range(times):
-        known.strike(PRINT, known.mark(PRINT), upstream(number), NOW)
+        known.record_crash(PRINT, known.mark(PRINT), upstream(number), NOW)
 
 
 def status(known: quarantine.Quarantine) -> CrashStatus:
@@ -73,7 +73,7 @@
     known = quarantine.Quarantine()
     mark = known.mark(PRINT)
     for number in range(20):
-        known.strike(PRINT, mark, upstream(number), NOW)
+        known.record_crash(PRINT, mark, upstream(number), NOW)
     assert status(known) is CrashStatus.SUSPECT
 
 
@@ -85,7 +85,7 @@
     assert known.clear(PRINT, NOW)
     assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
-    assert not known.strike(PRINT, mark, upstream(9), NOW)
+    assert not known.record_crash(PRINT, mark, upstream(9), NOW)
     assert status(known) is CrashStatus.CLEAR
 
 
@@ -95,7 +95,7 @@
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
         for one in request.each():
-            known.strike(one, known.mark(one), upstream(number), NOW)
+            known.record_crash(one, known.mark(one), upstream(number), NOW)
     for one in request.each():
         peer.merge(known.note(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RETRIAL_S)
@@ -123,7 +123,7 @@
     struck_in_turn(known, 3)
     for number in range(3 * quarantine.MOST_KEPT):
         one = ids.Fingerprint(f"{number:08x}bb")
-        known.strike(one, quarantine.UNMARKED, upstream(number), NOW)
+        known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
     assert len(known.kept_by_fingerprint) == quarantine.MOST_KEPT
     assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.SUSPECT_S))
@@ -232,7 +232,9 @@
         self.ended_at.append(self.now)
         if known is not self.known[number]:
             return
-        known.strike(PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now))
+        known.record_crash(
+            PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now)
+        )
         for peer in range(len(self.known)):
             self._tell(number, peer)
         if may_retry:
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -147,7 +147,7 @@
             del self._doubts[fingerprint]
         self._count_target(fingerprint, -1)
 
-    def strike(
+    def record_crash(
         self,
         fingerprint: ids.Fingerprint,
         mark: Mark,
@@ -156,10 +156,10 @@
     ) -> bool:
         """Take in that an upstream ended under a try with this mark; see ``merge``."""
         before = status_of(self.note(fingerprint))
-        strike = crash_notes.CrashNote(
+        record_crash = crash_notes.CrashNote(
             fingerprint, mark.round, mark.depth + 1, (upstream,)
         )
-        is_news = self.merge(strike, now)
+        is_news = self.merge(record_crash, now)
         after = status_of(self.note(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
             self._retrial_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -189,7 +189,7 @@
         now = self.state.clock.now()
         for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
             upstream_id = loss.upstream.spec.id
-            if self.quarantine.strike(fingerprint, mark, upstream_id, now):
+            if self.quarantine.record_crash(fingerprint, mark, upstream_id, now):
                 self._tell(fingerprint)
 
     def _clear(self, prints: fingerprints.Fingerprints) -> None:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -14,7 +14,7 @@
         question="When a request is not sent any more because it ends upstreams",
         functions=(
             "decisions/quarantine.status_of",
-            "decisions/quarantine.Quarantine.strike",
+            "decisions/quarantine.Quarantine.record_crash",
             "decisions/quarantine.Quarantine.take_retrial",
             "kernel/fingerprints.of",
             "kernel/crash_notes.CrashNote.merged",
