--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -135,7 +135,7 @@
         kept = self.kept_by_fingerprint.get(fingerprint)
         return crash_notes.CrashNote(fingerprint) if kept is None else kept.note
 
-    def doubt(self, fingerprint: ids.Fingerprint) -> None:
+    def begin_check(self, fingerprint: ids.Fingerprint) -> None:
         """Hold a request to be suspect until ``settle``."""
         self._doubts[fingerprint] += 1
         self._count_target(fingerprint, 1)
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -114,7 +114,7 @@
             self._answers.holds(job, self.state.clock.now()),
         )
         for fingerprint in loss.suspects():
-            self.quarantine.doubt(fingerprint)
+            self.quarantine.begin_check(fingerprint)
         losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
         losses.append(loss)
         if len(losses) == 1:
