--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -136,11 +136,11 @@
         return crash_notes.CrashNote(fingerprint) if kept is None else kept.note
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
-        """Hold a request to be suspect until ``settle``."""
+        """Hold a request to be suspect until ``end_check``."""
         self._doubts[fingerprint] += 1
         self._count_target(fingerprint, 1)
 
-    def settle(self, fingerprint: ids.Fingerprint) -> None:
+    def end_check(self, fingerprint: ids.Fingerprint) -> None:
         """End one doubt: it is known what became of the upstream."""
         self._doubts[fingerprint] -= 1
         if not self._doubts[fingerprint]:
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -155,7 +155,7 @@
             losses = self._losses_by_upstream.pop(spec.id)
             for loss in losses:
                 for fingerprint in loss.suspects():
-                    self.quarantine.settle(fingerprint)
+                    self.quarantine.end_check(fingerprint)
         if liveness is ports.Liveness.GONE:
             self._take_end(losses)
 
