--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -103,7 +103,9 @@
         self.kept_by_fingerprint: dict[ids.Fingerprint, Kept] = {}
         self.changes: list[Change] = []
         self._retrial_at: dict[ids.Fingerprint, ids.Instant] = {}
-        self._doubts: collections.Counter[ids.Fingerprint] = collections.Counter()
+        self._checks_pending: collections.Counter[ids.Fingerprint] = (
+            collections.Counter()
+        )
         self._count_by_target: collections.Counter[str] = collections.Counter()
 
     def knows_target(self, target: str) -> bool:
@@ -128,7 +130,7 @@
     def mark(self, fingerprint: ids.Fingerprint) -> Mark:
         """Return what is known of a request as a try of it is sent."""
         note = self.note(fingerprint)
-        return Mark(note.round, note.depth + (fingerprint in self._doubts))
+        return Mark(note.round, note.depth + (fingerprint in self._checks_pending))
 
     def note(self, fingerprint: ids.Fingerprint) -> crash_notes.CrashNote:
         """Return what is known of a request in the form that is passed on."""
@@ -137,14 +139,14 @@
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
         """Hold a request to be suspect until ``end_check``."""
-        self._doubts[fingerprint] += 1
+        self._checks_pending[fingerprint] += 1
         self._count_target(fingerprint, 1)
 
     def end_check(self, fingerprint: ids.Fingerprint) -> None:
         """End one doubt: it is known what became of the upstream."""
-        self._doubts[fingerprint] -= 1
-        if not self._doubts[fingerprint]:
-            del self._doubts[fingerprint]
+        self._checks_pending[fingerprint] -= 1
+        if not self._checks_pending[fingerprint]:
+            del self._checks_pending[fingerprint]
         self._count_target(fingerprint, -1)
 
     def record_crash(
@@ -224,7 +226,7 @@
 
     def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
         status = status_of(self.note(fingerprint))
-        if fingerprint in self._doubts:
+        if fingerprint in self._checks_pending:
             return max(status, CrashStatus.SUSPECT)
         return status
 
