--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -99,12 +99,12 @@
     for one in request.each():
         peer.merge(known.note(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RETRIAL_S)
-    assert not known.take_retrial(request, ids.later(NOW, quarantine.RETRIAL_S / 2))
-    assert known.take_retrial(request, later)
-    assert not known.take_retrial(request, later)
+    assert not known.take_recheck(request, ids.later(NOW, quarantine.RETRIAL_S / 2))
+    assert known.take_recheck(request, later)
+    assert not known.take_recheck(request, later)
     for one in request.each():
         assert known.note(one).is_retried
-    assert not peer.take_retrial(request, later)
+    assert not peer.take_recheck(request, later)
 
 
 @kernel.PROPERTIES.register("another body, path or caller makes another request")
@@ -205,7 +205,7 @@
         found = quarantine.status_of(known.note(PRINT))
         both = fingerprints.Fingerprints(PRINT, PRINT)
         if found is CrashStatus.QUARANTINED:
-            if known.take_retrial(both, ids.Instant(self.now)):
+            if known.take_recheck(both, ids.Instant(self.now)):
                 for peer in range(len(self.known)):
                     self._tell(number, peer)
                 self._send(number, may_retry=False)
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -167,7 +167,7 @@
             self._retrial_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
         return is_news
 
-    def take_retrial(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
+    def take_recheck(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
         """Tell whether a quarantined request is sent once more, now; only once."""
         due = [one for one in known.each() if self._is_retrial_due(one, now)]
         for fingerprint in due:
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -97,7 +97,7 @@
         self, job: jobs.Job, now: ids.Instant
     ) -> outcomes.Refusal | None:
         prints = job.fingerprints()
-        if self.quarantine.take_retrial(prints, now):
+        if self.quarantine.take_recheck(prints, now):
             self.watch.tell(prints)
             self._begin(job, now, is_retrial=True)
         return self.refusal(job)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -15,7 +15,7 @@
         functions=(
             "decisions/quarantine.status_of",
             "decisions/quarantine.Quarantine.record_crash",
-            "decisions/quarantine.Quarantine.take_retrial",
+            "decisions/quarantine.Quarantine.take_recheck",
             "kernel/fingerprints.of",
             "kernel/crash_notes.CrashNote.merged",
             "forwarding/crash_watch.CrashWatch.lost",
