--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -98,8 +98,10 @@
             known.record_crash(one, known.mark(one), upstream(number), NOW)
     for one in request.each():
         peer.merge(known.note(one), NOW)
-    later = ids.later(NOW, 2 * quarantine.RETRIAL_S)
-    assert not known.take_recheck(request, ids.later(NOW, quarantine.RETRIAL_S / 2))
+    later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
+    assert not known.take_recheck(
+        request, ids.later(NOW, quarantine.RECHECK_AFTER_S / 2)
+    )
     assert known.take_recheck(request, later)
     assert not known.take_recheck(request, later)
     for one in request.each():
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -36,7 +36,7 @@
 #: them by chance. By then the first is sent no more, and the other is answered, which
 #: releases it everywhere; else it costs one upstream more. Up to twice as late, so that
 #: of gateways which found it out together one tells the others first.
-RETRIAL_S = 10.0
+RECHECK_AFTER_S = 10.0
 #: Seconds for which a suspect that nobody sends is kept: one that comes seldom is told
 #: from others by few tries, but an hour apart they tell little.
 SUSPECT_S = 3_600.0
@@ -219,7 +219,7 @@
 
     def _retrial_s(self, fingerprint: ids.Fingerprint) -> float:
         spread = zlib.crc32(f"{self.salt}/{fingerprint}".encode()) / 2**32
-        return RETRIAL_S * (1.0 + spread)
+        return RECHECK_AFTER_S * (1.0 + spread)
 
     def _is_retrial_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         return self._retrial_at.get(fingerprint, ids.NEVER) <= now
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -35,7 +35,7 @@
             "decisions/quarantine.LEAST_ENDED",
             "decisions/quarantine.LEAST_DEPTH",
             "decisions/quarantine.QUARANTINE_S",
-            "decisions/quarantine.RETRIAL_S",
+            "decisions/quarantine.RECHECK_AFTER_S",
             "decisions/quarantine.SUSPECT_S",
             "decisions/quarantine.ANSWERED_S",
             "decisions/quarantine.MOST_KEPT",
