--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -102,7 +102,7 @@
         self.salt = salt
         self.kept_by_fingerprint: dict[ids.Fingerprint, Kept] = {}
         self.changes: list[Change] = []
-        self._retrial_at: dict[ids.Fingerprint, ids.Instant] = {}
+        self._recheck_at: dict[ids.Fingerprint, ids.Instant] = {}
         self._checks_pending: collections.Counter[ids.Fingerprint] = (
             collections.Counter()
         )
@@ -164,7 +164,7 @@
         is_news = self.merge(record_crash, now)
         after = status_of(self.note(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
-            self._retrial_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
+            self._recheck_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
         return is_news
 
     def take_recheck(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
@@ -222,7 +222,7 @@
         return RECHECK_AFTER_S * (1.0 + spread)
 
     def _is_retrial_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
-        return self._retrial_at.get(fingerprint, ids.NEVER) <= now
+        return self._recheck_at.get(fingerprint, ids.NEVER) <= now
 
     def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
         status = status_of(self.note(fingerprint))
@@ -240,9 +240,9 @@
             until = self.kept_by_fingerprint[note.fingerprint].until
         elif CrashStatus.QUARANTINED in (before, after):
             self.changes.append(Change(note, after))
-            self._retrial_at.pop(note.fingerprint, None)
+            self._recheck_at.pop(note.fingerprint, None)
         if note.is_retried:
-            self._retrial_at.pop(note.fingerprint, None)
+            self._recheck_at.pop(note.fingerprint, None)
         # Taken out first, so that the order is that of the last changes.
         self._forget(note.fingerprint)
         self.kept_by_fingerprint[note.fingerprint] = Kept(note, until)
--- a/tools/quarantine_mutants.py
+++ b/tools/quarantine_mutants.py
@@ -18,7 +18,7 @@
         "a request that ends upstreams is tried by every gateway again",
         "decisions/quarantine",
         "self.merge(msgspec.structs.replace(note, is_retried=True), now)",
-        "self._retrial_at[fingerprint] = ids.later(now, RECHECK_AFTER_S)",
+        "self._recheck_at[fingerprint] = ids.later(now, RECHECK_AFTER_S)",
         held_by="a fleet sends what ends upstreams at most three times more",
     ),
     mutant_table.Mutant(
