--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -164,7 +164,9 @@
         is_news = self.merge(record_crash, now)
         after = status_of(self.note(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
-            self._recheck_at[fingerprint] = ids.later(now, self._retrial_s(fingerprint))
+            self._recheck_at[fingerprint] = ids.later(
+                now, self._recheck_after_s(fingerprint)
+            )
         return is_news
 
     def take_recheck(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
@@ -217,7 +219,7 @@
             if kept.status is CrashStatus.QUARANTINED:
                 yield kept.note
 
-    def _retrial_s(self, fingerprint: ids.Fingerprint) -> float:
+    def _recheck_after_s(self, fingerprint: ids.Fingerprint) -> float:
         spread = zlib.crc32(f"{self.salt}/{fingerprint}".encode()) / 2**32
         return RECHECK_AFTER_S * (1.0 + spread)
 
