--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -171,7 +171,7 @@
 
     def take_recheck(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
         """Tell whether a quarantined request is sent once more, now; only once."""
-        due = [one for one in known.each() if self._is_retrial_due(one, now)]
+        due = [one for one in known.each() if self._is_recheck_due(one, now)]
         for fingerprint in due:
             note = self.note(fingerprint)
             self.merge(msgspec.structs.replace(note, is_retried=True), now)
@@ -223,7 +223,7 @@
         spread = zlib.crc32(f"{self.salt}/{fingerprint}".encode()) / 2**32
         return RECHECK_AFTER_S * (1.0 + spread)
 
-    def _is_retrial_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
+    def _is_recheck_due(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         return self._recheck_at.get(fingerprint, ids.NEVER) <= now
 
     def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
