--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -24,7 +24,7 @@
 #: Upstreams that have ended under a request that is no longer sent: the fewest that are
 #: not told from chance. Where 3 in 100 tries lose their upstream, as beside such a
 #: request, three in a row hit a harmless request with a probability of 3 in 10^5.
-LEAST_ENDED = 3
+MIN_CRASHED_UPSTREAMS = 3
 #: Ends of these that must have followed from one another: upstreams that end together,
 #: with their host or zone, end under many tries of a popular request at one moment.
 LEAST_DEPTH = 2
@@ -280,6 +280,6 @@
     """Return what is held of a request of which this is known."""
     if not note.depth:
         return CrashStatus.CLEAR
-    if note.depth >= LEAST_DEPTH and len(note.ended) >= LEAST_ENDED:
+    if note.depth >= LEAST_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
         return CrashStatus.QUARANTINED
     return CrashStatus.SUSPECT
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -32,7 +32,7 @@
         " gateway, and is never answered. Others are lost beside it, and upstreams end"
         " by themselves.",
         constants=(
-            "decisions/quarantine.LEAST_ENDED",
+            "decisions/quarantine.MIN_CRASHED_UPSTREAMS",
             "decisions/quarantine.LEAST_DEPTH",
             "decisions/quarantine.QUARANTINE_S",
             "decisions/quarantine.RECHECK_AFTER_S",
--- a/tools/soak_processes/mutants.py
+++ b/tools/soak_processes/mutants.py
@@ -150,8 +150,8 @@
     mutant_table.Mutant(
         "a request that ends upstreams is sent on",
         "decisions/quarantine",
-        "LEAST_ENDED = 3\n",
-        "LEAST_ENDED = 3_000\n",
+        "MIN_CRASHED_UPSTREAMS = 3\n",
+        "MIN_CRASHED_UPSTREAMS = 3_000\n",
         held_by="few sends of a request that ends upstreams",
         steps=("0.5 4 poison-request 11",),
     ),
