--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -27,7 +27,7 @@
 MIN_CRASHED_UPSTREAMS = 3
 #: Ends of these that must have followed from one another: upstreams that end together,
 #: with their host or zone, end under many tries of a popular request at one moment.
-LEAST_DEPTH = 2
+MIN_CRASH_DEPTH = 2
 #: Seconds for which such a request is not sent: a day, in which operators see the event
 #: and can mend what it ends.
 QUARANTINE_S = 86_400.0
@@ -280,6 +280,6 @@
     """Return what is held of a request of which this is known."""
     if not note.depth:
         return CrashStatus.CLEAR
-    if note.depth >= LEAST_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
+    if note.depth >= MIN_CRASH_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
         return CrashStatus.QUARANTINED
     return CrashStatus.SUSPECT
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -33,7 +33,7 @@
         " by themselves.",
         constants=(
             "decisions/quarantine.MIN_CRASHED_UPSTREAMS",
-            "decisions/quarantine.LEAST_DEPTH",
+            "decisions/quarantine.MIN_CRASH_DEPTH",
             "decisions/quarantine.QUARANTINE_S",
             "decisions/quarantine.RECHECK_AFTER_S",
             "decisions/quarantine.SUSPECT_S",
--- a/tools/quarantine_mutants.py
+++ b/tools/quarantine_mutants.py
@@ -10,7 +10,7 @@
     mutant_table.Mutant(
         "upstreams that end together quarantine a request",
         "decisions/quarantine",
-        "note.depth >= LEAST_DEPTH",
+        "note.depth >= MIN_CRASH_DEPTH",
         "note.depth >= 1",
         held_by="upstreams that end together quarantine no request",
     ),
