--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -123,10 +123,10 @@
 def bounded() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    for number in range(3 * quarantine.MOST_KEPT):
+    for number in range(3 * quarantine.MAX_NOTES):
         one = ids.Fingerprint(f"{number:08x}bb")
         known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
-    assert len(known.kept_by_fingerprint) == quarantine.MOST_KEPT
+    assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
     assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -45,7 +45,7 @@
 ANSWERED_S = 30.0
 #: Requests that are kept: each end of an upstream adds as many as it runs, here some
 #: hundred upstreams with six slots. Those that changed longest ago go first.
-MOST_KEPT = 1_024
+MAX_NOTES = 1_024
 
 
 class CrashStatus(enum.IntEnum):
@@ -249,7 +249,7 @@
         self._forget(note.fingerprint)
         self.kept_by_fingerprint[note.fingerprint] = Kept(note, until)
         self._count_target(note.fingerprint, 1)
-        if len(self.kept_by_fingerprint) > MOST_KEPT:
+        if len(self.kept_by_fingerprint) > MAX_NOTES:
             self._forget(self._least_needed())
 
     def _least_needed(self) -> ids.Fingerprint:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -38,7 +38,7 @@
             "decisions/quarantine.RECHECK_AFTER_S",
             "decisions/quarantine.SUSPECT_S",
             "decisions/quarantine.ANSWERED_S",
-            "decisions/quarantine.MOST_KEPT",
+            "decisions/quarantine.MAX_NOTES",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_watch.ANSWER_LIMIT_S",
             "forwarding/race.ASK_AGAIN_S",
