--- a/features/steps/gateway_failing.py
+++ b/features/steps/gateway_failing.py
@@ -18,7 +18,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest, verdicts
+from spindlenotch.decisions import balancer, least_latency, verdicts
 from spindlenotch.kernel import (
     extra_budgets,
     ownership,
@@ -56,7 +56,7 @@
         zones=ZONES,
         slots=SLOTS,
         typical_s=WORK_S,
-        selection=soonest.NAME,
+        selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(share=0.18, reserve=18, window_s=10.0),
         queue_limit=2000,
         eject_share=0.5,
--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -16,7 +16,13 @@
 from features.steps import kernel
 from features.support import regional_fleet
 from spindlenotch import ids, selection
-from spindlenotch.decisions import balancer, overflow, soonest, traffic_split, verdicts
+from spindlenotch.decisions import (
+    balancer,
+    least_latency,
+    overflow,
+    traffic_split,
+    verdicts,
+)
 from spindlenotch.kernel import (
     extra_budgets,
     outcomes,
@@ -124,7 +130,7 @@
             zones=tuple(ids.ZoneName(z) for z in ZONES),
             slots=SLOTS,
             typical_s=WORK_S,
-            selection=soonest.NAME,
+            selection=least_latency.NAME,
             extra=extra_budgets.SharedWindow(share=0.2, reserve=30, window_s=10.0),
             queue_limit=2000,
             eject_share=0.5,
--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -6,7 +6,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest, verdicts
+from spindlenotch.decisions import balancer, least_latency, verdicts
 from spindlenotch.kernel import crowding, extra_budgets, outcomes, upstreams
 
 NOW = kernel.NOW
@@ -16,7 +16,7 @@
 def paced(slots: list[int]) -> balancer.Balancer:
     """Return a balancer by the policy of the gateway."""
     extra = extra_budgets.SharedWindow(share=0.0, reserve=1000, window_s=10.0)
-    made = kernel.loaded(1, 0, soonest.NAME, extra)
+    made = kernel.loaded(1, 0, least_latency.NAME, extra)
     specs = [
         upstreams.UpstreamSpec(ids.UpstreamId(f"u{n}"), ZONE, ids.Address(""), 1, count)
         for n, count in enumerate(slots)
--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -10,7 +10,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest, verdicts
+from spindlenotch.decisions import balancer, least_latency, verdicts
 from spindlenotch.kernel import (
     budgets,
     extra_budgets,
@@ -42,7 +42,7 @@
         zones=(ZONE,),
         slots=4,
         typical_s=WORK_S,
-        selection=soonest.NAME,
+        selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(share=0.2, reserve=4, window_s=10.0),
         queue_limit=100,
         eject_share=0.5,
--- a/features/support/rate_pools.py
+++ b/features/support/rate_pools.py
@@ -6,7 +6,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest
+from spindlenotch.decisions import balancer, least_latency
 from spindlenotch.kernel import (
     extra_budgets,
     ownership,
@@ -31,7 +31,7 @@
         zones=(ZONE,),
         slots=4,
         typical_s=0.11,
-        selection=soonest.NAME,
+        selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(share=0.0, reserve=0, window_s=10.0),
         queue_limit=100,
         eject_share=0.5,
--- a/features/support/rollout_service.py
+++ b/features/support/rollout_service.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.decisions import soonest
+from spindlenotch.decisions import least_latency
 from spindlenotch.gateway.source import routing, sources
 from spindlenotch.kernel import extra_budgets, service_policy, upstreams
 from spindlenotch.peers import messages
@@ -62,7 +62,7 @@
         zones=(ZONE,),
         slots=SLOTS,
         typical_s=0.1,
-        selection=soonest.NAME,
+        selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(share=0.18, reserve=8, window_s=10.0),
         queue_limit=100,
         eject_share=0.5,
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -3,8 +3,8 @@
 
 Answers one load pattern: a burst fills the upstreams of one region while others have
 room. Of far upstreams only the mean load of their region is known, seconds old, and
-each byte there costs many times as much. Pure rules; ``soonest`` applies them where
-the own region has no room.
+each byte there costs many times as much. Pure rules; ``least_latency`` applies them
+where the own region has no room.
 """
 
 from spindlenotch import ids, selection
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from spindlenotch import ids, selection
-from spindlenotch.decisions import soonest, verdicts
+from spindlenotch.decisions import least_latency, verdicts
 from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, waiting
 
 #: Fewest upstreams of the target that get calls: one that fails by itself must not be
@@ -231,4 +231,4 @@
     if not upstream.may_take(now):
         return False
     load = pool.estimated_load(upstream, now)
-    return soonest.has_room(upstream, load, pool.crowding)
+    return least_latency.has_room(upstream, load, pool.crowding)
--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -7,7 +7,7 @@
 """
 
 from spindlenotch import ids
-from spindlenotch.decisions import soonest
+from spindlenotch.decisions import least_latency
 from spindlenotch.gateway import settings
 from spindlenotch.gateway.cluster import fleet_size
 from spindlenotch.gateway.source import routing
@@ -72,7 +72,7 @@
         zones=zones,
         slots=DEFAULT_SLOTS,
         typical_s=TYPICAL_UNKNOWN_S,
-        selection=soonest.NAME,
+        selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(
             share=EXTRA_MARGIN * config.extra_share,
             reserve=extra_reserve(config, size),
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -190,7 +190,7 @@
             "gateway/cluster/fleet_size.MEMORY_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
             "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
-            "decisions/soonest.COLD_FACTOR",
+            "decisions/least_latency.COLD_FACTOR",
         ),
         tests=(
             Scenario(
