--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -132,7 +132,7 @@
     assert list(known.kept_by_fingerprint) == [PRINT]
     known.expire(ids.later(NOW, quarantine.QUARANTINE_S))
     assert status(known) is CrashStatus.CLEAR
-    known.expire(ids.later(NOW, quarantine.QUARANTINE_S + quarantine.ANSWERED_S))
+    known.expire(ids.later(NOW, quarantine.QUARANTINE_S + quarantine.KEEP_ANSWERED_S))
     assert not known.kept_by_fingerprint and not known.knows_target("/a")
 
 
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -42,7 +42,7 @@
 SUSPECT_S = 3_600.0
 #: Seconds for which it is kept that a request was answered, so that notes of the round
 #: before, which may be under way for as long as gossip takes, do not count.
-ANSWERED_S = 30.0
+KEEP_ANSWERED_S = 30.0
 #: Requests that are kept: each end of an upstream adds as many as it runs, here some
 #: hundred upstreams with six slots. Those that changed longest ago go first.
 MAX_NOTES = 1_024
@@ -270,7 +270,7 @@
 
 #: For how many seconds a note is kept since it changed.
 KEEP_S_BY_STATUS = {
-    CrashStatus.CLEAR: ANSWERED_S,
+    CrashStatus.CLEAR: KEEP_ANSWERED_S,
     CrashStatus.SUSPECT: SUSPECT_S,
     CrashStatus.QUARANTINED: QUARANTINE_S,
 }
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -37,7 +37,7 @@
             "decisions/quarantine.QUARANTINE_S",
             "decisions/quarantine.RECHECK_AFTER_S",
             "decisions/quarantine.SUSPECT_S",
-            "decisions/quarantine.ANSWERED_S",
+            "decisions/quarantine.KEEP_ANSWERED_S",
             "decisions/quarantine.MAX_NOTES",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_watch.ANSWER_LIMIT_S",
