--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -128,7 +128,7 @@
         known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
     assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
     assert status(known) is CrashStatus.QUARANTINED
-    known.expire(ids.later(NOW, quarantine.SUSPECT_S))
+    known.expire(ids.later(NOW, quarantine.KEEP_SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
     known.expire(ids.later(NOW, quarantine.QUARANTINE_S))
     assert status(known) is CrashStatus.CLEAR
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -39,7 +39,7 @@
 RECHECK_AFTER_S = 10.0
 #: Seconds for which a suspect that nobody sends is kept: one that comes seldom is told
 #: from others by few tries, but an hour apart they tell little.
-SUSPECT_S = 3_600.0
+KEEP_SUSPECT_S = 3_600.0
 #: Seconds for which it is kept that a request was answered, so that notes of the round
 #: before, which may be under way for as long as gossip takes, do not count.
 KEEP_ANSWERED_S = 30.0
@@ -271,7 +271,7 @@
 #: For how many seconds a note is kept since it changed.
 KEEP_S_BY_STATUS = {
     CrashStatus.CLEAR: KEEP_ANSWERED_S,
-    CrashStatus.SUSPECT: SUSPECT_S,
+    CrashStatus.SUSPECT: KEEP_SUSPECT_S,
     CrashStatus.QUARANTINED: QUARANTINE_S,
 }
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -36,7 +36,7 @@
             "decisions/quarantine.MIN_CRASH_DEPTH",
             "decisions/quarantine.QUARANTINE_S",
             "decisions/quarantine.RECHECK_AFTER_S",
-            "decisions/quarantine.SUSPECT_S",
+            "decisions/quarantine.KEEP_SUSPECT_S",
             "decisions/quarantine.KEEP_ANSWERED_S",
             "decisions/quarantine.MAX_NOTES",
             "forwarding/recent_answers.GENERATION_S",
