--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -75,7 +75,7 @@
     status: CrashStatus
 
 
-class Kept(msgspec.Struct):
+class KeptNote(msgspec.Struct):
     """A note, and until when it is kept."""
 
     note: crash_notes.CrashNote
@@ -100,7 +100,7 @@
 
     def __init__(self, salt: str = "") -> None:
         self.salt = salt
-        self.kept_by_fingerprint: dict[ids.Fingerprint, Kept] = {}
+        self.kept_by_fingerprint: dict[ids.Fingerprint, KeptNote] = {}
         self.changes: list[Change] = []
         self._recheck_at: dict[ids.Fingerprint, ids.Instant] = {}
         self._checks_pending: collections.Counter[ids.Fingerprint] = (
@@ -247,7 +247,7 @@
             self._recheck_at.pop(note.fingerprint, None)
         # Taken out first, so that the order is that of the last changes.
         self._forget(note.fingerprint)
-        self.kept_by_fingerprint[note.fingerprint] = Kept(note, until)
+        self.kept_by_fingerprint[note.fingerprint] = KeptNote(note, until)
         self._count_target(note.fingerprint, 1)
         if len(self.kept_by_fingerprint) > MAX_NOTES:
             self._forget(self._least_needed())
