--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -171,9 +171,9 @@
             arrived_at=now,
             most_tries=3,
             wait_until=wait_until,
-            far_s=overflow.way_s(self.size),
+            far_s=overflow.cross_region_cost_s(self.size),
             far_from=overflow.leave_region_at(
-                now, wait_until, overflow.way_s(self.size)
+                now, wait_until, overflow.cross_region_cost_s(self.size)
             ),
             allowed_regions=self.allowed,
         )
@@ -293,7 +293,7 @@
     now = NOW
     wait_until = ids.later(now, WAIT_S)
     at = [
-        overflow.leave_region_at(now, wait_until, overflow.way_s(size))
+        overflow.leave_region_at(now, wait_until, overflow.cross_region_cost_s(size))
         for size in (0.0, SMALL, LARGE)
     ]
     assert now < at[0] < at[1] < at[2] < wait_until
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -101,13 +101,13 @@
     return selection.sample(allowed, COMPARED, pool.rng, now, exclude)
 
 
-def way_s(size: float) -> float:
+def cross_region_cost_s(size: float) -> float:
     """Return what the way costs a call whose request and answer have these bytes."""
     return WAY_S + WAY_S_PER_BYTE * size
 
 
 def leave_region_at(
-    arrived_at: ids.Instant, wait_until: ids.Instant, way_s: float
+    arrived_at: ids.Instant, wait_until: ids.Instant, cross_region_cost_s: float
 ) -> ids.Instant:
     """
     Return from when a call may go far: once it has waited as long as the way costs.
@@ -116,7 +116,8 @@
     refusal.
     """
     return ids.later(
-        arrived_at, min(way_s, MOST_WAIT_SHARE * (wait_until - arrived_at))
+        arrived_at,
+        min(cross_region_cost_s, MOST_WAIT_SHARE * (wait_until - arrived_at)),
     )
 
 
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -106,7 +106,7 @@
             typical_s=typical_s,
         )
         size = body.known_bytes + self.traffic.expected_bytes(route)
-        far_s = overflow.way_s(size)
+        far_s = overflow.cross_region_cost_s(size)
         return waiting.Call(
             id=ids.CallId(f"{next(self._numbers):x}"),
             priority=route.rank,
