--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -24,7 +24,7 @@
 UNKNOWN_FACTOR = 1.3
 #: What the way to another region and back costs a call, in seconds: the round trip
 #: between places some hundred kilometres apart, and that of a new connection.
-WAY_S = 0.03
+CROSS_REGION_S = 0.03
 #: What each byte of a request and its answer costs beside that, in seconds: eight
 #: times a byte between zones (``job_factory.CROSS_ZONE_S_PER_BYTE``), as the lines
 #: between regions are few, and all hosts share them.
@@ -103,7 +103,7 @@
 
 def cross_region_cost_s(size: float) -> float:
     """Return what the way costs a call whose request and answer have these bytes."""
-    return WAY_S + WAY_S_PER_BYTE * size
+    return CROSS_REGION_S + WAY_S_PER_BYTE * size
 
 
 def leave_region_at(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -30,7 +30,7 @@
         constants=(
             "decisions/overflow.COMPARED",
             "decisions/overflow.MOST_USED",
-            "decisions/overflow.WAY_S",
+            "decisions/overflow.CROSS_REGION_S",
             "decisions/overflow.WAY_S_PER_BYTE",
             "decisions/overflow.MOST_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
