--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -28,7 +28,7 @@
 #: What each byte of a request and its answer costs beside that, in seconds: eight
 #: times a byte between zones (``job_factory.CROSS_ZONE_S_PER_BYTE``), as the lines
 #: between regions are few, and all hosts share them.
-WAY_S_PER_BYTE = 2e-5
+CROSS_REGION_S_PER_BYTE = 2e-5
 #: Share of the time that a call may wait after which it leaves whatever it costs.
 MOST_WAIT_SHARE = 0.5
 
@@ -103,7 +103,7 @@
 
 def cross_region_cost_s(size: float) -> float:
     """Return what the way costs a call whose request and answer have these bytes."""
-    return CROSS_REGION_S + WAY_S_PER_BYTE * size
+    return CROSS_REGION_S + CROSS_REGION_S_PER_BYTE * size
 
 
 def leave_region_at(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -31,7 +31,7 @@
             "decisions/overflow.COMPARED",
             "decisions/overflow.MOST_USED",
             "decisions/overflow.CROSS_REGION_S",
-            "decisions/overflow.WAY_S_PER_BYTE",
+            "decisions/overflow.CROSS_REGION_S_PER_BYTE",
             "decisions/overflow.MOST_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
             "gateway/serving/body_traffic.LARGE_ANSWER_BYTES",
