--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -53,7 +53,9 @@
     return not _any_near(pool, now)
 
 
-def pays(pool: upstream_pool.Pool, call: waiting.Call, near_s: float) -> bool:
+def is_remote_faster(
+    pool: upstream_pool.Pool, call: waiting.Call, near_s: float
+) -> bool:
     """
     Tell whether the way may bring an answer sooner than the best near upstream.
 
@@ -86,7 +88,7 @@
     if near_s is None:
         leaves = may_leave_region(pool, call, now, exclude)
     else:
-        leaves = pays(pool, call, near_s)
+        leaves = is_remote_faster(pool, call, near_s)
     if not leaves:
         return []
     used_by_region = pool.far_used_by_region
