--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -12,7 +12,7 @@
 
 #: Upstreams of other regions that are compared for a call that may go there: such
 #: calls are few, and what is known of far upstreams is old.
-COMPARED = 8
+MAX_COMPARED = 8
 #: Share of its slots in use above which a region gets no more calls of others: what
 #: is left is for the bursts of its own, and what is known of it is seconds old.
 MOST_USED = 0.75
@@ -100,7 +100,7 @@
         for u in pool.far_order
         if pool.region_of(u) in open_regions and pool.allows(call, u)
     ]
-    return selection.sample(allowed, COMPARED, pool.rng, now, exclude)
+    return selection.sample(allowed, MAX_COMPARED, pool.rng, now, exclude)
 
 
 def cross_region_cost_s(size: float) -> float:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -28,7 +28,7 @@
         " better than a refusal. A region above the limit keeps its last slots for its"
         " own calls. No try leaves the regions of the route.",
         constants=(
-            "decisions/overflow.COMPARED",
+            "decisions/overflow.MAX_COMPARED",
             "decisions/overflow.MOST_USED",
             "decisions/overflow.CROSS_REGION_S",
             "decisions/overflow.CROSS_REGION_S_PER_BYTE",
