--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -15,7 +15,7 @@
 MAX_COMPARED = 8
 #: Share of its slots in use above which a region gets no more calls of others: what
 #: is left is for the bursts of its own, and what is known of it is seconds old.
-MOST_USED = 0.75
+MAX_USED_SHARE = 0.75
 #: How much less full than the own region another must be to take calls that have room
 #: here, as a share: regions that are alike would only swap calls.
 LESS_USED = 0.25
@@ -94,7 +94,7 @@
     used_by_region = pool.far_used_by_region
     if not _any_near(pool, now):
         used_by_region = dict.fromkeys(pool.far_regions(), 0.0) | used_by_region
-    open_regions = {r for r, used in used_by_region.items() if used <= MOST_USED}
+    open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
     allowed = [
         u
         for u in pool.far_order
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -29,7 +29,7 @@
         " own calls. No try leaves the regions of the route.",
         constants=(
             "decisions/overflow.MAX_COMPARED",
-            "decisions/overflow.MOST_USED",
+            "decisions/overflow.MAX_USED_SHARE",
             "decisions/overflow.CROSS_REGION_S",
             "decisions/overflow.CROSS_REGION_S_PER_BYTE",
             "decisions/overflow.MOST_WAIT_SHARE",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -332,8 +332,8 @@
     Mutant(
         "full regions get the calls of others",
         "decisions/overflow",
-        "if used <= MOST_USED",
-        "if used <= MOST_USED + 9",
+        "if used <= MAX_USED_SHARE",
+        "if used <= MAX_USED_SHARE + 9",
         "regions that are all overrun keep to themselves",
     ),
     Mutant(
