--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -18,7 +18,7 @@
 MAX_USED_SHARE = 0.75
 #: How much less full than the own region another must be to take calls that have room
 #: here, as a share: regions that are alike would only swap calls.
-LESS_USED = 0.25
+MIN_USED_DIFFERENCE = 0.25
 #: How many times as long as expected work is taken to last at a far upstream: at near
 #: ones the slowed are known and passed over, at far ones they are not.
 UNKNOWN_FACTOR = 1.3
@@ -64,7 +64,7 @@
     """
     if not pool.far_order or not pool.far_used_by_region:
         return False
-    if min(pool.far_used_by_region.values()) > pool.near_used - LESS_USED:
+    if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
     return near_s > UNKNOWN_FACTOR * typical_s + call.far_s
