--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -30,7 +30,7 @@
 #: between regions are few, and all hosts share them.
 CROSS_REGION_S_PER_BYTE = 2e-5
 #: Share of the time that a call may wait after which it leaves whatever it costs.
-MOST_WAIT_SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 
 
 def may_leave_region(
@@ -119,7 +119,7 @@
     """
     return ids.later(
         arrived_at,
-        min(cross_region_cost_s, MOST_WAIT_SHARE * (wait_until - arrived_at)),
+        min(cross_region_cost_s, MAX_WAIT_SHARE * (wait_until - arrived_at)),
     )
 
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -32,7 +32,7 @@
             "decisions/overflow.MAX_USED_SHARE",
             "decisions/overflow.CROSS_REGION_S",
             "decisions/overflow.CROSS_REGION_S_PER_BYTE",
-            "decisions/overflow.MOST_WAIT_SHARE",
+            "decisions/overflow.MAX_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
             "gateway/serving/body_traffic.LARGE_ANSWER_BYTES",
         ),
