--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -21,7 +21,7 @@
 MIN_USED_DIFFERENCE = 0.25
 #: How many times as long as expected work is taken to last at a far upstream: at near
 #: ones the slowed are known and passed over, at far ones they are not.
-UNKNOWN_FACTOR = 1.3
+REMOTE_LATENCY_FACTOR = 1.3
 #: What the way to another region and back costs a call, in seconds: the round trip
 #: between places some hundred kilometres apart, and that of a new connection.
 CROSS_REGION_S = 0.03
@@ -67,7 +67,7 @@
     if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
-    return near_s > UNKNOWN_FACTOR * typical_s + call.far_s
+    return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.far_s
 
 
 def candidates(
