--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -160,7 +160,7 @@
                 break
             self.queue.take(call)
             settled.append(verdicts.Settlement(call, grant))
-        settled.extend(self._send_far(now))
+        settled.extend(self._place_remote(now))
         if len(self.queue) and (
             self.pool.far_order or self._usable_at(None, now) > now
         ):
@@ -268,7 +268,7 @@
             return self._grant_far(call, now) or verdict
         return verdict
 
-    def _send_far(self, now: ids.Instant) -> list[verdicts.Settlement]:
+    def _place_remote(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """
         Place the waiting calls that may leave their region by now.
 
