--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -176,7 +176,7 @@
         room in another region goes there instead.
         """
         return [
-            self._far_instead(settlement, now)
+            self._remote_instead(settlement, now)
             for settlement in self.admission.refuse_hopeless(now)
         ]
 
@@ -287,7 +287,7 @@
             sent.append(verdicts.Settlement(call, grant))
         return sent
 
-    def _far_instead(
+    def _remote_instead(
         self, settlement: verdicts.Settlement, now: ids.Instant
     ) -> verdicts.Settlement:
         grant = self._grant_far(settlement.call, now)
