--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -265,7 +265,7 @@
                 return grant
         verdict = self.admission.admit(call, ahead, now)
         if isinstance(verdict, outcomes.Refusal):
-            return self._grant_far(call, now) or verdict
+            return self._grant_remote(call, now) or verdict
         return verdict
 
     def _place_remote(self, now: ids.Instant) -> list[verdicts.Settlement]:
@@ -290,12 +290,14 @@
     def _remote_instead(
         self, settlement: verdicts.Settlement, now: ids.Instant
     ) -> verdicts.Settlement:
-        grant = self._grant_far(settlement.call, now)
+        grant = self._grant_remote(settlement.call, now)
         if grant is None:
             return settlement
         return verdicts.Settlement(settlement.call, grant)
 
-    def _grant_far(self, call: waiting.Call, now: ids.Instant) -> verdicts.Grant | None:
+    def _grant_remote(
+        self, call: waiting.Call, now: ids.Instant
+    ) -> verdicts.Grant | None:
         """Place a call that its region would refuse: now it may leave it."""
         if not self.pool.far_order:
             return None
