--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -24,7 +24,7 @@
 
 #: Fewest upstreams of the target that get calls: one that fails by itself must not be
 #: taken for its version.
-LEAST_TRIED = 2
+MIN_CANARIES = 2
 #: Part of the target's share that is divided evenly among the routes, whatever their
 #: requests: a route with few of them would else be hardly tried.
 EVEN_PART = 0.5
@@ -193,7 +193,7 @@
 
     def _tried(self) -> list[upstreams.Upstream]:
         """Return the upstreams of the target that get calls."""
-        count = max(LEAST_TRIED, math.ceil(self.share * self._others))
+        count = max(MIN_CANARIES, math.ceil(self.share * self._others))
         usable = [u for u in self._target_order if u.state is not EJECTED]
         if self.passed_over:
             usable.sort(key=lambda u: u.spec.id in self.passed_over)
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -27,7 +27,7 @@
         " go there: what fails is repeated elsewhere.",
         constants=(
             "gateway/rollout/runs.SHARE_MARGIN",
-            "decisions/traffic_split.LEAST_TRIED",
+            "decisions/traffic_split.MIN_CANARIES",
             "decisions/traffic_split.EVEN_PART",
             "decisions/traffic_split.ROUTE_AHEAD",
         ),
