--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -27,7 +27,7 @@
 MIN_CANARIES = 2
 #: Part of the target's share that is divided evenly among the routes, whatever their
 #: requests: a route with few of them would else be hardly tried.
-EVEN_PART = 0.5
+EVEN_SHARE = 0.5
 #: A route may be this far ahead of its part, in calls: half a call on either side
 #: is the nearest to its part that whole calls come.
 ROUTE_AHEAD = 0.5
@@ -188,7 +188,7 @@
             return False
         even = self.answered / max(1, len(self._answered_by_route))
         own = self._answered_by_route.get(route, 0)
-        route_allowed = self.share * (EVEN_PART * even + (1.0 - EVEN_PART) * own)
+        route_allowed = self.share * (EVEN_SHARE * even + (1.0 - EVEN_SHARE) * own)
         return self._sent_by_route.get(route, 0) + 1 <= route_allowed + ROUTE_AHEAD
 
     def _tried(self) -> list[upstreams.Upstream]:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -28,7 +28,7 @@
         constants=(
             "gateway/rollout/runs.SHARE_MARGIN",
             "decisions/traffic_split.MIN_CANARIES",
-            "decisions/traffic_split.EVEN_PART",
+            "decisions/traffic_split.EVEN_SHARE",
             "decisions/traffic_split.ROUTE_AHEAD",
         ),
         events=("ROLLOUT_BEGUN", "ROLLOUT_WITHDRAWN"),
