--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -30,7 +30,7 @@
 EVEN_SHARE = 0.5
 #: A route may be this far ahead of its part, in calls: half a call on either side
 #: is the nearest to its part that whole calls come.
-ROUTE_AHEAD = 0.5
+ROUTE_SLACK = 0.5
 
 
 class Access(enum.Enum):
@@ -189,7 +189,7 @@
         even = self.answered / max(1, len(self._answered_by_route))
         own = self._answered_by_route.get(route, 0)
         route_allowed = self.share * (EVEN_SHARE * even + (1.0 - EVEN_SHARE) * own)
-        return self._sent_by_route.get(route, 0) + 1 <= route_allowed + ROUTE_AHEAD
+        return self._sent_by_route.get(route, 0) + 1 <= route_allowed + ROUTE_SLACK
 
     def _tried(self) -> list[upstreams.Upstream]:
         """Return the upstreams of the target that get calls."""
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -29,7 +29,7 @@
             "gateway/rollout/runs.SHARE_MARGIN",
             "decisions/traffic_split.MIN_CANARIES",
             "decisions/traffic_split.EVEN_SHARE",
-            "decisions/traffic_split.ROUTE_AHEAD",
+            "decisions/traffic_split.ROUTE_SLACK",
         ),
         events=("ROLLOUT_BEGUN", "ROLLOUT_WITHDRAWN"),
         tests=(
