--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -146,7 +146,9 @@
             return None
         self._look_at(pool)
         able = [
-            u for u in self._tried() if pool.allows(call, u) and _can_take(pool, u, now)
+            u
+            for u in self._canaries()
+            if pool.allows(call, u) and _can_take(pool, u, now)
         ]
         if not able:
             return None
@@ -191,7 +193,7 @@
         route_allowed = self.share * (EVEN_SHARE * even + (1.0 - EVEN_SHARE) * own)
         return self._sent_by_route.get(route, 0) + 1 <= route_allowed + ROUTE_SLACK
 
-    def _tried(self) -> list[upstreams.Upstream]:
+    def _canaries(self) -> list[upstreams.Upstream]:
         """Return the upstreams of the target that get calls."""
         count = max(MIN_CANARIES, math.ceil(self.share * self._others))
         usable = [u for u in self._target_order if u.state is not EJECTED]
