--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -129,7 +129,7 @@
 
     def barred(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
         """Return the upstreams that calls are not placed on but by their share."""
-        self._look_at(pool)
+        self._refresh(pool)
         return self._barred
 
     def excluding(
@@ -144,7 +144,7 @@
         """Return an upstream of the target for a call's first try, if it is due one."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
             return None
-        self._look_at(pool)
+        self._refresh(pool)
         able = [
             u
             for u in self._canaries()
@@ -201,7 +201,7 @@
             usable.sort(key=lambda u: u.spec.id in self.passed_over)
         return usable[:count]
 
-    def _look_at(self, pool: upstream_pool.Pool) -> None:
+    def _refresh(self, pool: upstream_pool.Pool) -> None:
         """Work out anew which upstreams are which, if that may have changed."""
         if pool.revision == self._pool_revision and self.access is self._barred_access:
             return
