--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -211,7 +211,7 @@
         self._barred = frozenset(i for i, v in versions.items() if self._bars(v))
         targets = [u for u in pool.usable_order if u.spec.version == self.target]
         self._others = sum(u.spec.id not in self._barred for u in pool.usable_order)
-        self._target_order = sorted(targets, key=self._place, reverse=True)
+        self._target_order = sorted(targets, key=self._canary_rank, reverse=True)
 
     def _bars(self, version: ids.SoftwareVersion) -> bool:
         is_target = version == self.target
@@ -219,7 +219,7 @@
             return not is_target
         return is_target or version in self.held
 
-    def _place(self, upstream: upstreams.Upstream) -> tuple[int, str]:
+    def _canary_rank(self, upstream: upstreams.Upstream) -> tuple[int, str]:
         """Return the place of an upstream of the target among those that are tried."""
         return rendezvous.score(self.key, ids.HostId(upstream.spec.id))
 
