--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -128,7 +128,7 @@
             self.pool.latency_ratio.add(min(upstreams.MAX_LATENCY_RATIO, latency_ratio))
         self.pool.in_flight -= 1
         self.pool.completions.add(now)
-        if self.split is None or not self.split.is_on_trial(upstream):
+        if self.split is None or not self.split.is_canary(upstream):
             # Seven failures in a row of a tried version would end all retries.
             self.pool.record_share(result)
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -175,7 +175,7 @@
             grant, result, is_target=is_target, expected=expected, now=now
         )
 
-    def is_on_trial(self, upstream: upstreams.Upstream) -> bool:
+    def is_canary(self, upstream: upstreams.Upstream) -> bool:
         """Tell whether an upstream's failures are those of a version that is tried."""
         is_promoted = self.access is Access.TARGET_ONLY
         return upstream.spec.version == self.target and not is_promoted
