--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -97,7 +97,7 @@
     Invariants: ``sent`` calls placed on the target while it is tried are at most
     ``share`` times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing
     is placed on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing ever on
-    versions that are ``held``. ``passed_over`` upstreams of the target are tried only
+    versions that are ``held``. ``deprioritized`` upstreams of the target are tried only
     where too few others are left. ``key`` is part of the choice of upstreams that are
     tried, the same in all processes.
     """
@@ -116,7 +116,7 @@
         self.observer = observer
         self.held = held
         self.access = Access.SHARED
-        self.passed_over: set[ids.UpstreamId] = set()
+        self.deprioritized: set[ids.UpstreamId] = set()
         self.sent = 0
         self.answered = 0
         self._sent_by_route: dict[str, int] = {}
@@ -197,8 +197,8 @@
         """Return the upstreams of the target that get calls."""
         count = max(MIN_CANARIES, math.ceil(self.share * self._others))
         usable = [u for u in self._target_order if u.state is not EJECTED]
-        if self.passed_over:
-            usable.sort(key=lambda u: u.spec.id in self.passed_over)
+        if self.deprioritized:
+            usable.sort(key=lambda u: u.spec.id in self.deprioritized)
         return usable[:count]
 
     def _refresh(self, pool: upstream_pool.Pool) -> None:
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -149,7 +149,7 @@
         delta = self.merged.take(source, record)
         if delta is not None:
             self.analysis.add(delta, now)
-            self.split.passed_over |= self.analysis.bad_upstreams()
+            self.split.deprioritized |= self.analysis.bad_upstreams()
 
     def note(self) -> rollout_notes.PhaseNote:
         """Return what peers are told of the phase."""
