--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -121,7 +121,7 @@
         if result is upstreams.Result.CONNECT_FAILED:
             self._unreached_by_call[grant.call.id] += 1
         if self.split is not None:
-            expected = traffic_split.Expected(typical_s, slowdown)
+            expected = traffic_split.ExpectedLatency(typical_s, slowdown)
             self.split.ended(grant, result, expected, now)
         if answered:
             latency_ratio = took_s / expected_s
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -42,7 +42,7 @@
     TARGET_ONLY = "target-only"
 
 
-class Expected(msgspec.Struct, frozen=True):
+class ExpectedLatency(msgspec.Struct, frozen=True):
     """
     How long a call was expected to take.
 
@@ -63,7 +63,7 @@
         result: upstreams.Result,
         *,
         is_target: bool,
-        expected: Expected,
+        expected: ExpectedLatency,
         now: ids.Instant,
     ) -> None:
         """Take in the end of a call."""
@@ -162,7 +162,7 @@
         self,
         grant: verdicts.Grant,
         result: upstreams.Result,
-        expected: Expected,
+        expected: ExpectedLatency,
         now: ids.Instant,
     ) -> None:
         """Take in the end of a call."""
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -63,7 +63,7 @@
         result: upstreams.Result,
         *,
         is_target: bool,
-        expected: traffic_split.Expected,
+        expected: traffic_split.ExpectedLatency,
         now: ids.Instant,
     ) -> None:
         """Take in the end of a call; see ``traffic_split.Observer``."""
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -96,7 +96,7 @@
         result: upstreams.Result,
         *,
         is_target: bool,
-        expected: traffic_split.Expected,
+        expected: traffic_split.ExpectedLatency,
         now: ids.Instant,
     ) -> None:
         """Count the end of a call; see ``traffic_split.Observer``."""
