--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -19,7 +19,7 @@
 #: latency.
 SLOWDOWN_CHECK_SHARE = 0.5
 #: Shortest interval of the checks, in seconds.
-LEAST_CHECK_S = 0.001
+MIN_CHECK_INTERVAL_S = 0.001
 
 
 def check_interval_s(
@@ -34,7 +34,7 @@
     interval_s = pool.latencies.typical_s(latency_key)
     if upstream.reports_slowdown:
         interval_s *= SLOWDOWN_CHECK_SHARE
-    return max(LEAST_CHECK_S, interval_s)
+    return max(MIN_CHECK_INTERVAL_S, interval_s)
 
 
 def is_overdue(
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -17,7 +17,7 @@
 #: How often the queues are checked at least while calls wait, in seconds.
 QUEUE_CHECK_S = 0.02
 #: Least seconds between two checks of the queues.
-LEAST_CHECK_S = 0.001
+MIN_CHECK_INTERVAL_S = 0.001
 
 Verdict = verdicts.Grant | outcomes.Refusal
 
@@ -31,7 +31,7 @@
     """
     turns = [decider.next_turn(now) for decider in deciders]
     due_in_s = [turn - now for turn in turns if turn > now]
-    return max(LEAST_CHECK_S, min([QUEUE_CHECK_S, *due_in_s]))
+    return max(MIN_CHECK_INTERVAL_S, min([QUEUE_CHECK_S, *due_in_s]))
 
 
 class GrantState(typing.Protocol):
