--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -14,7 +14,7 @@
 
 #: Tries that reached nobody and leave a call its others: each takes a moment, and where
 #: many upstreams have ended the news of that is sooner there.
-MOST_UNREACHED = 3
+MAX_UNREACHED = 3
 
 
 class Tries(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
     @property
     def counted(self) -> int:
         """Return how many count: those that may have reached an upstream."""
-        return self.sent - min(self.unreached, MOST_UNREACHED)
+        return self.sent - min(self.unreached, MAX_UNREACHED)
 
 
 def is_allowed(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -269,7 +269,7 @@
         " upstream turned away takes nothing from an entry's budget.",
         constants=(
             "decisions/overload.FAILED_SHARE",
-            "decisions/retrying.MOST_UNREACHED",
+            "decisions/retrying.MAX_UNREACHED",
         ),
         events=("REQUEST_SENT_AGAIN",),
         tests=(
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -59,7 +59,7 @@
     mutant_table.Mutant(
         "a try that reached nobody uses up one of a call's tries",
         "decisions/retrying",
-        "self.sent - min(self.unreached, MOST_UNREACHED)",
+        "self.sent - min(self.unreached, MAX_UNREACHED)",
         "self.sent",
         "a try that reached nobody leaves a call its tries",
     ),
