--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -28,7 +28,7 @@
 SLOW_COST = 1.6
 #: Least calls in flight per own slot. Above one, so that a slot does not idle while its
 #: answer is on its way.
-LEAST_FACTOR = 1.15
+MIN_FACTOR = 1.15
 #: Most calls in flight per own slot.
 MOST_FACTOR = 8.0
 #: Added to the factor with each report of a short queue.
@@ -81,13 +81,13 @@
     ) -> None:
         """Let the limit follow the queue that an upstream reports."""
         if queued > QUEUE_TARGET * upstream.slots:
-            self.factor = max(LEAST_FACTOR, self.factor * FACTOR_DECAY)
+            self.factor = max(MIN_FACTOR, self.factor * FACTOR_DECAY)
         else:
             self.factor = min(MOST_FACTOR, self.factor + FACTOR_STEP)
 
     def _limit(self, pool: upstream_pool.Pool, overloaded: bool) -> float:
         """Return how many calls may be in flight at once."""
-        factor = LEAST_FACTOR if overloaded else self.factor
+        factor = MIN_FACTOR if overloaded else self.factor
         return max(1.0, pool.owned_total * factor)
 
     def _best_own(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -124,7 +124,7 @@
         constants=(
             "decisions/owned_slots.SAMPLE",
             "decisions/owned_slots.SLOW_COST",
-            "decisions/owned_slots.LEAST_FACTOR",
+            "decisions/owned_slots.MIN_FACTOR",
             "decisions/owned_slots.MOST_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
             "kernel/waiting.CROSS_ZONE_S",
