--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -30,7 +30,7 @@
 #: answer is on its way.
 MIN_FACTOR = 1.15
 #: Most calls in flight per own slot.
-MOST_FACTOR = 8.0
+MAX_FACTOR = 8.0
 #: Added to the factor with each report of a short queue.
 FACTOR_STEP = 0.01
 #: The factor is multiplied by this with each report of a long queue.
@@ -52,7 +52,7 @@
     """
 
     def __init__(self) -> None:
-        self.factor = MOST_FACTOR
+        self.factor = MAX_FACTOR
 
     def choose(
         self,
@@ -83,7 +83,7 @@
         if queued > QUEUE_TARGET * upstream.slots:
             self.factor = max(MIN_FACTOR, self.factor * FACTOR_DECAY)
         else:
-            self.factor = min(MOST_FACTOR, self.factor + FACTOR_STEP)
+            self.factor = min(MAX_FACTOR, self.factor + FACTOR_STEP)
 
     def _limit(self, pool: upstream_pool.Pool, overloaded: bool) -> float:
         """Return how many calls may be in flight at once."""
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -125,7 +125,7 @@
             "decisions/owned_slots.SAMPLE",
             "decisions/owned_slots.SLOW_COST",
             "decisions/owned_slots.MIN_FACTOR",
-            "decisions/owned_slots.MOST_FACTOR",
+            "decisions/owned_slots.MAX_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
             "kernel/waiting.CROSS_ZONE_S",
             "decisions/queueing_cost.LEAST_LATENCY_RATIO",
