--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -18,7 +18,7 @@
 
 #: Upstreams compared besides the own ones. Few, and random, so that many entries with
 #: the same stale estimate do not all pick the same one.
-SAMPLE = 8
+SAMPLE_SIZE = 8
 #: Own upstreams with room that are compared, and own ones when all are busy.
 #: Bounds the time of a decision where an entry owns slots in many.
 OWN_COMPARED = 4
@@ -68,7 +68,7 @@
         overloaded = overload.is_overloaded(pool)
         if pool.owned and pool.busy() >= self._limit(pool, overloaded):
             return None
-        sampled = 0 if overloaded and pool.owned else SAMPLE
+        sampled = 0 if overloaded and pool.owned else SAMPLE_SIZE
         options = self._options(pool, sampled, now, exclude)
         if not options:
             return None
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -122,7 +122,7 @@
         " the cheapest of a few others, within a limit that follows the queues that"
         " upstreams report.",
         constants=(
-            "decisions/owned_slots.SAMPLE",
+            "decisions/owned_slots.SAMPLE_SIZE",
             "decisions/owned_slots.SLOW_COST",
             "decisions/owned_slots.MIN_FACTOR",
             "decisions/owned_slots.MAX_FACTOR",
