--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -38,7 +38,7 @@
 NEAR_SHARE = 0.08
 #: Upstreams compared for one call. Of more than that samples are drawn, from the
 #: own zone and from all: a call must not cost more where there are more upstreams.
-MOST_COMPARED = 40
+MAX_COMPARED = 40
 #: How many of them are drawn from the own zone.
 LOCAL_COMPARED = 24
 
@@ -99,7 +99,7 @@
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """Return the upstreams of the own region that are compared."""
-    if len(pool.near_order) > MOST_COMPARED:
+    if len(pool.near_order) > MAX_COMPARED:
         options = _sample(pool, now, exclude)
     else:
         options = selection.eligible_among(pool.near_order, now, exclude)
@@ -115,7 +115,7 @@
     """Return some upstreams of the own zone, and some of the own region."""
     rng = pool.rng
     local = selection.sample(pool.local_order, LOCAL_COMPARED, rng, now, exclude)
-    count = MOST_COMPARED - len(local)
+    count = MAX_COMPARED - len(local)
     anywhere = selection.sample(pool.near_order, count, rng, now, exclude)
     sampled_by_id = {u.spec.id: u for u in (*local, *anywhere)}
     return list(sampled_by_id.values())
