--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -169,7 +169,7 @@
         at = None if wait_s is None else ids.later(NOW, wait_s)
         refusal = outcomes.not_run(outcomes.Reason.QUEUE_FULL, at)
         found = refusals.retry_after_s(refusal, NOW)
-        assert found >= queueing.LEAST_RETRY_AFTER_S
+        assert found >= queueing.MIN_RETRY_AFTER_S
         if at is not None:
             assert found >= at - NOW
 
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -11,7 +11,7 @@
 from spindlenotch.kernel import outcomes, upstream_pool, waiting
 
 #: Least wait in seconds that a refused caller is asked to keep before it tries again.
-LEAST_RETRY_AFTER_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 #: Fewest ends a second that the estimate of a wait divides by, so that it stays finite
 #: where nothing ends.
 LEAST_PER_S = 1.0
@@ -88,7 +88,7 @@
     That is when the ``queued`` calls and one more will have been served.
     """
     wait_s = expected_wait_s(pool, queued + 1, now)
-    return ids.later(now, max(LEAST_RETRY_AFTER_S, wait_s))
+    return ids.later(now, max(MIN_RETRY_AFTER_S, wait_s))
 
 
 def displaced_by(queue: waiting.WaitQueue, call: waiting.Call) -> waiting.Call | None:
--- a/spindlenotch/gateway/serving/refusals.py
+++ b/spindlenotch/gateway/serving/refusals.py
@@ -32,8 +32,8 @@
 def retry_after_s(refusal: outcomes.Refusal, now: ids.Instant) -> float:
     """Return in how many seconds a retry makes sense: at ``retry_at``, not at once."""
     if refusal.retry_at is None:
-        return queueing.LEAST_RETRY_AFTER_S
-    return max(queueing.LEAST_RETRY_AFTER_S, refusal.retry_at - now)
+        return queueing.MIN_RETRY_AFTER_S
+    return max(queueing.MIN_RETRY_AFTER_S, refusal.retry_at - now)
 
 
 def failure_status(reason: outcomes.Reason) -> int:
@@ -54,7 +54,7 @@
 
 def not_ready() -> web_response.Response:
     """Return the response before the first configuration and late in a stop."""
-    return not_run(outcomes.Reason.NOT_READY, queueing.LEAST_RETRY_AFTER_S)
+    return not_run(outcomes.Reason.NOT_READY, queueing.MIN_RETRY_AFTER_S)
 
 
 def route_refused() -> web_response.Response:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -237,7 +237,7 @@
         reason="503 with Retry-After says that the request has not run. 502 and 504"
         " promise nothing.",
         constants=(
-            "decisions/queueing.LEAST_RETRY_AFTER_S",
+            "decisions/queueing.MIN_RETRY_AFTER_S",
             "kernel/ejection.RETRY_AFTER_S",
         ),
         events=("REQUEST_REFUSED", "REQUEST_FAILED"),
