--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -14,7 +14,7 @@
 MIN_RETRY_AFTER_S = 0.05
 #: Fewest ends a second that the estimate of a wait divides by, so that it stays finite
 #: where nothing ends.
-LEAST_PER_S = 1.0
+MIN_COMPLETIONS_PER_S = 1.0
 #: Seconds by which a new call must have its turn sooner than it has to: turns are taken
 #: somewhat late, and a call that was let wait should not be refused after all.
 TURN_RESERVE_S = 0.02
@@ -33,7 +33,7 @@
     per_s = pool.completions.per_s(now)
     if per_s is None:
         return 0.0
-    return ahead / max(LEAST_PER_S, per_s)
+    return ahead / max(MIN_COMPLETIONS_PER_S, per_s)
 
 
 def refusal_rule(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -184,7 +184,7 @@
             "gateway/serving/caller_age.COMMON_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
-            "decisions/queueing.LEAST_PER_S",
+            "decisions/queueing.MIN_COMPLETIONS_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
             "kernel/waiting.OLDEST_FIRST_EVERY",
             "forwarding/granting.QUEUE_CHECK_S",
