--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -10,7 +10,7 @@
 from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
 #: Least latency ratio that counts: a few quick answers must not draw all calls.
-LEAST_LATENCY_RATIO = 0.5
+MIN_LATENCY_RATIO = 0.5
 
 
 def estimate(
@@ -30,7 +30,7 @@
     # The chance that all slots are taken, and what queues once they are.
     all_taken = min(1.0, load / slots) ** slots
     queued = all_taken + max(0.0, load + 1 - slots)
-    latency_ratio = max(LEAST_LATENCY_RATIO, upstream.latency_ratio.value)
+    latency_ratio = max(MIN_LATENCY_RATIO, upstream.latency_ratio.value)
     latency_ratio += silence.overdue_cost(upstream, typical_s, now)
     crossing_s = 0.0
     if upstream.spec.zone != pool.local_member.zone:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -128,7 +128,7 @@
             "decisions/owned_slots.MAX_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
             "kernel/waiting.CROSS_ZONE_S",
-            "decisions/queueing_cost.LEAST_LATENCY_RATIO",
+            "decisions/queueing_cost.MIN_LATENCY_RATIO",
             "decisions/overload.REFUSED_SHARE",
             "decisions/overload.QUEUED_PER_SLOT",
         ),
