--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -72,7 +72,9 @@
         options = self._options(pool, sampled, now, exclude)
         if not options:
             return None
-        candidates = tuple(queueing_cost.appraise(pool, u, now) for u in options)
+        candidates = tuple(
+            queueing_cost.estimate_candidate(pool, u, now) for u in options
+        )
         best = min(candidates, key=_cost)
         return _choice(pool, best, selection.Rule.CHEAPEST, candidates)
 
@@ -101,7 +103,7 @@
                 continue
             if not upstream.may_take(now):
                 continue
-            candidate = queueing_cost.appraise(pool, upstream, now)
+            candidate = queueing_cost.estimate_candidate(pool, upstream, now)
             if best is None or candidate.cost < best.cost:
                 best = candidate
             compared += 1
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -38,7 +38,7 @@
     return float(latency_ratio * (1 + queued / slots) + crossing_s / typical_s)
 
 
-def appraise(
+def estimate_candidate(
     pool: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
 ) -> selection.Candidate:
     """Return what is estimated of ``upstream`` and what a call would cost there."""
