--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -13,7 +13,7 @@
 MIN_LATENCY_RATIO = 0.5
 
 
-def estimate(
+def estimate_cost(
     pool: upstream_pool.Pool,
     upstream: upstreams.Upstream,
     load: float,
@@ -45,7 +45,7 @@
     load = pool.estimated_load(upstream, now)
     return selection.Candidate(
         upstream=upstream.spec.id,
-        cost=estimate(pool, upstream, load, now),
+        cost=estimate_cost(pool, upstream, load, now),
         load=load,
         report_age_s=now - upstream.report_at,
         owned_slots=upstream.owned_slots,
--- a/spindlenotch/entry/explain.py
+++ b/spindlenotch/entry/explain.py
@@ -133,7 +133,7 @@
     found: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
 ) -> state_view.UpstreamView:
     load = found.estimated_load(upstream, now)
-    cost = queueing_cost.estimate(found, upstream, load, now)
+    cost = queueing_cost.estimate_cost(found, upstream, load, now)
     return state_view.UpstreamView(
         id=upstream.spec.id,
         zone=upstream.spec.zone,
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -113,7 +113,7 @@
         question="Which upstream takes a request (entry daemon)",
         functions=(
             "decisions/owned_slots.OwnedSlotsPolicy.choose",
-            "decisions/queueing_cost.estimate",
+            "decisions/queueing_cost.estimate_cost",
             "kernel/ownership.owned",
         ),
         inputs="own slots, estimated load, latency ratio, silence (s), zone, share of"
