--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -130,7 +130,7 @@
     Slots that stay empty because the service is crowded don't count, nor do upstreams
     that are slowed or ejected; 1 where there are no others.
     """
-    sound = [u for u in pool.near_order if _is_sound(u, now)]
+    sound = [u for u in pool.near_order if _is_healthy(u, now)]
     crowded = pool.crowding
     usable = sum(crowded.usable(u.slots, sample=u.crowding_sample) for u in sound)
     if usable <= 0:
@@ -138,7 +138,7 @@
     return sum(min(u.slots, pool.estimated_load(u, now)) for u in sound) / usable
 
 
-def _is_sound(upstream: upstreams.Upstream, now: ids.Instant) -> bool:
+def _is_healthy(upstream: upstreams.Upstream, now: ids.Instant) -> bool:
     slowed = upstream.slowdown(now) > upstreams.SLOWED_FACTOR
     return upstream.state is upstreams.State.ACTIVE and not slowed
 
