--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -78,14 +78,14 @@
             NOW, target_s=target_s, age_s=age_s, typical_s=typical_s
         )
         wait_s = limit.wait_until - NOW
-        in_time = age_s + typical_s + wait_limit.RETURN_S < target_s
+        in_time = age_s + typical_s + wait_limit.RESPONSE_TRANSIT_S < target_s
         assert limit.late is not in_time
         if limit.late:
             assert math.isclose(
                 wait_s, wait_limit.LATE_WAIT_SHARE * target_s, abs_tol=1e-6
             )
         else:
-            end_s = age_s + wait_s + typical_s + wait_limit.RETURN_S
+            end_s = age_s + wait_s + typical_s + wait_limit.RESPONSE_TRANSIT_S
             assert math.isclose(end_s, target_s, abs_tol=1e-6)
 
     check()
--- a/spindlenotch/decisions/wait_limit.py
+++ b/spindlenotch/decisions/wait_limit.py
@@ -17,7 +17,7 @@
 WAIT_WITHOUT_TARGET_S = 0.1
 #: Seconds that an answer is taken to need back to its caller: one way of some
 #: milliseconds, and what handling it takes.
-RETURN_S = 0.01
+RESPONSE_TRANSIT_S = 0.01
 
 
 #: Seconds after the start of a process until which requests are held where it can't
@@ -60,7 +60,7 @@
     """
     if target_s is None:
         return WaitLimit(ids.later(now, WAIT_WITHOUT_TARGET_S), late=False)
-    used_s = age_s + typical_s + RETURN_S
+    used_s = age_s + typical_s + RESPONSE_TRANSIT_S
     if used_s < target_s:
         return WaitLimit(ids.later(now, target_s - used_s), late=False)
     return WaitLimit(ids.later(now, LATE_WAIT_SHARE * target_s), late=True)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -179,7 +179,7 @@
         constants=(
             "decisions/wait_limit.LATE_WAIT_SHARE",
             "decisions/wait_limit.WAIT_WITHOUT_TARGET_S",
-            "decisions/wait_limit.RETURN_S",
+            "decisions/wait_limit.RESPONSE_TRANSIT_S",
             "gateway/serving/caller_age.CLASS_RATIO",
             "gateway/serving/caller_age.COMMON_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
