--- a/spindlenotch/decisions/evacuation.py
+++ b/spindlenotch/decisions/evacuation.py
@@ -17,7 +17,7 @@
 #: means of 7 paired plays of small fleets); other shares were not tried.
 SPREAD_SHARE = 0.3
 #: Number of different checksums.
-CHECKSUMS = 2**32
+CHECKSUM_COUNT = 2**32
 
 
 def leave_at(
@@ -29,5 +29,5 @@
     ``told_at`` is when this gateway learnt of the evacuation, ``bound_s`` the seconds
     that the operator allows. Every gateway takes the same upstreams first.
     """
-    position = zlib.crc32(upstream_id.encode()) / CHECKSUMS
+    position = zlib.crc32(upstream_id.encode()) / CHECKSUM_COUNT
     return ids.later(told_at, SPREAD_SHARE * bound_s * position)
