--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -250,9 +250,9 @@
         self.kept_by_fingerprint[note.fingerprint] = KeptNote(note, until)
         self._count_target(note.fingerprint, 1)
         if len(self.kept_by_fingerprint) > MAX_NOTES:
-            self._forget(self._least_needed())
+            self._forget(self._eviction_candidate())
 
-    def _least_needed(self) -> ids.Fingerprint:
+    def _eviction_candidate(self) -> ids.Fingerprint:
         """Return whose note changed longest ago, quarantined requests last."""
         kept = self.kept_by_fingerprint.items()
         return min(kept, key=lambda item: item[1].status is CrashStatus.QUARANTINED)[0]
