--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -98,7 +98,7 @@
         """Return the cheapest of a few own upstreams with room."""
         best: selection.Candidate | None = None
         compared = 0
-        for upstream in _own_from_random(pool):
+        for upstream in _own_rotated(pool):
             if not _has_room(upstream) or upstream.spec.id in exclude:
                 continue
             if not upstream.may_take(now):
@@ -119,7 +119,7 @@
         exclude: selection.Exclusion,
     ) -> list[upstreams.Upstream]:
         options = selection.sample(pool.usable_order, sampled, pool.rng, now, exclude)
-        for upstream in itertools.islice(_own_from_random(pool), OWN_COMPARED_BUSY):
+        for upstream in itertools.islice(_own_rotated(pool), OWN_COMPARED_BUSY):
             if upstream in options or upstream.spec.id in exclude:
                 continue
             if upstream.may_take(now):
@@ -127,7 +127,7 @@
         return options
 
 
-def _own_from_random(pool: upstream_pool.Pool) -> abc.Iterator[upstreams.Upstream]:
+def _own_rotated(pool: upstream_pool.Pool) -> abc.Iterator[upstreams.Upstream]:
     """Go through the own upstreams once, from a random one on."""
     own = pool.owned
     if not own:
