--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -49,7 +49,7 @@
 @selection.POLICIES.register("random")
 def random_upstream() -> selection.Policy:
     """Return a policy that takes any upstream."""
-    return Baseline(selection.Rule.RANDOM, _any)
+    return Baseline(selection.Rule.RANDOM, _pick_random)
 
 
 @selection.POLICIES.register("round-robin")
@@ -85,7 +85,7 @@
         return options[self.position % len(options)]
 
 
-def _any(
+def _pick_random(
     pool: upstream_pool.Pool, options: list[upstreams.Upstream]
 ) -> upstreams.Upstream:
     return pool.rng.choice(options)
