--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -61,7 +61,7 @@
 @selection.POLICIES.register("least-outstanding")
 def least_outstanding() -> selection.Policy:
     """Return a policy that takes the fewest own calls, ties broken at random."""
-    return Baseline(selection.Rule.LEAST_OUTSTANDING, _any_of_least)
+    return Baseline(selection.Rule.LEAST_OUTSTANDING, _pick_least_outstanding)
 
 
 @selection.POLICIES.register("two-choices")
@@ -91,7 +91,7 @@
     return pool.rng.choice(options)
 
 
-def _any_of_least(
+def _pick_least_outstanding(
     pool: upstream_pool.Pool, options: list[upstreams.Upstream]
 ) -> upstreams.Upstream:
     least = min(u.outstanding for u in options)
