--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -67,7 +67,7 @@
 @selection.POLICIES.register("two-choices")
 def two_choices() -> selection.Policy:
     """Return a policy that takes the better of two random upstreams."""
-    return Baseline(selection.Rule.TWO_CHOICES, _first_of_least, _two)
+    return Baseline(selection.Rule.TWO_CHOICES, _pick_first_least_outstanding, _two)
 
 
 class _RoundRobin:
@@ -98,7 +98,7 @@
     return pool.rng.choice([u for u in options if u.outstanding == least])
 
 
-def _first_of_least(
+def _pick_first_least_outstanding(
     pool: upstream_pool.Pool, options: list[upstreams.Upstream]
 ) -> upstreams.Upstream:
     return min(options, key=_outstanding)
