--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -67,7 +67,9 @@
 @selection.POLICIES.register("two-choices")
 def two_choices() -> selection.Policy:
     """Return a policy that takes the better of two random upstreams."""
-    return Baseline(selection.Rule.TWO_CHOICES, _pick_first_least_outstanding, _two)
+    return Baseline(
+        selection.Rule.TWO_CHOICES, _pick_first_least_outstanding, _sample_two
+    )
 
 
 class _RoundRobin:
@@ -108,7 +110,7 @@
     return upstream.outstanding
 
 
-def _two(
+def _sample_two(
     pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
 ) -> list[upstreams.Upstream]:
     return selection.sample(pool.usable_order, 2, pool.rng, now, exclude)
