--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -311,10 +311,10 @@
         if self.pool.frozen(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, ejection.SILENT, now)
 
-    def room_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
+    def next_retry_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
         """Return when a caller may come back whose call no upstream took."""
         free_at = self._usable_at(call, now)
-        return usable.room_at(self.pool, free_at, len(self.queue), now)
+        return usable.next_retry_at(self.pool, free_at, len(self.queue), now)
 
     def _usable_at(self, call: waiting.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take a call where it may run, or any."""
--- a/spindlenotch/decisions/usable.py
+++ b/spindlenotch/decisions/usable.py
@@ -40,7 +40,7 @@
     return found
 
 
-def room_at(
+def next_retry_at(
     pool: upstream_pool.Pool, free_at: ids.Instant, queued: int, now: ids.Instant
 ) -> ids.Instant:
     """
--- a/spindlenotch/forwarding/judgement.py
+++ b/spindlenotch/forwarding/judgement.py
@@ -110,17 +110,17 @@
     reason: outcomes.Reason,
     *,
     may_have_run: bool,
-    room_at: ids.Instant,
+    next_retry_at: ids.Instant,
 ) -> outcomes.Refusal:
     """
     Refuse a request none of whose tries was answered.
 
-    ``room_at`` is when another may find room. A request whose deadline passed gets
-    no instant to ask again: the same request would be too late again.
+    ``next_retry_at`` is when another may find room. A request whose deadline passed
+    gets no instant to ask again: the same request would be too late again.
     """
     retry_at = None
     if reason is not outcomes.Reason.DEADLINE_PASSED:
-        retry_at = room_at
+        retry_at = next_retry_at
     if may_have_run:
         return outcomes.unknown(reason, retry_at)
     return outcomes.not_run(reason, retry_at)
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -275,7 +275,7 @@
         return judgement.refusal(
             reason,
             may_have_run=self._may_have_run,
-            room_at=self._room_at(),
+            next_retry_at=self._room_at(),
         )
 
     def _room_at(self) -> ids.Instant:
@@ -286,8 +286,8 @@
         they have room, the caller need not wait for that one.
         """
         now = self.state.clock.now()
-        room_at = self.job.balancer.room_at(self.job.call, now)
-        return max(room_at, ids.later(now, self._retry_after_s or 0.0))
+        next_retry_at = self.job.balancer.next_retry_at(self.job.call, now)
+        return max(next_retry_at, ids.later(now, self._retry_after_s or 0.0))
 
     def _cancel_rest(self) -> None:
         for task, grant in self._grant_by_task.items():
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -54,7 +54,7 @@
             "kernel/backpressure.Backpressure.take",
             "kernel/backpressure.Backpressure.may_send",
             "decisions/usable.usable_at",
-            "decisions/usable.room_at",
+            "decisions/usable.next_retry_at",
         ),
         inputs="what its answers to this process said, when (instant), seconds of rest",
         reason="An upstream that says it leaves gets nothing more from this process,"
