--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -15,11 +15,11 @@
 from spindlenotch import ids, selection
 from spindlenotch.decisions import (
     admission,
+    availability,
     hedging,
     retrying,
     silence,
     traffic_split,
-    usable,
     verdicts,
 )
 from spindlenotch.kernel import (
@@ -314,12 +314,12 @@
     def next_retry_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
         """Return when a caller may come back whose call no upstream took."""
         free_at = self._usable_at(call, now)
-        return usable.next_retry_at(self.pool, free_at, len(self.queue), now)
+        return availability.next_retry_at(self.pool, free_at, len(self.queue), now)
 
     def _usable_at(self, call: waiting.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take a call where it may run, or any."""
         barred = () if self.split is None else self.split.barred(self.pool)
-        return usable.usable_at(self.pool, barred, call, now)
+        return availability.usable_at(self.pool, barred, call, now)
 
     def _choose(
         self,
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -53,8 +53,8 @@
         functions=(
             "kernel/backpressure.Backpressure.take",
             "kernel/backpressure.Backpressure.may_send",
-            "decisions/usable.usable_at",
-            "decisions/usable.next_retry_at",
+            "decisions/availability.usable_at",
+            "decisions/availability.next_retry_at",
         ),
         inputs="what its answers to this process said, when (instant), seconds of rest",
         reason="An upstream that says it leaves gets nothing more from this process,"
