--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -1,14 +1,15 @@
 """
-Which requests end the upstreams that run them, and must not be sent any more.
+Quarantine of requests that crash the upstreams that run them.
 
-An upstream may end for reasons of its own while it runs any request. A request that
-ends what runs it does so each time: it is never answered, and the next try ends the
-next upstream. So it is held to be the cause once three upstreams have ended under it,
-not all of them under tries that ran side by side, and none has answered it since. One
-that was lost with its upstream is suspect until it is answered; meanwhile it is tried
-by one call at a time.
+An upstream may crash for unrelated reasons while it runs any request. A request that
+causes crashes does so each time: it is never answered, and each retry crashes another
+upstream. So a request is taken to be the cause once three upstreams have crashed while
+running it, not all of them during concurrent tries, and none has answered it since. A
+request that was lost in a crash is suspect until it is answered; meanwhile only one
+call at a time may try it.
 
-Pure. Owns what this process knows of such requests; notes of peers are merged into it.
+Pure. Owns what this process knows of such requests; the crash notes of peers are merged
+into it.
 """
 
 import collections
@@ -21,45 +22,53 @@
 from spindlenotch import ids
 from spindlenotch.kernel import crash_notes, fingerprints
 
-#: Upstreams that have ended under a request that is no longer sent: the fewest that are
-#: not told from chance. Where 3 in 100 tries lose their upstream, as beside such a
-#: request, three in a row hit a harmless request with a probability of 3 in 10^5.
+#: Crashed upstreams from which a request is quarantined: the smallest number that
+#: chance does not explain. Where 3 in 100 tries lose their upstream, as happens while
+#: such a request is sent, three in a row hit a harmless request with a probability of
+#: 3 in 10^5.
 MIN_CRASHED_UPSTREAMS = 3
-#: Ends of these that must have followed from one another: upstreams that end together,
-#: with their host or zone, end under many tries of a popular request at one moment.
+#: Crashes among these that must have happened one after the other, each during a try
+#: sent when the previous crash was known: upstreams that fail together, with their host
+#: or zone, fail during many concurrent tries of a popular request.
 MIN_CRASH_DEPTH = 2
-#: Seconds for which such a request is not sent: a day, in which operators see the event
-#: and can mend what it ends.
+#: Seconds for which a request is quarantined: a day, in which operators see the event
+#: and can fix the upstreams.
 QUARANTINE_S = 86_400.0
-#: Seconds after which a quarantined request is sent once more, by a gateway that found
-#: it out: beside a request that ends upstreams, another one may be lost with three of
-#: them by chance. By then the first is sent no more, and the other is answered, which
-#: releases it everywhere; else it costs one upstream more. Up to twice as late, so that
-#: of gateways which found it out together one tells the others first.
+#: Seconds after which a quarantined request is sent once more, by a gateway that
+#: detected it: while one request crashes upstreams, a harmless one may be lost in three
+#: of these crashes by chance. By then the cause is no longer sent, so the harmless
+#: request is answered, which releases it everywhere; the cause itself crashes one more
+#: upstream. The delay is randomised up to twice as long, so that of several gateways
+#: that detected it together one informs the others first.
 RECHECK_AFTER_S = 10.0
-#: Seconds for which a suspect that nobody sends is kept: one that comes seldom is told
-#: from others by few tries, but an hour apart they tell little.
+#: Seconds for which a suspect request is remembered while nobody sends it: a rare one
+#: is identified from few tries, but tries an hour apart are weak evidence.
 KEEP_SUSPECT_S = 3_600.0
-#: Seconds for which it is kept that a request was answered, so that notes of the round
-#: before, which may be under way for as long as gossip takes, do not count.
+#: Seconds for which an answer to a request is remembered, so that crash notes of the
+#: previous round, which may be in transit for as long as gossip takes, do not count.
 KEEP_ANSWERED_S = 30.0
-#: Requests that are kept: each end of an upstream adds as many as it runs, here some
-#: hundred upstreams with six slots. Those that changed longest ago go first.
+#: Most requests that are remembered: each crash adds as many as the upstream was
+#: running, so this has room for some hundred upstreams with six slots. The least
+#: recently changed are evicted first.
 MAX_NOTES = 1_024
 
 
 class CrashStatus(enum.IntEnum):
-    """What is held of a request; a higher one is worse."""
+    """Whether a request is taken to crash upstreams; a higher value is worse."""
 
     CLEAR = 0
-    #: An upstream ended under it, and none has answered it since.
+    #: An upstream crashed while running it, and none has answered it since.
     SUSPECT = 1
-    #: It ends the upstreams that run it.
+    #: It crashes the upstreams that run it, and is not sent.
     QUARANTINED = 2
 
 
 class Mark(msgspec.Struct, frozen=True):
-    """What was known of a request when a try of it was sent."""
+    """
+    What was known of a request when a try of it was sent.
+
+    ``round`` and ``depth`` are those of its ``CrashNote``.
+    """
 
     round: int = 0
     depth: int = 0
@@ -69,33 +78,33 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """That a request was quarantined, or is no longer; for the log."""
+    """A request was quarantined or released; for the log."""
 
     note: crash_notes.CrashNote
     status: CrashStatus
 
 
 class KeptNote(msgspec.Struct):
-    """A note, and until when it is kept."""
+    """A crash note and when it expires."""
 
     note: crash_notes.CrashNote
     until: ids.Instant
 
     @property
     def status(self) -> CrashStatus:
-        """Return what is held of the request."""
+        """Return the status of the request."""
         return status_of(self.note)
 
 
 class Quarantine:
     """
-    The requests under which upstreams ended, by fingerprint.
+    The requests during which upstreams crashed, by fingerprint.
 
-    ``changes`` are kept until they are taken out for the log. ``salt`` makes this
-    process's times differ from those of others.
+    ``changes`` are kept until they are taken out for the log. ``salt`` varies the delay
+    of rechecks from process to process.
 
-    Invariant: of a fingerprint the round never falls while it is kept, and in one round
-    neither does the depth.
+    Invariant: while a note on a fingerprint is kept, its round never decreases, and
+    within a round its depth never decreases.
     """
 
     def __init__(self, salt: str = "") -> None:
@@ -109,13 +118,13 @@
         self._count_by_target: collections.Counter[str] = collections.Counter()
 
     def knows_target(self, target: str) -> bool:
-        """Tell whether anything is known of requests with this target; cheap."""
+        """Return whether anything is known of requests with this target; cheap."""
         if not self._count_by_target:
             return False
         return fingerprints.target_digits(target) in self._count_by_target
 
     def status(self, known: fingerprints.Fingerprints) -> CrashStatus:
-        """Return what is held of a request: the worse of what both prints tell."""
+        """Return the status of a request: the worse one of its two fingerprints."""
         return max(self._status(one) for one in known.each())
 
     def until(self, known: fingerprints.Fingerprints) -> ids.Instant:
@@ -128,22 +137,22 @@
         )
 
     def mark(self, fingerprint: ids.Fingerprint) -> Mark:
-        """Return what is known of a request as a try of it is sent."""
+        """Return what is known of a request, to be kept with a try that is sent now."""
         note = self.note(fingerprint)
         return Mark(note.round, note.depth + (fingerprint in self._checks_pending))
 
     def note(self, fingerprint: ids.Fingerprint) -> crash_notes.CrashNote:
-        """Return what is known of a request in the form that is passed on."""
+        """Return what is known of a request, in the form in which peers get it."""
         kept = self.kept_by_fingerprint.get(fingerprint)
         return crash_notes.CrashNote(fingerprint) if kept is None else kept.note
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
-        """Hold a request to be suspect until ``end_check``."""
+        """Treat a request as suspect while its upstream is checked for a crash."""
         self._checks_pending[fingerprint] += 1
         self._count_target(fingerprint, 1)
 
     def end_check(self, fingerprint: ids.Fingerprint) -> None:
-        """End one doubt: it is known what became of the upstream."""
+        """End one ``begin_check``: it is known whether the upstream crashed."""
         self._checks_pending[fingerprint] -= 1
         if not self._checks_pending[fingerprint]:
             del self._checks_pending[fingerprint]
@@ -156,12 +165,16 @@
         upstream: ids.UpstreamId,
         now: ids.Instant,
     ) -> bool:
-        """Take in that an upstream ended under a try with this mark; see ``merge``."""
+        """
+        Record that an upstream crashed during a try with this mark.
+
+        Return whether that changes what is known, like ``merge``.
+        """
         before = status_of(self.note(fingerprint))
-        record_crash = crash_notes.CrashNote(
+        crash = crash_notes.CrashNote(
             fingerprint, mark.round, mark.depth + 1, (upstream,)
         )
-        is_news = self.merge(record_crash, now)
+        is_news = self.merge(crash, now)
         after = status_of(self.note(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
             self._recheck_at[fingerprint] = ids.later(
@@ -170,7 +183,11 @@
         return is_news
 
     def take_recheck(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
-        """Tell whether a quarantined request is sent once more, now; only once."""
+        """
+        Return whether a quarantined request is due to be sent once more, now.
+
+        The recheck is then taken: further calls return False.
+        """
         due = [one for one in known.each() if self._is_recheck_due(one, now)]
         for fingerprint in due:
             note = self.note(fingerprint)
@@ -178,7 +195,7 @@
         return bool(due)
 
     def clear(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
-        """Take in that a request was answered; tell whether it was suspect."""
+        """Record that a request was answered; return whether it was suspect."""
         note = self.note(fingerprint)
         if not note.depth:
             return False
@@ -191,7 +208,7 @@
         until: ids.Instant = ids.NEVER,
     ) -> bool:
         """
-        Take in a note; tell whether it changes what is known.
+        Merge a crash note; return whether it changes what is known.
 
         A quarantine that it begins ends at ``until``, or earlier.
         """
@@ -203,18 +220,19 @@
         return True
 
     def expire(self, now: ids.Instant) -> None:
-        """Let go of what was kept for long enough."""
+        """Drop expired notes and release requests whose quarantine is over."""
         kept = self.kept_by_fingerprint
         over = [name for name, one in kept.items() if one.until <= now]
         for fingerprint in over:
             if kept[fingerprint].status is CrashStatus.QUARANTINED:
-                # A new round: peers that are a moment behind must not bring it back.
+                # Begins a new round, so that notes of peers that have not released
+                # the request yet do not quarantine it again.
                 self.clear(fingerprint, now)
             else:
                 self._forget(fingerprint)
 
     def quarantined(self) -> abc.Iterator[crash_notes.CrashNote]:
-        """Return the notes on all requests that are not sent any more."""
+        """Return the notes on all quarantined requests."""
         for kept in self.kept_by_fingerprint.values():
             if kept.status is CrashStatus.QUARANTINED:
                 yield kept.note
@@ -245,7 +263,7 @@
             self._recheck_at.pop(note.fingerprint, None)
         if note.is_retried:
             self._recheck_at.pop(note.fingerprint, None)
-        # Taken out first, so that the order is that of the last changes.
+        # Removed first, so that the dict is ordered by the last change.
         self._forget(note.fingerprint)
         self.kept_by_fingerprint[note.fingerprint] = KeptNote(note, until)
         self._count_target(note.fingerprint, 1)
@@ -253,7 +271,7 @@
             self._forget(self._eviction_candidate())
 
     def _eviction_candidate(self) -> ids.Fingerprint:
-        """Return whose note changed longest ago, quarantined requests last."""
+        """Return the least recently changed request, quarantined ones last."""
         kept = self.kept_by_fingerprint.items()
         return min(kept, key=lambda item: item[1].status is CrashStatus.QUARANTINED)[0]
 
@@ -268,7 +286,7 @@
             del self._count_by_target[digits]
 
 
-#: For how many seconds a note is kept since it changed.
+#: Seconds for which a note is kept after its last change.
 KEEP_S_BY_STATUS = {
     CrashStatus.CLEAR: KEEP_ANSWERED_S,
     CrashStatus.SUSPECT: KEEP_SUSPECT_S,
@@ -277,7 +295,7 @@
 
 
 def status_of(note: crash_notes.CrashNote) -> CrashStatus:
-    """Return what is held of a request of which this is known."""
+    """Return the status of a request with this crash note."""
     if not note.depth:
         return CrashStatus.CLEAR
     if note.depth >= MIN_CRASH_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
