--- a/spindlenotch/decisions/__init__.py
+++ b/spindlenotch/decisions/__init__.py
@@ -1,6 +1,6 @@
 """
-The decisions of the kernel: which upstream, wait, refuse, retry, hedge.
+The decision logic: upstream selection, queueing, refusals, retries and hedges.
 
-Pure like ``spindlenotch.kernel``, on whose state they rest; the policies register
+Pure like ``spindlenotch.kernel``, whose state it uses; the selection policies register
 themselves in ``spindlenotch.selection``.
 """
--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -1,9 +1,9 @@
 """
-Which calls wait, and which are refused: at the door, in the queue, all at once.
+Admission control: which calls wait, and which are refused on arrival or while queued.
 
 Applies the rules of ``queueing`` to the queue of one service and gives each
-refusal its reason and the instant from which to ask again. Owns nothing: pool and
-queue are the balancer's.
+refusal its reason and the instant from which to try again. Owns nothing: pool and
+queue belong to the balancer.
 """
 
 from collections import abc
@@ -23,14 +23,14 @@
     def admit(
         self, call: waiting.Call, ahead: int, now: ids.Instant
     ) -> verdicts.Waiting | outcomes.Refusal:
-        """Let a call wait behind ``ahead`` others, or refuse it at once."""
+        """Queue a call behind ``ahead`` others, or refuse it at once."""
         rule = queueing.refusal_rule_for_new(self.pool, call, ahead, now)
         if rule is not None:
             return self._refuse_early(rule, now)
         return self._enqueue(call, now)
 
     def refuse_hopeless(self, now: ids.Instant) -> list[verdicts.Settlement]:
-        """Refuse the waiting calls that will get no room while they may wait."""
+        """Refuse the waiting calls that will not get a slot in time."""
         given_up = []
         for ahead, call in enumerate(list(self.queue)):
             rule = queueing.refusal_rule_for_waiting(self.pool, call, ahead, now)
@@ -53,9 +53,9 @@
         now: ids.Instant,
     ) -> list[verdicts.Settlement]:
         """
-        Refuse the waiting calls for which no upstream is usable while they may wait.
+        Refuse the waiting calls for which no upstream becomes usable in time.
 
-        From when on one is, is the same for all that may run in the same regions.
+        ``usable_at`` is asked once for all calls with the same allowed regions.
         """
         refusal = outcomes.not_run(
             outcomes.Reason.NO_UPSTREAM, self.pool.usable_again_at(now)
@@ -91,7 +91,7 @@
     def _refuse_early(
         self, rule: outcomes.RefusalRule, now: ids.Instant
     ) -> outcomes.Refusal:
-        """Refuse a call for which ``rule`` says that it will get no room."""
+        """Refuse a call that, by ``rule``, will not get a slot in time."""
         return outcomes.not_run(
             outcomes.Reason.DEADLINE_HOPELESS,
             queueing.retry_at(self.pool, len(self.queue), now),
--- a/spindlenotch/decisions/availability.py
+++ b/spindlenotch/decisions/availability.py
@@ -1,9 +1,9 @@
 """
-From when on an upstream may take a call, and when a refused caller may come back.
+When an upstream may take a call, and when a refused caller may try again.
 
-Rules on the pool and the instant. Whether an upstream has a free slot does not count
-here: calls wait for one. What counts is whether it is ejected, cold, rests, or names a
-limit.
+Pure rules on the pool and the instant. Free slots are not considered: calls wait for
+one. What counts is whether an upstream is ejected, is cold, has asked for a pause or
+names a rate limit.
 """
 
 from collections import abc
@@ -20,9 +20,9 @@
     now: ids.Instant,
 ) -> ids.Instant:
     """
-    Return from when an upstream may take a call where it may run, or any call.
+    Return from when an upstream may take ``call``, or any call if it is None.
 
-    NEVER where none may, as far as that is known. ``barred`` upstreams take none.
+    NEVER if none is known to become usable. ``barred`` upstreams are left out.
     """
     found = ids.NEVER
     for upstream in pool.usable_order:
@@ -44,9 +44,9 @@
     pool: upstream_pool.Pool, free_at: ids.Instant, queued: int, now: ids.Instant
 ) -> ids.Instant:
     """
-    Return when a caller may come back whose call no upstream took.
+    Return when the caller of a call that no upstream took may try again.
 
-    ``free_at`` is from when one is usable, NEVER: that is not known.
+    ``free_at`` is from when an upstream is usable, NEVER if that is not known.
     """
     if free_at == ids.NEVER:
         return pool.usable_again_at(now)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -1,10 +1,11 @@
 """
-The front of the kernel: it decides on the calls of one service.
+The balancer of one service: entry point of the decision logic.
 
 Owns the queue, the budgets and the upstreams each call was sent to. The rules are
 in the modules beside it (``admission``, ``retrying``, ``hedging``, the selection
-policies); what is known of the upstreams is in ``upstream_pool``. Both daemons pass in
-calls, ends of calls and the instant, and carry out the grants it returns.
+policies); the state of the upstreams is in ``upstream_pool``. Both daemons pass in
+calls, results of calls and the current instant, and carry out the grants that it
+returns.
 """
 
 import collections
@@ -39,13 +40,13 @@
 
 class Balancer:
     """
-    Decides for one service in one process.
+    Decides on the calls of one service in one process.
 
     Invariants: a grant names an upstream that is listed, not leaving and not
     ejected; a call is never granted twice to the same upstream; a call that may
-    have run is granted again only where it is repeatable; every further grant is
-    taken from a budget, but for those that ``ExtraBudgets.counts_drains`` leaves out.
-    ``split`` is None unless the service changes its version.
+    have run is granted again only if it is repeatable; every further grant is
+    taken from a budget, except those that ``ExtraBudgets.counts_drains`` exempts.
+    ``split`` is None unless the service is rolling out a version.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         )
 
     def update_service(self, service: service_policy.ServicePolicy) -> None:
-        """Put a changed policy into force; estimates and calls stay."""
+        """Apply a changed policy; estimates and calls are kept."""
         if service.selection != self.service.selection:
             self.policy = selection.POLICIES.get(service.selection)()
         self.service = service
@@ -102,7 +103,7 @@
         report: upstreams.LoadReport | None,
         now: ids.Instant,
     ) -> list[verdicts.Settlement]:
-        """Record the end of a grant and hand the freed slot on."""
+        """Record the result of a grant and place waiting calls on the freed slot."""
         upstream = grant.upstream
         answered = result is upstreams.Result.ANSWERED
         took_s = now - grant.sent_at
@@ -112,7 +113,7 @@
                 self._learn_crowding(grant, report, took_s / typical_s)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
-        # The call ran at neither the first nor the last slowdown alone.
+        # The slowdown may have changed while the call ran: take the mean of both ends.
         slowdown = (grant.slowdown + upstream.slowdown(now)) / 2
         expected_s = typical_s * slowdown
         upstream.ended(grant.call.id, result, expected_s, now)
@@ -129,7 +130,8 @@
         self.pool.in_flight -= 1
         self.pool.completions.add(now)
         if self.split is None or not self.split.is_canary(upstream):
-            # Seven failures in a row of a tried version would end all retries.
+            # Otherwise seven failures in a row of a canary version would stop all
+            # retries of the service.
             self.pool.record_share(result)
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
@@ -146,13 +148,13 @@
         )
 
     def forget(self, call_id: ids.CallId) -> None:
-        """Drop what was kept to place further tries of a call."""
+        """Drop the state kept for placing further tries of a call."""
         self.tried_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
         self.repeats.forget(call_id)
 
     def settle(self, now: ids.Instant) -> list[verdicts.Settlement]:
-        """Refuse what is too late, then place waiting calls while one finds room."""
+        """Refuse expired calls, then place waiting calls while there is room."""
         settled = self.admission.refuse_expired(now)
         while (call := self.queue.head()) is not None:
             grant = self._grant(call, verdicts.Kind.FIRST, now)
@@ -169,11 +171,11 @@
 
     def refuse_hopeless(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """
-        Refuse the waiting calls that are not worth waiting for any longer.
+        Refuse the waiting calls that will not get a slot in time.
 
-        Called while calls wait. They get their final answer now rather than
-        at the deadline, with the instant from which to try again. One that finds
-        room in another region goes there instead.
+        Called periodically while calls wait. They get their final answer now rather
+        than at the deadline, with the instant from which to try again. A call for
+        which another region has room is sent there instead.
         """
         return [
             self._remote_instead(settlement, now)
@@ -181,22 +183,22 @@
         ]
 
     def next_turn(self, now: ids.Instant) -> ids.Instant:
-        """Return when the first waiting call has its turn; NEVER: not known."""
+        """Return when the first waiting call has its turn; NEVER if not known."""
         turns = self.pool.turns(now) if len(self.queue) else None
         return ids.NEVER if turns is None else turns.at(0)
 
     def withdraw(self, call_id: ids.CallId) -> None:
-        """Take a call out of the queue; its caller is gone."""
+        """Remove a call from the queue after its caller has disconnected."""
         self.queue.remove(call_id)
 
     def retry(
         self, grant: verdicts.Grant, now: ids.Instant, *, known_not_run: bool = False
     ) -> verdicts.Grant | None:
         """
-        Place another try of a failed call, if it may have one.
+        Place another try of a failed call, if it is allowed one.
 
-        ``known_not_run``: the upstream, or the lack of a connection to it,
-        said that this try has not run and never will.
+        ``known_not_run``: the upstream said that this try has not run and never
+        will, or no connection to it was made.
         """
         call = grant.call
         tries = retrying.Tries(
@@ -214,19 +216,19 @@
         return self._repeat(grant, verdicts.Kind.RETRY, now)
 
     def next_check(self, grant: verdicts.Grant, now: ids.Instant) -> ids.Instant:
-        """Return when to look again whether the answer is overdue."""
+        """Return when to check next whether the answer is overdue."""
         interval_s = hedging.check_interval_s(
             self.pool, grant.upstream, grant.call.latency_key
         )
         return ids.later(now, interval_s)
 
     def may_have_crashed(self, grant: verdicts.Grant, now: ids.Instant) -> bool:
-        """Tell whether a grant's upstream may have ended under it."""
+        """Return whether a grant's upstream may have crashed while running it."""
         p95_s = self.pool.latencies.p95_s(grant.call.latency_key)
         return silence.may_have_crashed(grant.upstream, grant.sent_at, p95_s, now)
 
     def hedge(self, grant: verdicts.Grant, now: ids.Instant) -> verdicts.Grant | None:
-        """Place a second copy of a call whose answer is overdue, if it may have one."""
+        """Place a second copy of a call whose answer is overdue, if allowed."""
         self._eject_if_frozen(grant, now)
         call = grant.call
         tries = len(self.tried_by_call.get(call.id, ()))
@@ -249,7 +251,7 @@
         if again is None:
             return None
         call_id = before.call.id
-        # A retry follows on a try that has ended; beside a hedge the try goes on.
+        # A retry follows a try that has ended; a hedge runs beside one that has not.
         is_read = kind is verdicts.Kind.RETRY
         self.repeats.begin(call_id, before.upstream, before.sent_at, is_read=is_read)
         self.repeats.sent(call_id, again.upstream, now)
@@ -272,7 +274,7 @@
         """
         Place the waiting calls that may leave their region by now.
 
-        Once one finds no room, none that may run in the same regions is tried.
+        Once a call finds no room, others with the same allowed regions are skipped.
         """
         sent: list[verdicts.Settlement] = []
         full: set[frozenset[ids.RegionName] | None] = set()
@@ -298,7 +300,7 @@
     def _grant_remote(
         self, call: waiting.Call, now: ids.Instant
     ) -> verdicts.Grant | None:
-        """Place a call that its region would refuse: now it may leave it."""
+        """Place a call that its own region would refuse in another region."""
         if not self.pool.far_order:
             return None
         may_leave = msgspec.structs.replace(call, far_from=now)
@@ -312,12 +314,12 @@
             self.pool.eject(upstream, ejection.SILENT, now)
 
     def next_retry_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
-        """Return when a caller may come back whose call no upstream took."""
+        """Return when the caller of a call that no upstream took may try again."""
         free_at = self._usable_at(call, now)
         return availability.next_retry_at(self.pool, free_at, len(self.queue), now)
 
     def _usable_at(self, call: waiting.Call | None, now: ids.Instant) -> ids.Instant:
-        """Return from when an upstream may take a call where it may run, or any."""
+        """Return from when an upstream may take ``call``, or any call if None."""
         barred = () if self.split is None else self.split.barred(self.pool)
         return availability.usable_at(self.pool, barred, call, now)
 
@@ -328,7 +330,7 @@
         now: ids.Instant,
         tried: set[ids.UpstreamId],
     ) -> selection.Choice | None:
-        """Choose an upstream; a version that is tried gets first tries only."""
+        """Choose an upstream; a canary version gets first tries only."""
         if self.split is None:
             return self.policy.choose(self.pool, call, now, tried)
         if kind is verdicts.Kind.FIRST:
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -1,7 +1,7 @@
 """
-When a second copy of a call goes out although the first has not failed.
+When a call is hedged: a second copy is sent although the first has not failed.
 
-The rules on one call: when to look at it, whether its answer is overdue, and
+The rules for one call: when to check it, whether its answer is overdue, and
 whether it may be hedged at all. ``Balancer`` adds the budget of the service and
 the choice of another upstream. Relies on ``silence`` and ``overload``.
 """
@@ -10,8 +10,8 @@
 from spindlenotch.decisions import overload, silence
 from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
-#: Answers that an upstream must have missed to count as stuck: if answers came at
-#: random, a healthy one would miss that many with probability exp(-4), about 2 in 100.
+#: Missed answers above which an upstream counts as stuck: if answers came at random, a
+#: healthy one would miss that many with probability exp(-4), about 2 in 100.
 MISSED_ANSWERS = 4.0
 #: A call at a slowed upstream is hedged after this share of its typical latency.
 SLOWED_AGE_SHARE = 0.6
@@ -26,10 +26,10 @@
     pool: upstream_pool.Pool, upstream: upstreams.Upstream, latency_key: str
 ) -> float:
     """
-    Return after how many seconds an outstanding call is looked at again.
+    Return after how many seconds an outstanding call is checked again.
 
     A reported slowdown can make a call overdue before its typical latency has
-    passed, so the checks are closer together where upstreams report any.
+    passed, so checks are more frequent for upstreams that report slowdowns.
     """
     interval_s = pool.latencies.typical_s(latency_key)
     if upstream.reports_slowdown:
@@ -45,11 +45,11 @@
     now: ids.Instant,
 ) -> bool:
     """
-    Tell whether the answer to a call sent at ``sent_at`` is overdue.
+    Return whether the answer to a call sent at ``sent_at`` is overdue.
 
-    It is where the call is slower than 95 in 100, where its upstream is slowed
-    and the call already old, or where the upstream as a whole has been silent
-    for longer than chance explains.
+    It is if the call is older than the 95th percentile of the latency, if its upstream
+    is slowed and the call older than a share of its typical latency, or if the upstream
+    as a whole has been silent for longer than chance explains.
     """
     age_s = now - sent_at
     if age_s > pool.latencies.p95_s(latency_key):
@@ -65,10 +65,10 @@
     pool: upstream_pool.Pool, call: waiting.Call, tries: int, queued: int
 ) -> bool:
     """
-    Tell whether a call that was sent to ``tries`` upstreams may be hedged.
+    Return whether a call that was sent to ``tries`` upstreams may be hedged.
 
-    A call has one hedge at most. While ``queued`` calls wait or much fails, a
-    hedge would only take the slot of a call that has not been sent at all.
+    A call has one hedge at most. While calls are ``queued`` or many fail, a hedge
+    would only take the slot of a call that has not been sent at all.
     """
     if not call.repeatable or tries != 1 or tries >= call.most_tries:
         return False
--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -1,16 +1,16 @@
 """
-Whether a service gets more calls than it can carry, or fails most of them.
+Whether a service is overloaded, or fails a large share of its calls.
 
-Two rules on the pool's running means. ``owned_slots`` queues in the entry rather
-than at the upstreams under overload; ``retrying`` and ``hedging`` send nothing
-extra to a service that fails.
+Two rules on the pool's running means. Under overload, ``owned_slots`` queues calls in
+the entry rather than at the upstreams; ``retrying`` and ``hedging`` send no extra
+requests to a failing service.
 """
 
 from spindlenotch.kernel import upstream_pool
 
 #: Share of recently offered calls refused above which a service is overloaded.
 REFUSED_SHARE = 0.05
-#: Calls queued per own slot above which it is overloaded.
+#: Queued calls per owned slot above which a service is overloaded.
 QUEUED_PER_SLOT = 5.0
 #: Share of recent answers that are failures above which retries and hedges would only
 #: add load.
@@ -18,12 +18,12 @@
 
 
 def is_overloaded(pool: upstream_pool.Pool) -> bool:
-    """Tell whether calls are being refused, or queue in number."""
+    """Return whether too many calls are being refused or queued."""
     if pool.refused_share.value > REFUSED_SHARE:
         return True
     return pool.waiting > QUEUED_PER_SLOT * pool.owned_total
 
 
 def is_failing(pool: upstream_pool.Pool) -> bool:
-    """Tell whether so many calls fail that extra ones only add load."""
+    """Return whether so many calls fail that extra ones only add load."""
     return pool.failed_share.value > FAILED_SHARE
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -1,22 +1,22 @@
 """
-When a call waits in the entry, for how long, and what a refusal says.
+When a call is queued, for how long, and when a refused caller should try again.
 
-Rules on values: pool, queue, call and instant in, verdict out. They rely on
-``upstream_pool`` for typical latencies and the rate at which calls end, and on
-``waiting`` for the order of the queue. ``Balancer`` applies them when a call is
-offered, when a slot becomes free and at each queue check.
+Pure rules on the pool, queue, call and instant. They rely on ``upstream_pool`` for
+typical latencies and the completion rate, and on ``waiting`` for the order of the
+queue. ``Balancer`` applies them when a call is offered, when a slot becomes free and
+at each queue check.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import outcomes, upstream_pool, waiting
 
-#: Least wait in seconds that a refused caller is asked to keep before it tries again.
+#: Shortest delay in seconds that a refused caller is given before it tries again.
 MIN_RETRY_AFTER_S = 0.05
-#: Fewest ends a second that the estimate of a wait divides by, so that it stays finite
-#: where nothing ends.
+#: Lowest completion rate, per second, that the estimate of a wait divides by, so that
+#: the estimate stays finite when nothing completes.
 MIN_COMPLETIONS_PER_S = 1.0
-#: Seconds by which a new call must have its turn sooner than it has to: turns are taken
-#: somewhat late, and a call that was let wait should not be refused after all.
+#: Seconds by which the turn of a new call must come before its limit: turns are taken
+#: somewhat late, and a call that was queued should not be refused later.
 TURN_RESERVE_S = 0.02
 
 
@@ -24,8 +24,8 @@
     """
     Estimate the wait in seconds behind ``ahead`` calls.
 
-    They get their turn as calls of this process end, or as often as the upstreams take
-    any where all of them name limits. Zero until that rate is known.
+    Calls get their turn as calls of this process complete, or, where all upstreams
+    name rate limits, at the rate that these allow. Zero until that rate is known.
     """
     turns = pool.turns(now)
     if turns is not None:
@@ -46,9 +46,9 @@
     """
     Return why a call behind ``ahead`` others is refused at once, or None.
 
-    It would miss its deadline, or wait for longer than it may, with ``reserve_s``
-    seconds to spare. Refusing it leaves the caller time to try elsewhere, and no slot
-    is spent on an answer that comes too late.
+    It is refused if it would miss its deadline, or wait for longer than it may, with
+    ``reserve_s`` seconds to spare. Refusing it early leaves the caller time to try
+    elsewhere, and no slot is spent on an answer that comes too late.
     """
     wait_s = expected_wait_s(pool, ahead, now) + reserve_s
     typical_s = pool.latencies.typical_s(call.latency_key)
@@ -73,8 +73,8 @@
     """
     Return why a waiting call behind ``ahead`` others is refused now, or None.
 
-    Either it has waited as long as it may (``wait_until``), or it will not get
-    its turn in time.
+    It is refused if it has waited as long as it may (``wait_until``), or if it will
+    not get its turn in time.
     """
     if now >= call.wait_until:
         return outcomes.RefusalRule.WAIT_OVER
@@ -85,7 +85,7 @@
     """
     Return when a refused caller should try again.
 
-    That is when the ``queued`` calls and one more will have been served.
+    That is when ``queued`` calls and one more are expected to have been served.
     """
     wait_s = expected_wait_s(pool, queued + 1, now)
     return ids.later(now, max(MIN_RETRY_AFTER_S, wait_s))
@@ -93,10 +93,10 @@
 
 def displaced_by(queue: waiting.WaitQueue, call: waiting.Call) -> waiting.Call | None:
     """
-    Return the waiting call that gives up its place in a full queue.
+    Return the waiting call that ``call`` displaces from a full queue.
 
-    It is the newest of the least urgent. None where nothing that waits is less
-    urgent than ``call``, which is then refused itself.
+    It is the newest of the least urgent calls. None if no waiting call is less urgent
+    than ``call``, which is then refused itself.
     """
     candidate = queue.least_urgent()
     if candidate is None or candidate.rank <= call.rank:
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -1,7 +1,7 @@
 """
-When a failed call is sent to another upstream.
+When a failed call is retried at another upstream.
 
-The rule on one call; ``Balancer`` adds the budget of the service and the choice
+The rule for one call; ``Balancer`` adds the budget of the service and the choice
 of an upstream that the call has not been sent to. Relies on ``overload`` for
 the state of the service as a whole.
 """
@@ -12,20 +12,21 @@
 from spindlenotch.decisions import overload
 from spindlenotch.kernel import upstream_pool, waiting
 
-#: Tries that reached nobody and leave a call its others: each takes a moment, and where
-#: many upstreams have ended the news of that is sooner there.
+#: Tries without a connection that do not count against a call's limit. Not more,
+#: as each takes time, and where many upstreams have gone the news of that arrives
+#: sooner.
 MAX_UNREACHED = 3
 
 
 class Tries(msgspec.Struct, frozen=True):
-    """The tries of a call: ``unreached`` of those ``sent`` found nobody there."""
+    """The tries of a call: ``unreached`` of those ``sent`` got no connection."""
 
     sent: int
     unreached: int
 
     @property
     def counted(self) -> int:
-        """Return how many count: those that may have reached an upstream."""
+        """Return how many tries count against the limit of the call."""
         return self.sent - min(self.unreached, MAX_UNREACHED)
 
 
@@ -38,13 +39,14 @@
     known_not_run: bool,
 ) -> bool:
     """
-    Tell whether a call may get another try.
+    Return whether a call may get another try.
 
     Where it is positively known that the failed try has not run and never
     will, another try cannot run the call twice and adds no work, so neither
-    ``repeatable`` nor failures of the whole service matter. A try that reached nobody
-    is none of the call's: beside upstreams that end, 23 of 1,920 requests were lost,
-    22 of them as their retry found one that had just ended (real gateways).
+    ``repeatable`` nor failures of the whole service matter. A try without a connection
+    does not count against ``most_tries``: while upstreams were going away, 23 of 1,920
+    requests were lost on real gateways, 22 of them because their retry went to an
+    upstream that had just gone.
     """
     if call.deadline <= now or tries.counted >= call.most_tries:
         return False
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -1,17 +1,17 @@
 """
-What the silence of an upstream with outstanding calls says of it.
+Failure detection from the silence of an upstream with outstanding calls.
 
-An answer that is overdue says more than those that came. The unit is the
-number of answers that a healthy upstream would have given in the time of the
-silence. Used by both cost estimates and by ``hedging``.
+An overdue answer tells more about an upstream than past answers. Silence is measured
+in missed answers: the number that a healthy upstream would have given in that time.
+Used by both cost estimates and by ``hedging``.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import upstreams
 
-#: Missed answers that cost nothing yet.
+#: Missed answers that add no cost.
 TOLERATED_MISSED_ANSWERS = 3.0
-#: What each further one costs, as a share of the typical latency.
+#: Cost of each further missed answer, as a share of the typical latency.
 COST_PER_MISSED_ANSWER = 0.3
 
 
@@ -19,7 +19,7 @@
     upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
 ) -> float:
     """
-    Return how many answers it should have given since its last one.
+    Return how many answers an upstream should have given since its last one.
 
     ``typical_s`` is the service's typical latency in seconds.
     """
@@ -33,10 +33,11 @@
     now: ids.Instant,
 ) -> bool:
     """
-    Tell whether an upstream may have ended under a try that was sent at ``sent_at``.
+    Return whether an upstream may have crashed since a try was sent at ``sent_at``.
 
-    So it may where nothing was heard of it for longer than 95 in 100 answers take: one
-    that loses its host closes no connection.
+    It may have if nothing was heard of it for longer than ``p95_s``, the 95th
+    percentile of the latency in seconds: an upstream whose host fails closes no
+    connection.
     """
     return now - max(sent_at, upstream.hearing.heard_at) > p95_s
 
@@ -44,7 +45,7 @@
 def overdue_cost(
     upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
 ) -> float:
-    """Return what its silence costs, as a share of the typical latency."""
+    """Return the cost of an upstream's silence, as a share of the typical latency."""
     if not upstream.sent_at_by_call and not upstream.hearing.owes:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
--- a/spindlenotch/decisions/verdicts.py
+++ b/spindlenotch/decisions/verdicts.py
@@ -1,10 +1,10 @@
 """
-What the balancer returns: the messages between it and the data path.
+The values that the balancer returns to the data path.
 
 A call that is offered gets a ``Grant``, a place in the queue (``Waiting``) or a
-refusal of ``kernel.outcomes``; what becomes of a waiting call follows as a
-``Settlement``. ``Decision`` is what is kept of each grant for ``explain``. Values
-only; nothing here decides.
+refusal of ``kernel.outcomes``; the verdict on a waiting call follows as a
+``Settlement``. ``Decision`` is the record of a grant for ``explain``. Values only;
+no decisions are made here.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class Kind(enum.Enum):
-    """Which try of a call a grant is."""
+    """The kind of try that a grant is for."""
 
     FIRST = "first"
     RETRY = "retry"
@@ -27,11 +27,11 @@
     """
     Permission to send a call to one upstream now.
 
-    What is told of the upstream is of the moment it was granted: ``slowdown`` is how
-    many times its typical time work takes there, ``load`` the number of
-    requests in the upstream, this one included, ``to_cold`` whether it was taken to be
-    cold. ``taken_from`` is the part of the budget that a retry or a hedge was taken
-    from; None for a first try.
+    The state of the upstream is that at ``sent_at``: ``slowdown`` is the factor by
+    which it was slowed, ``load`` the estimated number of requests in it, this one
+    included, ``to_cold`` whether it counted as cold. ``taken_from`` is the part of the
+    budget that a retry or a hedge was taken from; None for a first try, and for a
+    retry that takes nothing from a budget.
     """
 
     call: waiting.Call
@@ -46,9 +46,9 @@
 
 class Waiting(msgspec.Struct, frozen=True):
     """
-    The call waits in the queue; a settlement follows.
+    The call was queued; a settlement follows.
 
-    ``displaced`` settles a less urgent call whose place it took.
+    ``displaced`` settles the less urgent call whose place it took in a full queue.
     """
 
     call: waiting.Call
@@ -56,14 +56,14 @@
 
 
 class Settlement(msgspec.Struct, frozen=True):
-    """What became of a call that waited."""
+    """The verdict on a call that waited."""
 
     call: waiting.Call
     verdict: Grant | outcomes.Refusal
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """A decision as remembered for ``explain``."""
+    """A decision as recorded for ``explain``."""
 
     at: ids.Instant
     call: ids.CallId
