--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -1,8 +1,8 @@
 """
 The baseline policies: random, round robin, least outstanding, two choices.
 
-They stay because a signed bundle may name them. None reads load reports or
-limits how much an upstream gets; the project recommends ``owned_slots``.
+They are kept because a signed bundle may name them. None reads load reports or
+limits how much an upstream gets; ``owned_slots`` is recommended instead.
 """
 
 from collections import abc
@@ -16,12 +16,12 @@
 Options = abc.Callable[
     [upstream_pool.Pool, ids.Instant, selection.Exclusion], list[upstreams.Upstream]
 ]
-#: Which of them, at least one, is taken.
+#: Which of them is chosen; there is at least one.
 Pick = abc.Callable[[upstream_pool.Pool, list[upstreams.Upstream]], upstreams.Upstream]
 
 
 class Baseline(msgspec.Struct, frozen=True):
-    """Takes one of some upstreams by a single comparison."""
+    """Chooses one of some upstreams by a single comparison."""
 
     rule: selection.Rule
     pick: Pick
@@ -34,7 +34,7 @@
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
-        """Pick one; None where no upstream may take the call."""
+        """Choose an upstream; None if none may take the call."""
         options = self.options(pool, now, exclude)
         if not options:
             return None
@@ -48,32 +48,36 @@
 
 @selection.POLICIES.register("random")
 def random_upstream() -> selection.Policy:
-    """Return a policy that takes any upstream."""
+    """Return a policy that chooses a random upstream."""
     return Baseline(selection.Rule.RANDOM, _pick_random)
 
 
 @selection.POLICIES.register("round-robin")
 def round_robin() -> selection.Policy:
-    """Return a policy that takes each upstream in turn, from a random start."""
+    """Return a policy that chooses each upstream in turn, from a random start."""
     return Baseline(selection.Rule.ROUND_ROBIN, _RoundRobin().pick)
 
 
 @selection.POLICIES.register("least-outstanding")
 def least_outstanding() -> selection.Policy:
-    """Return a policy that takes the fewest own calls, ties broken at random."""
+    """
+    Return a policy that chooses the upstream with the fewest outstanding calls.
+
+    Only calls of this process count; ties are broken at random.
+    """
     return Baseline(selection.Rule.LEAST_OUTSTANDING, _pick_least_outstanding)
 
 
 @selection.POLICIES.register("two-choices")
 def two_choices() -> selection.Policy:
-    """Return a policy that takes the better of two random upstreams."""
+    """Return a policy that chooses the less busy of two random upstreams."""
     return Baseline(
         selection.Rule.TWO_CHOICES, _pick_first_least_outstanding, _sample_two
     )
 
 
 class _RoundRobin:
-    """The position in the order of upstreams."""
+    """The position of a round-robin policy in the order of upstreams."""
 
     def __init__(self) -> None:
         self.position: int | None = None
--- a/spindlenotch/decisions/evacuation.py
+++ b/spindlenotch/decisions/evacuation.py
@@ -1,20 +1,20 @@
 """
-When the upstreams of an evacuated zone get their last request.
+Gradual removal of the upstreams of an evacuated zone.
 
-Answers one load pattern: a third of the upstreams leaves at once while the others
-are busy. Moved in one instant, their requests meet the others' estimates before
-these can tell; moved over part of the operator's bound, they follow what the others
-report. Pure.
+Handles the loss of a third of the upstreams at once while the others are busy. If all
+requests moved in one instant, they would be placed before the load reports of the other
+upstreams reflect them; spread over part of the operator's bound, they follow these
+reports. Pure.
 """
 
 import zlib
 
 from spindlenotch import ids
 
-#: Share of the operator's bound over which the upstreams of a zone leave. What is
-#: left of it is for the news to reach all gateways, and for requests under way to
-#: arrive. With all at once the share of credit was lower by 0.006 (0.000 to 0.014;
-#: means of 7 paired plays of small fleets); other shares were not tried.
+#: Share of the operator's bound over which the upstreams of a zone are removed. The
+#: rest of it is for the evacuation to reach all gateways and for requests in transit to
+#: arrive. Removing all at once lowered the share of credit by 0.006 (0.000 to 0.014;
+#: means of 7 paired runs of small fleets).
 SPREAD_SHARE = 0.3
 #: Number of different checksums.
 CHECKSUM_COUNT = 2**32
@@ -27,7 +27,7 @@
     Return when an upstream whose zone is evacuated gets no more requests.
 
     ``told_at`` is when this gateway learnt of the evacuation, ``bound_s`` the seconds
-    that the operator allows. Every gateway takes the same upstreams first.
+    that the operator allows. The order of the upstreams is the same in all gateways.
     """
     position = zlib.crc32(upstream_id.encode()) / CHECKSUM_COUNT
     return ids.later(told_at, SPREAD_SHARE * bound_s * position)
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -1,11 +1,11 @@
 """
-The policy for upstreams that report slowdowns: the soonest expected end.
+The least expected latency policy, for upstreams that report slowdowns.
 
 Other load on its host can slow an upstream several times over for half a second.
 The expected latency at each upstream is estimated from its reported slowdown,
-load and zone, and the least is taken. An upstream without room gets nothing:
+load and zone, and the lowest is taken. An upstream without room gets nothing:
 calls wait here, by priority. They also wait while only slowed upstreams have
-room: work at a slowed one is late and holds its slot for many times as long.
+room: a slowed upstream answers late and holds the slot for many times as long.
 """
 
 from spindlenotch import ids, selection
@@ -13,40 +13,42 @@
 from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
 
 NAME = "paced"
-#: How far the estimated load may lie above the slots for an upstream to have
-#: room: estimates of other processes' requests are fractions.
+#: Requests by which the estimated load may exceed the slots of an upstream that still
+#: has room: estimates of other processes' requests are fractions.
 ROOM_MARGIN = 0.25
 #: Share of its slots in use from which an upstream is expected to be slower, rising to
-#: ``FULL_SLOWDOWN`` when all are in use. It weighs upstreams against each other;
-#: ``crowding.NEARLY_FULL`` is where slots stop being used.
+#: ``FULL_SLOWDOWN`` when all are in use. Only used to compare upstreams; the share
+#: above which slots are left empty is ``crowding.NEARLY_FULL``.
 SLOWER_FROM_SHARE = 0.7
-#: How much longer work takes when all slots are in use, as a share.
+#: Increase in latency when all slots are in use, as a share.
 FULL_SLOWDOWN = 0.7
-#: How many times its typical time work takes in an upstream that is warming up.
+#: Latency at an upstream that is warming up, as a multiple of the typical one.
 COLD_FACTOR = 2.0
-#: Least latency ratio that counts.
+#: Lower bound of the latency ratio in the estimate.
 MIN_LATENCY_RATIO = 0.7
-#: Answers with which an upstream's own latency ratio counts as much as that of all.
+#: Answers at which an upstream's own latency ratio weighs as much as the mean of all.
 ANSWERS_TRUSTED = 10.0
-#: What a failure costs a call that may run again, in units of its work: the time
-#: until it is known, and a further try. Not more, or none of them tries a failing
-#: upstream, and those that may not be repeated find out that it fails.
+#: Cost of a failure for a repeatable call, as a multiple of its expected latency: the
+#: time until the failure is known, and another try. With a higher cost no repeatable
+#: call would try a failing upstream, and calls that may not be repeated would be the
+#: ones to detect that it fails.
 REPEATABLE_COST = 0.7
-#: And one that may not: it is lost.
+#: The same for a call that may not be repeated, and is lost.
 UNREPEATABLE_COST = 15.0
-#: Costs within this share of the least are taken for equal.
+#: Costs within this share of the lowest are treated as equal.
 NEAR_SHARE = 0.08
-#: Upstreams compared for one call. Of more than that samples are drawn, from the
-#: own zone and from all: a call must not cost more where there are more upstreams.
+#: Most upstreams compared for one call. From a larger pool samples are drawn, from the
+#: local zone and from the whole region: the time to decide on a call must not grow with
+#: the pool.
 MAX_COMPARED = 40
-#: How many of them are drawn from the own zone.
+#: How many of them are drawn from the local zone.
 LOCAL_COMPARED = 24
 
 
 @selection.POLICIES.register(NAME)
 class LeastLatencyPolicy:
     """
-    Chooses the upstream with the soonest expected end.
+    Chooses the upstream with the least expected latency.
 
     Invariant: an upstream that is estimated to have no room is not chosen.
     """
@@ -59,10 +61,11 @@
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
         """
-        Take one of the nearly soonest at random, so that not all take the same.
+        Choose at random among upstreams whose cost is close to the lowest.
 
-        One of the own zone where there is any: elsewhere the call would be as soon
-        at its end, and its bytes cross between zones.
+        Random, so that processes do not all choose the same one. Upstreams of the
+        local zone are preferred: the others are no faster, and using them sends
+        bytes between zones.
         """
         cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
         if pool.far_order:
@@ -89,7 +92,7 @@
     def reported(
         self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Ignore the queue: no upstream gets more than its slots."""
+        """Ignore the reported queue: no upstream gets more than its slots."""
 
 
 def _options(
@@ -98,12 +101,12 @@
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
-    """Return the upstreams of the own region that are compared."""
+    """Return the upstreams of the local region that are compared."""
     if len(pool.near_order) > MAX_COMPARED:
         options = _sample(pool, now, exclude)
     else:
         options = selection.eligible_among(pool.near_order, now, exclude)
-    # A further try takes a slowed one rather than none once the wait is over.
+    # After its wait is over, a further try takes a slowed upstream rather than none.
     if exclude and now >= call.wait_until:
         return options
     return without_slowed(options, now)
@@ -112,7 +115,7 @@
 def _sample(
     pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
 ) -> list[upstreams.Upstream]:
-    """Return some upstreams of the own zone, and some of the own region."""
+    """Return random upstreams of the local zone, and of the whole local region."""
     rng = pool.rng
     local = selection.sample(pool.local_order, LOCAL_COMPARED, rng, now, exclude)
     count = MAX_COMPARED - len(local)
@@ -127,7 +130,7 @@
     options: list[upstreams.Upstream],
     now: ids.Instant,
 ) -> dict[ids.UpstreamId, float]:
-    """Return the expected time in seconds at each upstream that has room."""
+    """Return the cost in seconds by upstream, for those that have room."""
     typical_s = pool.latencies.typical_s(call.latency_key)
     cost_by_id: dict[ids.UpstreamId, float] = {}
     for upstream in options:
@@ -142,11 +145,11 @@
     options: list[upstreams.Upstream], now: ids.Instant
 ) -> list[upstreams.Upstream]:
     """
-    Return those that are not slowed, or all where all are.
+    Return the upstreams that are not slowed, or all if all are slowed.
 
-    While one of the others may get room a call had better wait for it, and at the end
-    of its wait be refused: of a saturated service a quarter of the first tries would
-    go to slowed ones.
+    While one that is not slowed may get room, a call waits for it, and is refused at
+    the end of its wait: otherwise a quarter of the first tries of a saturated service
+    would go to slowed upstreams.
     """
     others = [u for u in options if u.slowdown(now) <= upstreams.SLOWED_FACTOR]
     return others or options
@@ -155,7 +158,7 @@
 def has_room(
     upstream: upstreams.Upstream, load: float, crowded: crowding.Crowding
 ) -> bool:
-    """Tell whether one more request would start there at once and slow no other."""
+    """Return whether one more request would start at once without slowing others."""
     usable = crowded.usable(upstream.slots, sample=upstream.crowding_sample)
     return load + 1 <= usable + ROOM_MARGIN
 
@@ -164,10 +167,10 @@
     pool: upstream_pool.Pool, upstream: upstreams.Upstream
 ) -> float:
     """
-    Return its latency ratio; with few answers mostly that of all upstreams.
+    Return an upstream's latency ratio, shrunk towards the mean of all upstreams.
 
-    One that has answered less than the others would otherwise be passed over
-    for the mere reason that nothing is known of it.
+    The fewer answers it has given, the more the mean counts. Otherwise an upstream
+    would be avoided only because little is known of it.
     """
     trust = upstream.answers / (upstream.answers + ANSWERS_TRUSTED)
     overall = pool.latency_ratio.value
@@ -181,10 +184,10 @@
     now: ids.Instant,
 ) -> float:
     """
-    Return what failures there are expected to cost the call, in units of its work.
+    Return the expected cost of failures, as a multiple of the call's latency.
 
-    Only what the upstream fails beyond the mean of all counts: where all fail
-    alike, the cause is the requests or what the upstreams share.
+    Only the failure share above the mean of all upstreams counts: where all fail
+    alike, the cause is the requests or something that the upstreams share.
     """
     beyond = upstream.failure_share.value(now) - pool.failed_share.value
     if beyond <= 0.0:
@@ -201,7 +204,9 @@
     now: ids.Instant,
 ) -> float:
     """
-    Estimate how long the call would take there, in seconds.
+    Estimate the cost of sending the call to ``upstream``, in seconds.
+
+    It is the expected latency plus costs for failures, silence and distance.
 
     ``load`` is the estimated number of requests in the upstream, ``typical_s``
     the typical latency of this kind of call in seconds.
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -1,35 +1,36 @@
 """
-When a call leaves its region for an upstream of another one, and for which.
+Cross-region overflow: when a call is sent to another region, and to which upstreams.
 
-Answers one load pattern: a burst fills the upstreams of one region while others have
-room. Of far upstreams only the mean load of their region is known, seconds old, and
-each byte there costs many times as much. Pure rules; ``least_latency`` applies them
-where the own region has no room.
+Handles a burst that fills the upstreams of one region while others have room. Of the
+upstreams in other regions only the mean load of the region is known, seconds old, and
+each byte sent there costs many times as much. Pure rules; ``least_latency`` applies
+them where the local region has no room.
 """
 
 from spindlenotch import ids, selection
 from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
-#: Upstreams of other regions that are compared for a call that may go there: such
-#: calls are few, and what is known of far upstreams is old.
+#: Most upstreams of other regions compared for a call that may go there: such calls
+#: are few, and what is known of these upstreams is old.
 MAX_COMPARED = 8
-#: Share of its slots in use above which a region gets no more calls of others: what
-#: is left is for the bursts of its own, and what is known of it is seconds old.
+#: Share of its slots in use above which a region gets no more calls from others: the
+#: rest is for its own bursts, and what is known of its load is seconds old.
 MAX_USED_SHARE = 0.75
-#: How much less full than the own region another must be to take calls that have room
-#: here, as a share: regions that are alike would only swap calls.
+#: Least difference between the used shares of the local region and another for calls
+#: that have room here to go there: regions that are alike would only swap calls.
 MIN_USED_DIFFERENCE = 0.25
-#: How many times as long as expected work is taken to last at a far upstream: at near
-#: ones the slowed are known and passed over, at far ones they are not.
+#: Latency in another region, as a multiple of the expected one: slowed upstreams are
+#: known and avoided in the local region, but not in others.
 REMOTE_LATENCY_FACTOR = 1.3
-#: What the way to another region and back costs a call, in seconds: the round trip
-#: between places some hundred kilometres apart, and that of a new connection.
+#: Cost of sending a call to another region, in seconds: the round trip between sites
+#: some hundred kilometres apart, and that of a new connection.
 CROSS_REGION_S = 0.03
-#: What each byte of a request and its answer costs beside that, in seconds: eight
-#: times a byte between zones (``job_factory.CROSS_ZONE_S_PER_BYTE``), as the lines
-#: between regions are few, and all hosts share them.
+#: Additional cost of each byte of a request and its answer, in seconds: eight times a
+#: byte between zones (``job_factory.CROSS_ZONE_S_PER_BYTE``), as there are few links
+#: between regions and all hosts share them.
 CROSS_REGION_S_PER_BYTE = 2e-5
-#: Share of the time that a call may wait after which it leaves whatever it costs.
+#: Share of the time that a call may wait after which it may leave its region, whatever
+#: that costs.
 MAX_WAIT_SHARE = 0.5
 
 
@@ -40,11 +41,11 @@
     exclude: selection.Exclusion,
 ) -> bool:
     """
-    Tell whether a call that finds no room in its region may leave it.
+    Return whether a call that finds no room in its region may leave it.
 
-    Once it has waited as long as the way costs: so it costs at most twice what the
-    better of the two would have. A further try doesn't wait, nor does a call whose
-    region has no upstream that may take it.
+    It may once it has waited as long as the cost of crossing, so that the total cost is
+    at most twice that of the better choice. A further try doesn't wait, nor does a call
+    whose region has no upstream that may take it.
     """
     if not pool.far_order:
         return False
@@ -57,10 +58,11 @@
     pool: upstream_pool.Pool, call: waiting.Call, near_s: float
 ) -> bool:
     """
-    Tell whether the way may bring an answer sooner than the best near upstream.
+    Return whether another region may answer sooner than the best local upstream.
 
-    ``near_s`` is the expected time there. So few upstreams are left in the own region
-    that all are slow, and another region is far less full.
+    ``near_s`` is the cost of the local upstream in seconds. This happens where so few
+    upstreams are left in the local region that all are slow, while another region is
+    much less full.
     """
     if not pool.far_order or not pool.far_used_by_region:
         return False
@@ -78,12 +80,12 @@
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """
-    Return the upstreams of other regions that are compared, in allowed ones only.
+    Return upstreams of other regions that are compared, in allowed regions only.
 
-    ``near_s`` is the expected time at the best of the own region, None where none has
-    room. There are none while the call had better stay. Else those of regions that are
-    heard of and have room; where the own region has none that may take the call, those
-    of any region that doesn't say that it is full.
+    ``near_s`` is the cost in seconds of the best local upstream, None where none has
+    room. The result is empty while the call should stay in its region. Otherwise it is
+    sampled from the regions that report their load and have room; where no local
+    upstream may take the call, from any region that does not report to be full.
     """
     if near_s is None:
         leaves = may_leave_region(pool, call, now, exclude)
@@ -104,7 +106,11 @@
 
 
 def cross_region_cost_s(size: float) -> float:
-    """Return what the way costs a call whose request and answer have these bytes."""
+    """
+    Return the cost in seconds of sending a call to another region.
+
+    ``size`` is the number of bytes of its request and answer.
+    """
     return CROSS_REGION_S + CROSS_REGION_S_PER_BYTE * size
 
 
@@ -112,10 +118,10 @@
     arrived_at: ids.Instant, wait_until: ids.Instant, cross_region_cost_s: float
 ) -> ids.Instant:
     """
-    Return from when a call may go far: once it has waited as long as the way costs.
+    Return from when a call may go to another region.
 
-    Not later than half of what it may wait: an answer from afar is better than a
-    refusal.
+    That is once it has waited as long as the cost of crossing, and not later than half
+    of the time that it may wait: a slow answer is better than a refusal.
     """
     return ids.later(
         arrived_at,
@@ -125,10 +131,10 @@
 
 def used_share(pool: upstream_pool.Pool, now: ids.Instant) -> float:
     """
-    Return how full the own region is: the share in use of what its upstreams can run.
+    Return the share of the local region's usable slots that are in use.
 
-    Slots that stay empty because the service is crowded don't count, nor do upstreams
-    that are slowed or ejected; 1 where there are no others.
+    Slots left empty because of crowding don't count, nor do upstreams that are slowed
+    or ejected; 1 if there are no others.
     """
     sound = [u for u in pool.near_order if _is_healthy(u, now)]
     crowded = pool.crowding
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -1,12 +1,13 @@
 """
-The policy for bundles: own slots first, then the cheapest of a few, in limits.
-
-Calls go to the slots this entry owns (see ``ownership``), where its own count is
-nearly exact without any measuring. When those are busy it compares the own
-upstreams with a few others by estimated cost (``queueing_cost``). The limit of
-calls in flight follows the queues that upstreams report; beyond it calls wait in
-the entry, where the more urgent can still pass. Under overload the limit is the
-own slots: no queue forms at the upstreams, and urgent calls find a free slot.
+The owned-slots policy, for services of bundles.
+
+Calls go to the slots that this entry owns (see ``ownership``), where its own count of
+calls is nearly exact without any measuring. When those are busy, the upstreams with
+owned slots are compared with a few others by estimated cost (``queueing_cost``). The
+limit of calls in flight adapts to the queues that upstreams report; beyond it calls
+wait in the entry, where more urgent ones can still overtake them. Under overload the
+limit falls to about the number of owned slots: no queue forms at the upstreams, and
+urgent calls find a free slot.
 """
 
 import itertools
@@ -16,29 +17,28 @@
 from spindlenotch.decisions import overload, queueing_cost
 from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
-#: Upstreams compared besides the own ones. Few, and random, so that many entries with
-#: the same stale estimate do not all pick the same one.
+#: Upstreams compared besides the owned ones. Few and random, so that many entries with
+#: the same stale estimate do not all choose the same one.
 SAMPLE_SIZE = 8
-#: Own upstreams with room that are compared, and own ones when all are busy.
-#: Bounds the time of a decision where an entry owns slots in many.
+#: Owned upstreams with room that are compared, and owned ones when all are busy.
+#: Bounds the time of a decision where an entry owns slots in many upstreams.
 OWN_COMPARED = 4
 OWN_COMPARED_BUSY = 4
-#: Cost (a multiple of the typical latency) from which an own upstream competes
-#: with the others.
+#: Cost (a multiple of the typical latency) above which an owned upstream is compared
+#: with others.
 SLOW_COST = 1.6
-#: Least calls in flight per own slot. Above one, so that a slot does not idle while its
-#: answer is on its way.
+#: Lower bound of the factor: the limit of calls in flight per owned slot. Above one, so
+#: that a slot is not idle while its answer is in transit.
 MIN_FACTOR = 1.15
-#: Most calls in flight per own slot.
+#: Upper bound of the factor, in calls per owned slot.
 MAX_FACTOR = 8.0
-#: Added to the factor with each report of a short queue.
+#: Increase of the factor with each report of a short queue.
 FACTOR_STEP = 0.01
-#: The factor is multiplied by this with each report of a long queue.
+#: Multiplies the factor with each report of a long queue.
 FACTOR_DECAY = 0.99
-#: Calls queued per slot of an upstream above which the factor shrinks.
+#: Queued calls per slot of an upstream above which the factor decreases.
 QUEUE_TARGET = 3.0
-#: Least that has to be free of an own slot, which may be a fraction of one, for it to
-#: count as free.
+#: Part of a slot that must be free for a call to fit: owned slots may be fractions.
 FREE_SLOT_SHARE = 0.5
 
 
@@ -47,8 +47,8 @@
     """
     Chooses by ownership, then by expected cost, within a limit.
 
-    Invariant: with own slots at hand, calls in flight never exceed the own
-    slots times the factor (at least one).
+    Invariant: if this entry owns slots, calls are sent beyond them only while fewer
+    are in flight than the owned slots times the factor (at least one).
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
-        """Take an own slot, the cheapest of a few, or let the call wait."""
+        """Choose an owned slot, else the cheapest of a few, or let the call wait."""
         own = self._best_own(pool, now, exclude)
         if own is not None and own.cost <= SLOW_COST:
             return _choice(pool, own, selection.Rule.OWN_SLOT, (own,))
@@ -81,21 +81,21 @@
     def reported(
         self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Let the limit follow the queue that an upstream reports."""
+        """Adapt the limit to the queue length that an upstream reports."""
         if queued > QUEUE_TARGET * upstream.slots:
             self.factor = max(MIN_FACTOR, self.factor * FACTOR_DECAY)
         else:
             self.factor = min(MAX_FACTOR, self.factor + FACTOR_STEP)
 
     def _limit(self, pool: upstream_pool.Pool, overloaded: bool) -> float:
-        """Return how many calls may be in flight at once."""
+        """Return the limit of calls in flight."""
         factor = MIN_FACTOR if overloaded else self.factor
         return max(1.0, pool.owned_total * factor)
 
     def _best_own(
         self, pool: upstream_pool.Pool, now: ids.Instant, exclude: selection.Exclusion
     ) -> selection.Candidate | None:
-        """Return the cheapest of a few own upstreams with room."""
+        """Return the cheapest of a few owned upstreams with room."""
         best: selection.Candidate | None = None
         compared = 0
         for upstream in _own_rotated(pool):
@@ -128,7 +128,7 @@
 
 
 def _own_rotated(pool: upstream_pool.Pool) -> abc.Iterator[upstreams.Upstream]:
-    """Go through the own upstreams once, from a random one on."""
+    """Yield each owned upstream once, starting at a random one."""
     own = pool.owned
     if not own:
         return
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -1,7 +1,7 @@
 """
-What a call would cost at an upstream, by its queue: for the policy of own slots.
+The queueing cost model of the ``owned_slots`` policy.
 
-Unlike ``soonest.expected_s`` it does not need reports of slowdowns: it knows
+Unlike ``least_latency.expected_s`` it does not need reports of slowdowns: it uses
 queue, latency ratio, silence and zone only. Pure.
 """
 
@@ -9,7 +9,7 @@
 from spindlenotch.decisions import silence
 from spindlenotch.kernel import upstream_pool, upstreams, waiting
 
-#: Least latency ratio that counts: a few quick answers must not draw all calls.
+#: Lower bound of the latency ratio: a few quick answers must not attract all calls.
 MIN_LATENCY_RATIO = 0.5
 
 
@@ -20,14 +20,14 @@
     now: ids.Instant,
 ) -> float:
     """
-    Estimate what a typical call would take there, as a ratio.
+    Estimate the latency of a typical call at an upstream, as a ratio.
 
-    The unit is the service's typical latency: one is an idle, healthy upstream
-    in this zone. ``load`` is the estimated number of requests in it.
+    The unit is the service's typical latency: an idle, healthy upstream in this zone
+    has a cost of one. ``load`` is the estimated number of requests in the upstream.
     """
     slots = upstream.slots
     typical_s = pool.latencies.overall.value
-    # The chance that all slots are taken, and what queues once they are.
+    # The probability that all slots are in use, and the queue beyond them.
     all_taken = min(1.0, load / slots) ** slots
     queued = all_taken + max(0.0, load + 1 - slots)
     latency_ratio = max(MIN_LATENCY_RATIO, upstream.latency_ratio.value)
@@ -41,7 +41,7 @@
 def estimate_candidate(
     pool: upstream_pool.Pool, upstream: upstreams.Upstream, now: ids.Instant
 ) -> selection.Candidate:
-    """Return what is estimated of ``upstream`` and what a call would cost there."""
+    """Return ``upstream`` as a candidate, with its estimated load and cost."""
     load = pool.estimated_load(upstream, now)
     return selection.Candidate(
         upstream=upstream.spec.id,
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -1,14 +1,15 @@
 """
-Which upstreams calls may be placed on while a service changes its version.
+Traffic split between versions of a service during a canary rollout.
 
-A version that is tried out (the target) gets a bounded share of first tries, counted
-from zero in each process and never forgotten: as the bound holds in each process at
-any time, it holds for their sum whatever they know of each other. A few upstreams of
-the target, the same in all processes, get those calls, so that each carries as much
-as one of the others does; at a sliver of that nothing would be learnt of load.
+The version that is rolled out (the target) gets a bounded share of first tries. Each
+process counts from zero and never resets the counts: as the bound holds in each process
+at any time, it holds for their sum without any coordination. A few upstreams of the
+target (the canaries), the same in all processes, get those calls, so that each carries
+as much as one of the others does; with a small fraction of that, nothing would be
+learnt of its behaviour under load.
 
-Pure. Owns the counts of one service and one target in one process. What ends is told
-to an ``Observer``, which judges the target.
+Pure. Owns the counts of one service and one target in one process. Results of calls are
+passed to an ``Observer``, which evaluates the target.
 """
 
 import enum
@@ -22,21 +23,21 @@
 from spindlenotch.decisions import least_latency, verdicts
 from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, waiting
 
-#: Fewest upstreams of the target that get calls: one that fails by itself must not be
-#: taken for its version.
+#: Least number of canaries: the failure of a single upstream must not be attributed to
+#: its version.
 MIN_CANARIES = 2
 #: Part of the target's share that is divided evenly among the routes, whatever their
-#: requests: a route with few of them would else be hardly tried.
+#: traffic: otherwise a route with little traffic would hardly be tested.
 EVEN_SHARE = 0.5
-#: A route may be this far ahead of its part, in calls: half a call on either side
-#: is the nearest to its part that whole calls come.
+#: Calls by which a route may exceed its part: half a call on either side is as near to
+#: its part as whole calls can come.
 ROUTE_SLACK = 0.5
 
 
 class Access(enum.Enum):
     """Which versions calls may be placed on."""
 
-    #: The target within its share, the others without bound.
+    #: On the target within its share, on the others without a bound.
     SHARED = "shared"
     OTHERS_ONLY = "others-only"
     TARGET_ONLY = "target-only"
@@ -44,10 +45,10 @@
 
 class ExpectedLatency(msgspec.Struct, frozen=True):
     """
-    How long a call was expected to take.
+    The expected latency of a call.
 
-    ``typical_s`` is the typical time of its kind, and ``slowdown`` how many times as
-    long work took at its upstream.
+    ``typical_s`` is the typical latency of its kind in seconds, and ``slowdown`` the
+    factor by which its upstream was slowed.
     """
 
     typical_s: float
@@ -55,7 +56,7 @@
 
 
 class Observer(typing.Protocol):
-    """Learns how calls ended."""
+    """Receives the results of calls."""
 
     def call_ended(
         self,
@@ -66,11 +67,11 @@
         expected: ExpectedLatency,
         now: ids.Instant,
     ) -> None:
-        """Take in the end of a call."""
+        """Record the result of a call."""
 
 
 class Exclusion:
-    """The upstreams that a call was sent to before, and those it may not get."""
+    """The upstreams that a call was sent to before, and those barred by the split."""
 
     __slots__ = ("barred", "tried")
 
@@ -86,7 +87,7 @@
         return upstream_id in self.tried or upstream_id in self.barred
 
     def __bool__(self) -> bool:
-        """Tell whether the call was sent anywhere before."""
+        """Return whether the call has been sent before."""
         return bool(self.tried)
 
 
@@ -94,12 +95,12 @@
     """
     The split of one service's calls between a target and the other versions.
 
-    Invariants: ``sent`` calls placed on the target while it is tried are at most
-    ``share`` times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing
-    is placed on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing ever on
-    versions that are ``held``. ``deprioritized`` upstreams of the target are tried only
-    where too few others are left. ``key`` is part of the choice of upstreams that are
-    tried, the same in all processes.
+    Invariants: with ``SHARED``, the calls ``sent`` to the target are at most ``share``
+    times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing is placed
+    on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing is ever placed on
+    versions that are ``held``. ``deprioritized`` upstreams of the target are canaries
+    only if too few others are left. ``key`` seeds the choice of the canaries; it is the
+    same in all processes.
     """
 
     def __init__(
@@ -128,20 +129,20 @@
         self._others = 0
 
     def barred(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
-        """Return the upstreams that calls are not placed on but by their share."""
+        """Return the upstreams on which the selection policy must not place calls."""
         self._refresh(pool)
         return self._barred
 
     def excluding(
         self, pool: upstream_pool.Pool, tried: abc.Container[ids.UpstreamId]
     ) -> selection.Exclusion:
-        """Return what a call that is placed by the usual policy may not get."""
+        """Return the upstreams excluded for a call that the selection policy places."""
         return Exclusion(tried, self.barred(pool))
 
     def choose_target(
         self, pool: upstream_pool.Pool, call: waiting.Call, now: ids.Instant
     ) -> selection.Choice | None:
-        """Return an upstream of the target for a call's first try, if it is due one."""
+        """Choose a canary for a call's first try, if the target is due a call."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
             return None
         self._refresh(pool)
@@ -165,7 +166,7 @@
         expected: ExpectedLatency,
         now: ids.Instant,
     ) -> None:
-        """Take in the end of a call."""
+        """Record the result of a call."""
         if result is upstreams.Result.ANSWERED:
             key = grant.call.latency_key
             self.answered += 1
@@ -176,16 +177,16 @@
         )
 
     def is_canary(self, upstream: upstreams.Upstream) -> bool:
-        """Tell whether an upstream's failures are those of a version that is tried."""
+        """Return whether an upstream runs the target before its promotion."""
         is_promoted = self.access is Access.TARGET_ONLY
         return upstream.spec.version == self.target and not is_promoted
 
     def allowed(self) -> float:
-        """Return how many calls may have been placed on the target until now."""
+        """Return how many calls may have been placed on the target so far."""
         return self.share * self.answered
 
     def _is_due(self, route: str) -> bool:
-        """Tell whether the target may get one more call, and one of this route."""
+        """Return whether the target may get one more call, and one of this route."""
         if self.sent + 1 > self.allowed():
             return False
         even = self.answered / max(1, len(self._answered_by_route))
@@ -194,7 +195,7 @@
         return self._sent_by_route.get(route, 0) + 1 <= route_allowed + ROUTE_SLACK
 
     def _canaries(self) -> list[upstreams.Upstream]:
-        """Return the upstreams of the target that get calls."""
+        """Return the upstreams of the target that get calls during the rollout."""
         count = max(MIN_CANARIES, math.ceil(self.share * self._others))
         usable = [u for u in self._target_order if u.state is not EJECTED]
         if self.deprioritized:
@@ -202,7 +203,7 @@
         return usable[:count]
 
     def _refresh(self, pool: upstream_pool.Pool) -> None:
-        """Work out anew which upstreams are which, if that may have changed."""
+        """Recompute the barred upstreams and canaries if the pool or access changed."""
         if pool.revision == self._pool_revision and self.access is self._barred_access:
             return
         self._pool_revision = pool.revision
@@ -220,7 +221,7 @@
         return is_target or version in self.held
 
     def _canary_rank(self, upstream: upstreams.Upstream) -> tuple[int, str]:
-        """Return the place of an upstream of the target among those that are tried."""
+        """Return the sort key that decides which upstreams become canaries."""
         return rendezvous.score(self.key, ids.HostId(upstream.spec.id))
 
 
