--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -12,7 +12,7 @@
 from features.steps import kernel
 from features.support import served_gateway
 from spindlenotch import clock, ids, ports
-from spindlenotch.decisions import queueing, wait_limit
+from spindlenotch.decisions import queueing, start_limit
 from spindlenotch.forwarding import exchanges
 from spindlenotch.gateway.serving import (
     answers,
@@ -74,24 +74,24 @@
         strategies.floats(0.05, 5.0),
     )
     def check(age_s: float, typical_s: float, target_s: float) -> None:
-        limit = wait_limit.for_request(
+        limit = start_limit.for_request(
             NOW, target_s=target_s, age_s=age_s, typical_s=typical_s
         )
         wait_s = limit.wait_until - NOW
-        in_time = age_s + typical_s + wait_limit.RESPONSE_TRANSIT_S < target_s
+        in_time = age_s + typical_s + start_limit.RESPONSE_TRANSIT_S < target_s
         assert limit.late is not in_time
         if limit.late:
             assert math.isclose(
-                wait_s, wait_limit.LATE_WAIT_SHARE * target_s, abs_tol=1e-6
+                wait_s, start_limit.LATE_WAIT_SHARE * target_s, abs_tol=1e-6
             )
         else:
-            end_s = age_s + wait_s + typical_s + wait_limit.RESPONSE_TRANSIT_S
+            end_s = age_s + wait_s + typical_s + start_limit.RESPONSE_TRANSIT_S
             assert math.isclose(end_s, target_s, abs_tol=1e-6)
 
     check()
-    without = wait_limit.for_request(NOW, target_s=None, age_s=9.0, typical_s=9.0)
+    without = start_limit.for_request(NOW, target_s=None, age_s=9.0, typical_s=9.0)
     assert not without.late
-    assert without.wait_until == NOW + wait_limit.WAIT_WITHOUT_TARGET_S
+    assert without.wait_until == NOW + start_limit.WAIT_WITHOUT_TARGET_S
 
 
 @kernel.PROPERTIES.register("a request's age is what it lacks to a usual first time")
@@ -235,8 +235,8 @@
             assert (status, body) == (503, b"not-ready\n")
             # Once that time is over nothing is held any more.
             steady = typing.cast(clock.ManualClock, lost.state.clock)
-            steady.advance(wait_limit.STARTUP_HOLD_S)
-            async with asyncio.timeout(wait_limit.STARTUP_HOLD_S / 2):
+            steady.advance(start_limit.STARTUP_HOLD_S)
+            async with asyncio.timeout(start_limit.STARTUP_HOLD_S / 2):
                 status, _ = await lost.request()
             assert status == 503
 
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -11,7 +11,7 @@
 import multidict
 from aiohttp import web_request, web_response
 
-from spindlenotch.decisions import wait_limit
+from spindlenotch.decisions import start_limit
 from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.gateway import dialect, state
 from spindlenotch.gateway.serving import (
@@ -86,7 +86,7 @@
     async def _hold(self) -> float:
         """Hold a request while this gateway starts; return for how many seconds."""
         arrived_at = self.state.clock.now()
-        hold_until = wait_limit.hold_until(self.state.started_at)
+        hold_until = start_limit.hold_until(self.state.started_at)
         await self.state.until_can_serve(hold_until)
         return self.state.clock.now() - arrived_at
 
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -4,7 +4,7 @@
 Owns the rules for how long a request may take and what crossing to another zone
 costs it; all instants are those of the gateway's clock. Numbers the calls of this
 process. Relies on the route (operator's configuration), on the dialect's header
-names, on ``caller_age`` and on ``decisions.wait_limit``.
+names, on ``caller_age`` and on ``decisions.start_limit``.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 from aiohttp import web_request
 
 from spindlenotch import headers, ids
-from spindlenotch.decisions import balancer, overflow, verdicts, wait_limit
+from spindlenotch.decisions import balancer, overflow, start_limit, verdicts
 from spindlenotch.forwarding import jobs
 from spindlenotch.gateway import dialect, state
 from spindlenotch.gateway.serving import body_traffic, caller_age, request_body
@@ -99,7 +99,7 @@
         now = ids.later(self.state.clock.now(), -held_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
         typical_s = chosen.pool.latencies.typical_s(route.name)
-        limit = wait_limit.for_request(
+        limit = start_limit.for_request(
             now,
             target_s=route.target_s,
             age_s=self._ages.age_s(route.name, timeout_s),
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -141,14 +141,14 @@
     Rule(
         question="What a gateway that has just started does with requests",
         functions=(
-            "decisions/wait_limit.hold_until",
+            "decisions/start_limit.hold_until",
             "gateway/state.GatewayState.until_can_serve",
         ),
         inputs="when the process started (instant), whether routes and upstreams are"
         " known.",
         reason="After a loss of power callers come back at once, twice, and the first"
         " gateways can serve some moments later: the requests are held that long.",
-        constants=("decisions/wait_limit.STARTUP_HOLD_S",),
+        constants=("decisions/start_limit.STARTUP_HOLD_S",),
         events=("READY",),
         tests=(
             Scenario(
@@ -162,7 +162,7 @@
         functions=(
             "decisions/balancer.Balancer.offer",
             "decisions/admission.Admission",
-            "decisions/wait_limit.for_request",
+            "decisions/start_limit.for_request",
             "decisions/queueing.refusal_rule_for_new",
             "decisions/queueing.refusal_rule",
             "decisions/queueing.refusal_rule_for_waiting",
@@ -177,9 +177,9 @@
         " one can pass it, and one that can still be in time one that can't. It is"
         " refused as soon as it can't make its deadline, or its target.",
         constants=(
-            "decisions/wait_limit.LATE_WAIT_SHARE",
-            "decisions/wait_limit.WAIT_WITHOUT_TARGET_S",
-            "decisions/wait_limit.RESPONSE_TRANSIT_S",
+            "decisions/start_limit.LATE_WAIT_SHARE",
+            "decisions/start_limit.WAIT_WITHOUT_TARGET_S",
+            "decisions/start_limit.RESPONSE_TRANSIT_S",
             "gateway/serving/caller_age.CLASS_RATIO",
             "gateway/serving/caller_age.COMMON_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
