--- a/spindlenotch/decisions/start_limit.py
+++ b/spindlenotch/decisions/start_limit.py
@@ -36,7 +36,7 @@
     return ids.later(started_at, STARTUP_HOLD_S)
 
 
-class WaitLimit(msgspec.Struct, frozen=True):
+class StartLimit(msgspec.Struct, frozen=True):
     """
     When a request is refused if no upstream had room until then.
 
@@ -49,7 +49,7 @@
 
 def for_request(
     now: ids.Instant, *, target_s: float | None, age_s: float, typical_s: float
-) -> WaitLimit:
+) -> StartLimit:
     """
     Return the limit of a request that arrives now.
 
@@ -59,8 +59,8 @@
     The wait is what the target leaves beside the work.
     """
     if target_s is None:
-        return WaitLimit(ids.later(now, WAIT_WITHOUT_TARGET_S), late=False)
+        return StartLimit(ids.later(now, WAIT_WITHOUT_TARGET_S), late=False)
     used_s = age_s + typical_s + RESPONSE_TRANSIT_S
     if used_s < target_s:
-        return WaitLimit(ids.later(now, target_s - used_s), late=False)
-    return WaitLimit(ids.later(now, LATE_WAIT_SHARE * target_s), late=True)
+        return StartLimit(ids.later(now, target_s - used_s), late=False)
+    return StartLimit(ids.later(now, LATE_WAIT_SHARE * target_s), late=True)
