--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -36,7 +36,7 @@
 #: The same for a call that may not be repeated, and is lost.
 UNREPEATABLE_COST = 15.0
 #: Costs within this share of the lowest are treated as equal.
-NEAR_SHARE = 0.08
+EQUAL_COST_SHARE = 0.08
 #: Most upstreams compared for one call. From a larger pool samples are drawn, from the
 #: local zone and from the whole region: the time to decide on a call must not grow with
 #: the pool.
@@ -74,7 +74,7 @@
             cost_by_id |= _costs(pool, call, without_slowed(far, now), now)
         if not cost_by_id:
             return None
-        limit = min(cost_by_id.values()) * (1.0 + NEAR_SHARE)
+        limit = min(cost_by_id.values()) * (1.0 + EQUAL_COST_SHARE)
         near = [name for name, cost in cost_by_id.items() if cost <= limit]
         zone = pool.local_member.zone
         local = [name for name in near if pool.upstream_by_id[name].spec.zone == zone]
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -74,7 +74,7 @@
             "decisions/least_latency.COLD_FACTOR",
             "decisions/least_latency.MIN_LATENCY_RATIO",
             "decisions/least_latency.ANSWERS_TRUSTED",
-            "decisions/least_latency.NEAR_SHARE",
+            "decisions/least_latency.EQUAL_COST_SHARE",
             "decisions/least_latency.MAX_COMPARED",
             "decisions/least_latency.LOCAL_COMPARED",
             "decisions/least_latency.REPEATABLE_COST",
