--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -250,8 +250,8 @@
     def _tell(self, number: int, peer: int) -> None:
         note = self.known[number].note(PRINT)
         if peer != number and self.rng.random() >= LOST_SHARE:
-            cross_region_cost_s = self.rng.uniform(0.0, LONGEST_WAY_S)
-            self._after(cross_region_cost_s, lambda: self._hear(peer, note))
+            delay_s = self.rng.uniform(0.0, LONGEST_WAY_S)
+            self._after(delay_s, lambda: self._hear(peer, note))
 
     def _hear(self, number: int, note: crash_notes.CrashNote) -> None:
         self.known[number].merge(note, ids.Instant(self.now))
