--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -16,7 +16,13 @@
 from features.steps import kernel
 from features.support import regional_fleet
 from spindlenotch import ids, selection
-from spindlenotch.decisions import balancer, overflow, soonest, traffic_split, verdicts
+from spindlenotch.decisions import (
+    balancer,
+    least_latency,
+    overflow,
+    traffic_split,
+    verdicts,
+)
 from spindlenotch.kernel import (
     extra_budgets,
     outcomes,
@@ -124,7 +130,7 @@
             zones=tuple(ids.ZoneName(z) for z in ZONES),
             slots=SLOTS,
             typical_s=WORK_S,
-            selection=soonest.NAME,
+            selection=least_latency.NAME,
             extra=extra_budgets.SharedWindow(share=0.2, reserve=30, window_s=10.0),
             queue_limit=2000,
             eject_share=0.5,
@@ -165,9 +171,9 @@
             arrived_at=now,
             most_tries=3,
             wait_until=wait_until,
-            far_s=overflow.way_s(self.size),
+            far_s=overflow.cross_region_cost_s(self.size),
             far_from=overflow.leave_region_at(
-                now, wait_until, overflow.way_s(self.size)
+                now, wait_until, overflow.cross_region_cost_s(self.size)
             ),
             allowed_regions=self.allowed,
         )
@@ -223,7 +229,7 @@
                 running = self.running_by_id.get(upstream.spec.id, 0)
                 one.pool.reported(upstream, upstreams.LoadReport(running, 0), now)
             self._settle(one, one.settle(now), at)
-            self._settle(one, one.give_up(now), at)
+            self._settle(one, one.refuse_hopeless(now), at)
 
     def _used_by_region(self, at: float) -> dict[ids.RegionName, float]:
         """Return how full the regions are, as told a second ago."""
@@ -287,7 +293,7 @@
     now = NOW
     wait_until = ids.later(now, WAIT_S)
     at = [
-        overflow.leave_region_at(now, wait_until, overflow.way_s(size))
+        overflow.leave_region_at(now, wait_until, overflow.cross_region_cost_s(size))
         for size in (0.0, SMALL, LARGE)
     ]
     assert now < at[0] < at[1] < at[2] < wait_until
--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -6,7 +6,7 @@
 
 from features.steps import kernel
 from spindlenotch import ids
-from spindlenotch.decisions import balancer, soonest, verdicts
+from spindlenotch.decisions import balancer, least_latency, verdicts
 from spindlenotch.kernel import crowding, extra_budgets, outcomes, upstreams
 
 NOW = kernel.NOW
@@ -16,7 +16,7 @@
 def paced(slots: list[int]) -> balancer.Balancer:
     """Return a balancer by the policy of the gateway."""
     extra = extra_budgets.SharedWindow(share=0.0, reserve=1000, window_s=10.0)
-    made = kernel.loaded(1, 0, soonest.NAME, extra)
+    made = kernel.loaded(1, 0, least_latency.NAME, extra)
     specs = [
         upstreams.UpstreamSpec(ids.UpstreamId(f"u{n}"), ZONE, ids.Address(""), 1, count)
         for n, count in enumerate(slots)
@@ -116,7 +116,7 @@
     assert isinstance(made.offer(second, NOW), verdicts.Waiting)
     # The queues are settled before calls are given up.
     assert made.settle(until) == []
-    (settled,) = made.give_up(until)
+    (settled,) = made.refuse_hopeless(until)
     assert settled.call is second
     assert isinstance(settled.verdict, outcomes.Refusal)
 
@@ -288,7 +288,7 @@
     until = ids.later(NOW, 0.1)
     call = msgspec.structs.replace(kernel.call(2), wait_until=until)
     assert isinstance(made.offer(call, NOW), verdicts.Waiting)
-    (given_up,) = made.give_up(until)
+    (given_up,) = made.refuse_hopeless(until)
     assert isinstance(given_up.verdict, outcomes.Refusal)
     assert given_up.verdict.rule is rules.WAIT_OVER
     # One call ends each second: a call behind another waits for longer than that.
@@ -314,8 +314,8 @@
     until = ids.later(NOW, 0.1)
     call = msgspec.structs.replace(kernel.call(9), wait_until=until)
     assert isinstance(made.offer(call, NOW), verdicts.Waiting)
-    assert made.give_up(ids.later(NOW, 0.05)) == []
-    (settled,) = made.give_up(ids.later(NOW, 0.1))
+    assert made.refuse_hopeless(ids.later(NOW, 0.05)) == []
+    (settled,) = made.refuse_hopeless(ids.later(NOW, 0.1))
     assert settled.call is call
 
 
--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -19,7 +19,7 @@
 from spindlenotch.decisions import quarantine
 from spindlenotch.kernel import crash_notes, fingerprints
 
-Standing = quarantine.Standing
+CrashStatus = quarantine.CrashStatus
 NOW = kernel.NOW
 PRINT = ids.Fingerprint("00000000aa")
 #: A fleet as the users' rules see it: after the third end it has 3 s to take notice,
@@ -50,22 +50,22 @@
 def struck_in_turn(known: quarantine.Quarantine, times: int) -> None:
     """Let upstreams end under a request one after the other."""
     for number in range(times):
-        known.strike(PRINT, known.mark(PRINT), upstream(number), NOW)
+        known.record_crash(PRINT, known.mark(PRINT), upstream(number), NOW)
 
 
-def standing(known: quarantine.Quarantine) -> Standing:
+def status(known: quarantine.Quarantine) -> CrashStatus:
     """Return what is held of the request."""
-    return quarantine.standing_of(known.note(PRINT))
+    return quarantine.status_of(known.note(PRINT))
 
 
 @kernel.PROPERTIES.register("a request under which three upstreams end is quarantined")
 def three_in_turn() -> None:
     known = quarantine.Quarantine()
-    assert standing(known) is Standing.CLEAR
+    assert status(known) is CrashStatus.CLEAR
     struck_in_turn(known, 2)
-    assert standing(known) is Standing.SUSPECT
+    assert status(known) is CrashStatus.SUSPECT
     struck_in_turn(known, 3)
-    assert standing(known) is Standing.QUARANTINED
+    assert status(known) is CrashStatus.QUARANTINED
 
 
 @kernel.PROPERTIES.register("upstreams that end together quarantine no request")
@@ -73,8 +73,8 @@
     known = quarantine.Quarantine()
     mark = known.mark(PRINT)
     for number in range(20):
-        known.strike(PRINT, mark, upstream(number), NOW)
-    assert standing(known) is Standing.SUSPECT
+        known.record_crash(PRINT, mark, upstream(number), NOW)
+    assert status(known) is CrashStatus.SUSPECT
 
 
 @kernel.PROPERTIES.register("an answer clears a request, and older notes are no news")
@@ -83,10 +83,10 @@
     struck_in_turn(known, 3)
     before, mark = known.note(PRINT), known.mark(PRINT)
     assert known.clear(PRINT, NOW)
-    assert standing(known) is Standing.CLEAR
+    assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
-    assert not known.strike(PRINT, mark, upstream(9), NOW)
-    assert standing(known) is Standing.CLEAR
+    assert not known.record_crash(PRINT, mark, upstream(9), NOW)
+    assert status(known) is CrashStatus.CLEAR
 
 
 @kernel.PROPERTIES.register("a quarantined request is sent once more, by one gateway")
@@ -95,16 +95,18 @@
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
         for one in request.each():
-            known.strike(one, known.mark(one), upstream(number), NOW)
+            known.record_crash(one, known.mark(one), upstream(number), NOW)
     for one in request.each():
         peer.merge(known.note(one), NOW)
-    later = ids.later(NOW, 2 * quarantine.RETRIAL_S)
-    assert not known.take_retrial(request, ids.later(NOW, quarantine.RETRIAL_S / 2))
-    assert known.take_retrial(request, later)
-    assert not known.take_retrial(request, later)
+    later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
+    assert not known.take_recheck(
+        request, ids.later(NOW, quarantine.RECHECK_AFTER_S / 2)
+    )
+    assert known.take_recheck(request, later)
+    assert not known.take_recheck(request, later)
     for one in request.each():
         assert known.note(one).is_retried
-    assert not peer.take_retrial(request, later)
+    assert not peer.take_recheck(request, later)
 
 
 @kernel.PROPERTIES.register("another body, path or caller makes another request")
@@ -121,16 +123,16 @@
 def bounded() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    for number in range(3 * quarantine.MOST_KEPT):
+    for number in range(3 * quarantine.MAX_NOTES):
         one = ids.Fingerprint(f"{number:08x}bb")
-        known.strike(one, quarantine.UNMARKED, upstream(number), NOW)
-    assert len(known.kept_by_fingerprint) == quarantine.MOST_KEPT
-    assert standing(known) is Standing.QUARANTINED
-    known.expire(ids.later(NOW, quarantine.SUSPECT_S))
+        known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
+    assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
+    assert status(known) is CrashStatus.QUARANTINED
+    known.expire(ids.later(NOW, quarantine.KEEP_SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
     known.expire(ids.later(NOW, quarantine.QUARANTINE_S))
-    assert standing(known) is Standing.CLEAR
-    known.expire(ids.later(NOW, quarantine.QUARANTINE_S + quarantine.ANSWERED_S))
+    assert status(known) is CrashStatus.CLEAR
+    known.expire(ids.later(NOW, quarantine.QUARANTINE_S + quarantine.KEEP_ANSWERED_S))
     assert not known.kept_by_fingerprint and not known.knows_target("/a")
 
 
@@ -202,15 +204,15 @@
 
     def _arrive(self, number: int, wait_until: float) -> None:
         known = self.known[number]
-        found = quarantine.standing_of(known.note(PRINT))
+        found = quarantine.status_of(known.note(PRINT))
         both = fingerprints.Fingerprints(PRINT, PRINT)
-        if found is Standing.QUARANTINED:
-            if known.take_retrial(both, ids.Instant(self.now)):
+        if found is CrashStatus.QUARANTINED:
+            if known.take_recheck(both, ids.Instant(self.now)):
                 for peer in range(len(self.known)):
                     self._tell(number, peer)
                 self._send(number, may_retry=False)
-        elif found is Standing.CLEAR or self.trying_until[number] <= self.now:
-            self._send(number, may_retry=found is Standing.CLEAR)
+        elif found is CrashStatus.CLEAR or self.trying_until[number] <= self.now:
+            self._send(number, may_retry=found is CrashStatus.CLEAR)
         elif self.now < wait_until:
             self._after(CHECK_S, lambda: self._arrive(number, wait_until))
 
@@ -232,22 +234,24 @@
         self.ended_at.append(self.now)
         if known is not self.known[number]:
             return
-        known.strike(PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now))
+        known.record_crash(
+            PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now)
+        )
         for peer in range(len(self.known)):
             self._tell(number, peer)
         if may_retry:
             self._arrive_again(number)
 
     def _arrive_again(self, number: int) -> None:
-        found = quarantine.standing_of(self.known[number].note(PRINT))
-        if found is Standing.SUSPECT and self.trying_until[number] <= self.now:
+        found = quarantine.status_of(self.known[number].note(PRINT))
+        if found is CrashStatus.SUSPECT and self.trying_until[number] <= self.now:
             self._send(number, may_retry=False)
 
     def _tell(self, number: int, peer: int) -> None:
         note = self.known[number].note(PRINT)
         if peer != number and self.rng.random() >= LOST_SHARE:
-            way_s = self.rng.uniform(0.0, LONGEST_WAY_S)
-            self._after(way_s, lambda: self._hear(peer, note))
+            delay_s = self.rng.uniform(0.0, LONGEST_WAY_S)
+            self._after(delay_s, lambda: self._hear(peer, note))
 
     def _hear(self, number: int, note: crash_notes.CrashNote) -> None:
         self.known[number].merge(note, ids.Instant(self.now))
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -114,7 +114,7 @@
             self._answers.holds(job, self.state.clock.now()),
         )
         for fingerprint in loss.suspects():
-            self.quarantine.doubt(fingerprint)
+            self.quarantine.begin_check(fingerprint)
         losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
         losses.append(loss)
         if len(losses) == 1:
@@ -155,7 +155,7 @@
             losses = self._losses_by_upstream.pop(spec.id)
             for loss in losses:
                 for fingerprint in loss.suspects():
-                    self.quarantine.settle(fingerprint)
+                    self.quarantine.end_check(fingerprint)
         if liveness is ports.Liveness.GONE:
             self._take_end(losses)
 
@@ -189,7 +189,7 @@
         now = self.state.clock.now()
         for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
             upstream_id = loss.upstream.spec.id
-            if self.quarantine.strike(fingerprint, mark, upstream_id, now):
+            if self.quarantine.record_crash(fingerprint, mark, upstream_id, now):
                 self._tell(fingerprint)
 
     def _clear(self, prints: fingerprints.Fingerprints) -> None:
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -17,7 +17,7 @@
 #: How often the queues are checked at least while calls wait, in seconds.
 QUEUE_CHECK_S = 0.02
 #: Least seconds between two checks of the queues.
-LEAST_CHECK_S = 0.001
+MIN_CHECK_INTERVAL_S = 0.001
 
 Verdict = verdicts.Grant | outcomes.Refusal
 
@@ -31,7 +31,7 @@
     """
     turns = [decider.next_turn(now) for decider in deciders]
     due_in_s = [turn - now for turn in turns if turn > now]
-    return max(LEAST_CHECK_S, min([QUEUE_CHECK_S, *due_in_s]))
+    return max(MIN_CHECK_INTERVAL_S, min([QUEUE_CHECK_S, *due_in_s]))
 
 
 class GrantState(typing.Protocol):
@@ -115,6 +115,6 @@
         for decider in self.state.balancer_by_service.values():
             if len(decider.queue):
                 self._settle(decider.settle(now))
-                self._settle(decider.give_up(now))
+                self._settle(decider.refuse_hopeless(now))
         if self._future_by_call:
             self._schedule_queue_check()
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -117,14 +117,14 @@
     def _ask_after(self, grant: verdicts.Grant) -> None:
         """Find out, now and then, whether an upstream has ended without a sign."""
         now = self.state.clock.now()
-        if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
+        if now < self._ask_at or not self.job.balancer.may_have_crashed(grant, now):
             return
         self._ask_at = ids.later(now, ASK_AGAIN_S)
         self.watch.lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
-        if self.trials.standing(self.job) is not quarantine.Standing.CLEAR:
+        if self.trials.status(self.job) is not quarantine.CrashStatus.CLEAR:
             # Of a request that ends what runs it each copy costs an upstream.
             return newest
         hedge = self.job.balancer.hedge(newest, self.state.clock.now())
@@ -217,7 +217,7 @@
 
     async def _may_risk_another(self) -> bool:
         """Tell whether a request that may end what runs it gets another upstream."""
-        if self.trials.standing(self.job) is quarantine.Standing.CLEAR:
+        if self.trials.status(self.job) is quarantine.CrashStatus.CLEAR:
             return True
         if self._grant_by_task or not self.watch.marks.may_retry(self.job.call.id):
             return False
@@ -275,7 +275,7 @@
         return judgement.refusal(
             reason,
             may_have_run=self._may_have_run,
-            room_at=self._room_at(),
+            next_retry_at=self._room_at(),
         )
 
     def _room_at(self) -> ids.Instant:
@@ -286,8 +286,8 @@
         they have room, the caller need not wait for that one.
         """
         now = self.state.clock.now()
-        room_at = self.job.balancer.room_at(self.job.call, now)
-        return max(room_at, ids.later(now, self._retry_after_s or 0.0))
+        next_retry_at = self.job.balancer.next_retry_at(self.job.call, now)
+        return max(next_retry_at, ids.later(now, self._retry_after_s or 0.0))
 
     def _cancel_rest(self) -> None:
         for task, grant in self._grant_by_task.items():
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -96,7 +96,7 @@
         result: upstreams.Result,
         *,
         is_target: bool,
-        expected: traffic_split.Expected,
+        expected: traffic_split.ExpectedLatency,
         now: ids.Instant,
     ) -> None:
         """Count the end of a call; see ``traffic_split.Observer``."""
@@ -149,7 +149,7 @@
         delta = self.merged.take(source, record)
         if delta is not None:
             self.analysis.add(delta, now)
-            self.split.passed_over |= self.analysis.bad_upstreams()
+            self.split.deprioritized |= self.analysis.bad_upstreams()
 
     def note(self) -> rollout_notes.PhaseNote:
         """Return what peers are told of the phase."""
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -99,14 +99,14 @@
         now = ids.later(self.state.clock.now(), -held_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
         typical_s = chosen.pool.latencies.typical_s(route.name)
-        limit = start_limit.start_limit(
+        limit = start_limit.for_request(
             now,
             target_s=route.target_s,
             age_s=self._ages.age_s(route.name, timeout_s),
             typical_s=typical_s,
         )
         size = body.known_bytes + self.traffic.expected_bytes(route)
-        far_s = overflow.way_s(size)
+        far_s = overflow.cross_region_cost_s(size)
         return waiting.Call(
             id=ids.CallId(f"{next(self._numbers):x}"),
             priority=route.rank,
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -28,11 +28,11 @@
         " better than a refusal. A region above the limit keeps its last slots for its"
         " own calls. No try leaves the regions of the route.",
         constants=(
-            "decisions/overflow.COMPARED",
-            "decisions/overflow.MOST_USED",
-            "decisions/overflow.WAY_S",
-            "decisions/overflow.WAY_S_PER_BYTE",
-            "decisions/overflow.MOST_WAIT_SHARE",
+            "decisions/overflow.MAX_COMPARED",
+            "decisions/overflow.MAX_USED_SHARE",
+            "decisions/overflow.CROSS_REGION_S",
+            "decisions/overflow.CROSS_REGION_S_PER_BYTE",
+            "decisions/overflow.MAX_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
             "gateway/serving/body_traffic.LARGE_ANSWER_BYTES",
         ),
@@ -53,10 +53,10 @@
     Rule(
         question="Which upstream takes a request (gateway)",
         functions=(
-            "decisions/soonest.expected_s",
-            "decisions/soonest.has_room",
-            "decisions/soonest.without_slowed",
-            "decisions/soonest.failure_cost",
+            "decisions/least_latency.expected_s",
+            "decisions/least_latency.has_room",
+            "decisions/least_latency.without_slowed",
+            "decisions/least_latency.failure_cost",
             "kernel/failure_share.FailureShare.value",
             "kernel/crowding.Crowding.usable",
             "decisions/silence.overdue_cost",
@@ -68,17 +68,17 @@
         " the own zone. While some are not slowed, slowed ones are passed over: work"
         " that begins there is late and holds its slot.",
         constants=(
-            "decisions/soonest.ROOM_MARGIN",
-            "decisions/soonest.SLOWER_FROM_SHARE",
-            "decisions/soonest.FULL_SLOWDOWN",
-            "decisions/soonest.COLD_FACTOR",
-            "decisions/soonest.MIN_LATENCY_RATIO",
-            "decisions/soonest.ANSWERS_TRUSTED",
-            "decisions/soonest.NEAR_SHARE",
-            "decisions/soonest.MOST_COMPARED",
-            "decisions/soonest.LOCAL_COMPARED",
-            "decisions/soonest.REPEATABLE_COST",
-            "decisions/soonest.UNREPEATABLE_COST",
+            "decisions/least_latency.ROOM_MARGIN",
+            "decisions/least_latency.SLOWER_FROM_SHARE",
+            "decisions/least_latency.FULL_SLOWDOWN",
+            "decisions/least_latency.COLD_FACTOR",
+            "decisions/least_latency.MIN_LATENCY_RATIO",
+            "decisions/least_latency.ANSWERS_TRUSTED",
+            "decisions/least_latency.EQUAL_COST_SHARE",
+            "decisions/least_latency.MAX_COMPARED",
+            "decisions/least_latency.LOCAL_COMPARED",
+            "decisions/least_latency.REPEATABLE_COST",
+            "decisions/least_latency.UNREPEATABLE_COST",
             "kernel/failure_share.FADE_S",
             "kernel/failure_share.PRIOR_ANSWERS",
             "kernel/failure_share.REFUSED_COUNTS",
@@ -88,7 +88,7 @@
             "kernel/crowding.UNSLOWED_FACTOR",
             "kernel/crowding.LEAST_SAMPLES",
             "kernel/crowding.CROWDED",
-            "decisions/silence.FREE_MISSED_ANSWERS",
+            "decisions/silence.TOLERATED_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
             "gateway/serving/job_factory.CROSS_ZONE_S",
             "gateway/serving/job_factory.CROSS_ZONE_S_PER_BYTE",
@@ -113,7 +113,7 @@
         question="Which upstream takes a request (entry daemon)",
         functions=(
             "decisions/owned_slots.OwnedSlotsPolicy.choose",
-            "decisions/queueing_cost.estimate",
+            "decisions/queueing_cost.estimate_cost",
             "kernel/ownership.owned",
         ),
         inputs="own slots, estimated load, latency ratio, silence (s), zone, share of"
@@ -122,13 +122,13 @@
         " the cheapest of a few others, within a limit that follows the queues that"
         " upstreams report.",
         constants=(
-            "decisions/owned_slots.SAMPLE",
+            "decisions/owned_slots.SAMPLE_SIZE",
             "decisions/owned_slots.SLOW_COST",
-            "decisions/owned_slots.LEAST_FACTOR",
-            "decisions/owned_slots.MOST_FACTOR",
+            "decisions/owned_slots.MIN_FACTOR",
+            "decisions/owned_slots.MAX_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
             "kernel/waiting.CROSS_ZONE_S",
-            "decisions/queueing_cost.LEAST_LATENCY_RATIO",
+            "decisions/queueing_cost.MIN_LATENCY_RATIO",
             "decisions/overload.REFUSED_SHARE",
             "decisions/overload.QUEUED_PER_SLOT",
         ),
@@ -148,7 +148,7 @@
         " known.",
         reason="After a loss of power callers come back at once, twice, and the first"
         " gateways can serve some moments later: the requests are held that long.",
-        constants=("decisions/start_limit.START_HOLD_S",),
+        constants=("decisions/start_limit.STARTUP_HOLD_S",),
         events=("READY",),
         tests=(
             Scenario(
@@ -162,10 +162,10 @@
         functions=(
             "decisions/balancer.Balancer.offer",
             "decisions/admission.Admission",
-            "decisions/start_limit.start_limit",
-            "decisions/queueing.rule_against_new",
-            "decisions/queueing.rule_against",
-            "decisions/queueing.rule_to_give_up",
+            "decisions/start_limit.for_request",
+            "decisions/queueing.refusal_rule_for_new",
+            "decisions/queueing.refusal_rule",
+            "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
             "gateway/serving/caller_age.CallerAges.age_s",
             "kernel/completion_rate.CompletionRate",
@@ -179,16 +179,16 @@
         constants=(
             "decisions/start_limit.LATE_WAIT_SHARE",
             "decisions/start_limit.WAIT_WITHOUT_TARGET_S",
-            "decisions/start_limit.RETURN_S",
+            "decisions/start_limit.RESPONSE_TRANSIT_S",
             "gateway/serving/caller_age.CLASS_RATIO",
             "gateway/serving/caller_age.COMMON_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
-            "decisions/queueing.LEAST_PER_S",
+            "decisions/queueing.MIN_COMPLETIONS_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
             "kernel/waiting.OLDEST_FIRST_EVERY",
             "forwarding/granting.QUEUE_CHECK_S",
-            "forwarding/granting.LEAST_CHECK_S",
+            "forwarding/granting.MIN_CHECK_INTERVAL_S",
         ),
         events=("REQUEST_REFUSED",),
         tests=(
@@ -237,7 +237,7 @@
         reason="503 with Retry-After says that the request has not run. 502 and 504"
         " promise nothing.",
         constants=(
-            "decisions/queueing.LEAST_RETRY_AFTER_S",
+            "decisions/queueing.MIN_RETRY_AFTER_S",
             "kernel/ejection.RETRY_AFTER_S",
         ),
         events=("REQUEST_REFUSED", "REQUEST_FAILED"),
@@ -269,7 +269,7 @@
         " upstream turned away takes nothing from an entry's budget.",
         constants=(
             "decisions/overload.FAILED_SHARE",
-            "decisions/retrying.MOST_UNREACHED",
+            "decisions/retrying.MAX_UNREACHED",
         ),
         events=("REQUEST_SENT_AGAIN",),
         tests=(
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -13,13 +13,13 @@
     Rule(
         question="When a request is not sent any more because it ends upstreams",
         functions=(
-            "decisions/quarantine.standing_of",
-            "decisions/quarantine.Quarantine.strike",
-            "decisions/quarantine.Quarantine.take_retrial",
+            "decisions/quarantine.status_of",
+            "decisions/quarantine.Quarantine.record_crash",
+            "decisions/quarantine.Quarantine.take_recheck",
             "kernel/fingerprints.of",
             "kernel/crash_notes.CrashNote.merged",
             "forwarding/crash_watch.CrashWatch.lost",
-            "decisions/silence.seems_ended",
+            "decisions/silence.may_have_crashed",
             "forwarding/recent_answers.RecentAnswers.holds",
             "forwarding/trials.Trials.admit",
             "gateway/quarantine/writer.QuarantineWriter.look",
@@ -32,13 +32,13 @@
         " gateway, and is never answered. Others are lost beside it, and upstreams end"
         " by themselves.",
         constants=(
-            "decisions/quarantine.LEAST_ENDED",
-            "decisions/quarantine.LEAST_DEPTH",
+            "decisions/quarantine.MIN_CRASHED_UPSTREAMS",
+            "decisions/quarantine.MIN_CRASH_DEPTH",
             "decisions/quarantine.QUARANTINE_S",
-            "decisions/quarantine.RETRIAL_S",
-            "decisions/quarantine.SUSPECT_S",
-            "decisions/quarantine.ANSWERED_S",
-            "decisions/quarantine.MOST_KEPT",
+            "decisions/quarantine.RECHECK_AFTER_S",
+            "decisions/quarantine.KEEP_SUSPECT_S",
+            "decisions/quarantine.KEEP_ANSWERED_S",
+            "decisions/quarantine.MAX_NOTES",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_watch.ANSWER_LIMIT_S",
             "forwarding/race.ASK_AGAIN_S",
@@ -190,7 +190,7 @@
             "gateway/cluster/fleet_size.MEMORY_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
             "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
-            "decisions/soonest.COLD_FACTOR",
+            "decisions/least_latency.COLD_FACTOR",
         ),
         tests=(
             Scenario(
--- a/tools/quarantine_mutants.py
+++ b/tools/quarantine_mutants.py
@@ -10,7 +10,7 @@
     mutant_table.Mutant(
         "upstreams that end together quarantine a request",
         "decisions/quarantine",
-        "note.depth >= LEAST_DEPTH",
+        "note.depth >= MIN_CRASH_DEPTH",
         "note.depth >= 1",
         held_by="upstreams that end together quarantine no request",
     ),
@@ -18,7 +18,7 @@
         "a request that ends upstreams is tried by every gateway again",
         "decisions/quarantine",
         "self.merge(msgspec.structs.replace(note, is_retried=True), now)",
-        "self._retrial_at[fingerprint] = ids.later(now, RETRIAL_S)",
+        "self._recheck_at[fingerprint] = ids.later(now, RECHECK_AFTER_S)",
         held_by="a fleet sends what ends upstreams at most three times more",
     ),
     mutant_table.Mutant(
