--- a/features/steps/gateway_failing.py
+++ b/features/steps/gateway_failing.py
@@ -24,7 +24,7 @@
     ownership,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 ZONES = tuple(ids.ZoneName(name) for name in "abcde")
@@ -113,7 +113,7 @@
     return sent
 
 
-def call(rng: random.Random, number: int, now: ids.Instant) -> waiting.Call:
+def call(rng: random.Random, number: int, now: ids.Instant) -> wait_queue.Call:
     """Return a call; a quarter may not be repeated."""
     return msgspec.structs.replace(
         kernel.call(number),
--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -23,7 +23,7 @@
     ownership,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 NOW = kernel.NOW
@@ -156,7 +156,7 @@
         self._arrive_next(one, at)
         now = ids.later(NOW, at)
         wait_until = ids.later(now, WAIT_S)
-        call = waiting.Call(
+        call = wait_queue.Call(
             id=ids.CallId(str(next(self._numbers))),
             priority=self.rng.randrange(2),
             repeatable=True,
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -18,7 +18,7 @@
     schedule,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
 )
 from spindlenotch.peers import documents
 
@@ -76,10 +76,10 @@
     return made
 
 
-def call(number: int, rank: int = 1, deadline: float = 60.0) -> waiting.Call:
+def call(number: int, rank: int = 1, deadline: float = 60.0) -> wait_queue.Call:
     """Return a repeatable call."""
     name = ids.CallId(f"c{number}")
-    return waiting.Call(
+    return wait_queue.Call(
         id=name,
         priority=rank,
         repeatable=True,
@@ -153,14 +153,14 @@
     @SETTINGS
     @hypothesis.given(strategies.lists(strategies.integers(0, 3), max_size=100))
     def check(order: list[int]) -> None:
-        queue = waiting.WaitQueue(1000)
+        queue = wait_queue.WaitQueue(1000)
         for number, rank in enumerate(order):
             queue.push(call(number, rank))
         turns = 0
         while (chosen := queue.head()) is not None:
             turns += 1
             ahead = min(c.priority for c in queue)
-            fair = turns % waiting.OLDEST_FIRST_EVERY == 0
+            fair = turns % wait_queue.OLDEST_FIRST_EVERY == 0
             assert fair or chosen.priority == ahead
             queue.take(chosen)
         assert turns == len(order)
--- a/features/support/recorded_logs.py
+++ b/features/support/recorded_logs.py
@@ -23,7 +23,7 @@
 from spindlenotch.forwarding import crash_watch, exchanges, granting, jobs
 from spindlenotch.gateway import log_sink
 from spindlenotch.gateway.serving import request_log
-from spindlenotch.kernel import outcomes, waiting
+from spindlenotch.kernel import outcomes, wait_queue
 
 Plain = typing.Any
 CODE = (pathlib.Path("spindlenotch"), pathlib.Path("platform"))
@@ -104,7 +104,7 @@
     service = state.balancer_by_service[core]
     (upstream,) = service.pool.upstream_by_id.values()
     now = state.clock.now()
-    call = waiting.Call(
+    call = wait_queue.Call(
         id=ids.CallId("call-1"),
         priority=1,
         repeatable=True,
--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -24,7 +24,7 @@
     outcomes,
     ownership,
     upstreams,
-    waiting,
+    wait_queue,
 )
 from spindlenotch.peers import messages, rollout_notes
 
@@ -318,7 +318,7 @@
             list(rollout_service.PART_BY_ROUTE),
             list(rollout_service.PART_BY_ROUTE.values()),
         )
-        call = waiting.Call(
+        call = wait_queue.Call(
             id=ids.CallId(f"c{next(self.numbers)}"),
             priority=1,
             repeatable=route != "book",
--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -10,18 +10,18 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import queueing, verdicts
-from spindlenotch.kernel import outcomes, upstream_pool, waiting
+from spindlenotch.kernel import outcomes, upstream_pool, wait_queue
 
 
 class Admission:
     """Admits calls to the queue of one service and refuses the others."""
 
-    def __init__(self, pool: upstream_pool.Pool, queue: waiting.WaitQueue) -> None:
+    def __init__(self, pool: upstream_pool.Pool, queue: wait_queue.WaitQueue) -> None:
         self.pool = pool
         self.queue = queue
 
     def admit(
-        self, call: waiting.Call, ahead: int, now: ids.Instant
+        self, call: wait_queue.Call, ahead: int, now: ids.Instant
     ) -> verdicts.Waiting | outcomes.Refusal:
         """Let a call wait behind ``ahead`` others, or refuse it at once."""
         rule = queueing.rule_against_new(self.pool, call, ahead, now)
@@ -49,7 +49,7 @@
 
     def refuse_stranded(
         self,
-        usable_at: abc.Callable[[waiting.Call, ids.Instant], ids.Instant],
+        usable_at: abc.Callable[[wait_queue.Call, ids.Instant], ids.Instant],
         now: ids.Instant,
     ) -> list[verdicts.Settlement]:
         """
@@ -74,7 +74,7 @@
         return [verdicts.Settlement(call, refusal) for call in stranded]
 
     def _enqueue(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Waiting | outcomes.Refusal:
         if len(self.queue) < self.queue.limit:
             self.queue.push(call)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -30,7 +30,7 @@
     service_policy,
     upstream_pool,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 #: Decisions kept for ``explain``.
@@ -57,7 +57,7 @@
         self.service = service
         self.pool = upstream_pool.Pool(service, local_member, rng)
         self.policy = selection.POLICIES.get(service.selection)()
-        self.queue = waiting.WaitQueue(service.queue_limit)
+        self.queue = wait_queue.WaitQueue(service.queue_limit)
         self.admission = admission.Admission(self.pool, self.queue)
         self.extra = service.extra.create()
         self.split: traffic_split.TrafficSplit | None = None
@@ -80,7 +80,7 @@
         service.extra.update(self.extra)
 
     def offer(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         """Decide on a new call."""
         self.extra.earn(now)
@@ -256,7 +256,7 @@
         return msgspec.structs.replace(again, taken_from=budget.spend(now))
 
     def _place(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         ahead = self.queue.ahead_of(call)
         if ahead == 0:
@@ -295,7 +295,9 @@
             return settlement
         return verdicts.Settlement(settlement.call, grant)
 
-    def _grant_far(self, call: waiting.Call, now: ids.Instant) -> verdicts.Grant | None:
+    def _grant_far(
+        self, call: wait_queue.Call, now: ids.Instant
+    ) -> verdicts.Grant | None:
         """Place a call that its region would refuse: now it may leave it."""
         if not self.pool.far_order:
             return None
@@ -309,19 +311,19 @@
         if self.pool.frozen(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, ejection.SILENT, now)
 
-    def room_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
+    def room_at(self, call: wait_queue.Call, now: ids.Instant) -> ids.Instant:
         """Return when a caller may come back whose call no upstream took."""
         free_at = self._usable_at(call, now)
         return usable.room_at(self.pool, free_at, len(self.queue), now)
 
-    def _usable_at(self, call: waiting.Call | None, now: ids.Instant) -> ids.Instant:
+    def _usable_at(self, call: wait_queue.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take a call where it may run, or any."""
         barred = () if self.split is None else self.split.barred(self.pool)
         return usable.usable_at(self.pool, barred, call, now)
 
     def _choose(
         self,
-        call: waiting.Call,
+        call: wait_queue.Call,
         kind: verdicts.Kind,
         now: ids.Instant,
         tried: set[ids.UpstreamId],
@@ -337,7 +339,7 @@
         return self.policy.choose(self.pool, call, now, excluded)
 
     def _grant(
-        self, call: waiting.Call, kind: verdicts.Kind, now: ids.Instant
+        self, call: wait_queue.Call, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
         tried = self.tried_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
--- a/spindlenotch/decisions/baselines.py
+++ b/spindlenotch/decisions/baselines.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Which upstreams are compared.
 Options = abc.Callable[
@@ -30,7 +30,7 @@
     def choose(
         self,
         pool: upstream_pool.Pool,
-        call: waiting.Call,
+        call: wait_queue.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -8,7 +8,7 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import overload, silence
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Answers that an upstream must have missed to count as stuck: if answers came at
 #: random, a healthy one would miss that many with probability exp(-4), about 2 in 100.
@@ -62,7 +62,7 @@
 
 
 def is_allowed(
-    pool: upstream_pool.Pool, call: waiting.Call, tries: int, queued: int
+    pool: upstream_pool.Pool, call: wait_queue.Call, tries: int, queued: int
 ) -> bool:
     """
     Tell whether a call that was sent to ``tries`` upstreams may be hedged.
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -8,7 +8,7 @@
 """
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Upstreams of other regions that are compared for a call that may go there: such
 #: calls are few, and what is known of far upstreams is old.
@@ -35,7 +35,7 @@
 
 def may_leave_region(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> bool:
@@ -53,7 +53,7 @@
     return not _any_near(pool, now)
 
 
-def pays(pool: upstream_pool.Pool, call: waiting.Call, near_s: float) -> bool:
+def pays(pool: upstream_pool.Pool, call: wait_queue.Call, near_s: float) -> bool:
     """
     Tell whether the way may bring an answer sooner than the best near upstream.
 
@@ -70,7 +70,7 @@
 
 def candidates(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     near_s: float | None,
     now: ids.Instant,
     exclude: selection.Exclusion,
--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -14,7 +14,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overload, queueing_cost
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Upstreams compared besides the own ones. Few, and random, so that many entries with
 #: the same stale estimate do not all pick the same one.
@@ -57,7 +57,7 @@
     def choose(
         self,
         pool: upstream_pool.Pool,
-        call: waiting.Call,
+        call: wait_queue.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -3,12 +3,12 @@
 
 Rules on values: pool, queue, call and instant in, verdict out. They rely on
 ``upstream_pool`` for typical latencies and the rate at which calls end, and on
-``waiting`` for the order of the queue. ``Balancer`` applies them when a call is
+``wait_queue`` for the order of the queue. ``Balancer`` applies them when a call is
 offered, when a slot becomes free and at each queue check.
 """
 
 from spindlenotch import ids
-from spindlenotch.kernel import outcomes, upstream_pool, waiting
+from spindlenotch.kernel import outcomes, upstream_pool, wait_queue
 
 #: Least wait in seconds that a refused caller is asked to keep before it tries again.
 LEAST_RETRY_AFTER_S = 0.05
@@ -38,7 +38,7 @@
 
 def rule_against(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     ahead: int,
     now: ids.Instant,
     reserve_s: float = 0.0,
@@ -60,7 +60,7 @@
 
 
 def rule_against_new(
-    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
     reserve_s = TURN_RESERVE_S if pool.turns(now) is not None else 0.0
@@ -68,7 +68,7 @@
 
 
 def rule_to_give_up(
-    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """
     Return why a waiting call behind ``ahead`` others is refused now, or None.
@@ -91,7 +91,9 @@
     return ids.later(now, max(LEAST_RETRY_AFTER_S, wait_s))
 
 
-def displaced_by(queue: waiting.WaitQueue, call: waiting.Call) -> waiting.Call | None:
+def displaced_by(
+    queue: wait_queue.WaitQueue, call: wait_queue.Call
+) -> wait_queue.Call | None:
     """
     Return the waiting call that gives up its place in a full queue.
 
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -7,7 +7,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import silence
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Least latency ratio that counts: a few quick answers must not draw all calls.
 LEAST_LATENCY_RATIO = 0.5
@@ -34,7 +34,7 @@
     latency_ratio += silence.overdue_cost(upstream, typical_s, now)
     crossing_s = 0.0
     if upstream.spec.zone != pool.local_member.zone:
-        crossing_s = waiting.CROSS_ZONE_S
+        crossing_s = wait_queue.CROSS_ZONE_S
     return float(latency_ratio * (1 + queued / slots) + crossing_s / typical_s)
 
 
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import overload
-from spindlenotch.kernel import upstream_pool, waiting
+from spindlenotch.kernel import upstream_pool, wait_queue
 
 #: Tries that reached nobody and leave a call its others: each takes a moment, and where
 #: many upstreams have ended the news of that is sooner there.
@@ -31,7 +31,7 @@
 
 def is_allowed(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     tries: Tries,
     now: ids.Instant,
     *,
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overflow, silence
-from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
+from spindlenotch.kernel import crowding, upstream_pool, upstreams, wait_queue
 
 NAME = "paced"
 #: How far the estimated load may lie above the slots for an upstream to have
@@ -54,7 +54,7 @@
     def choose(
         self,
         pool: upstream_pool.Pool,
-        call: waiting.Call,
+        call: wait_queue.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
@@ -94,7 +94,7 @@
 
 def _options(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
@@ -123,7 +123,7 @@
 
 def _costs(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     options: list[upstreams.Upstream],
     now: ids.Instant,
 ) -> dict[ids.UpstreamId, float]:
@@ -176,7 +176,7 @@
 
 def failure_cost(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     upstream: upstreams.Upstream,
     now: ids.Instant,
 ) -> float:
@@ -194,7 +194,7 @@
 
 def expected_s(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     upstream: upstreams.Upstream,
     load: float,
     typical_s: float,
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -20,7 +20,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import soonest, verdicts
-from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, waiting
+from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, wait_queue
 
 #: Fewest upstreams of the target that get calls: one that fails by itself must not be
 #: taken for its version.
@@ -139,7 +139,7 @@
         return Exclusion(tried, self.barred(pool))
 
     def choose_target(
-        self, pool: upstream_pool.Pool, call: waiting.Call, now: ids.Instant
+        self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
     ) -> selection.Choice | None:
         """Return an upstream of the target for a call's first try, if it is due one."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
--- a/spindlenotch/decisions/usable.py
+++ b/spindlenotch/decisions/usable.py
@@ -10,13 +10,13 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import queueing
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 
 def usable_at(
     pool: upstream_pool.Pool,
     barred: abc.Container[ids.UpstreamId],
-    call: waiting.Call | None,
+    call: wait_queue.Call | None,
     now: ids.Instant,
 ) -> ids.Instant:
     """
--- a/spindlenotch/decisions/verdicts.py
+++ b/spindlenotch/decisions/verdicts.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import budgets, outcomes, upstreams, waiting
+from spindlenotch.kernel import budgets, outcomes, upstreams, wait_queue
 
 
 class Kind(enum.Enum):
@@ -34,7 +34,7 @@
     from; None for a first try.
     """
 
-    call: waiting.Call
+    call: wait_queue.Call
     upstream: upstreams.Upstream
     kind: Kind
     sent_at: ids.Instant
@@ -51,14 +51,14 @@
     ``displaced`` settles a less urgent call whose place it took.
     """
 
-    call: waiting.Call
+    call: wait_queue.Call
     displaced: "Settlement | None" = None
 
 
 class Settlement(msgspec.Struct, frozen=True):
     """What became of a call that waited."""
 
-    call: waiting.Call
+    call: wait_queue.Call
     verdict: Grant | outcomes.Refusal
 
 
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -22,7 +22,7 @@
     readiness,
 )
 from spindlenotch.forwarding import data_path, jobs
-from spindlenotch.kernel import outcomes, waiting
+from spindlenotch.kernel import outcomes, wait_queue
 
 #: When a caller may ask an entry again that is not ready, in seconds.
 NOT_READY_RETRY_S = 0.5
@@ -126,7 +126,7 @@
         operation = admitted.operation
         # A body that streams in is gone once it is sent.
         can_resend = operation.repeatable and isinstance(body, (bytes, type(None)))
-        call = waiting.Call(
+        call = wait_queue.Call(
             id=call_id,
             priority=admitted.priority,
             repeatable=can_resend and not admitted.no_retry,
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -12,7 +12,7 @@
 
 from spindlenotch import headers
 from spindlenotch.decisions import balancer, verdicts
-from spindlenotch.kernel import fingerprints, waiting
+from spindlenotch.kernel import fingerprints, wait_queue
 
 
 class Labels(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
     """
 
     balancer: balancer.Balancer
-    call: waiting.Call
+    call: wait_queue.Call
     method: str
     target: str
     headers: list[tuple[str, str]]
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -18,7 +18,7 @@
 from spindlenotch.gateway import dialect, state
 from spindlenotch.gateway.serving import body_traffic, caller_age, request_body
 from spindlenotch.gateway.source import routing
-from spindlenotch.kernel import waiting
+from spindlenotch.kernel import wait_queue
 
 #: Seconds until the deadline of a request that states none.
 DEFAULT_TIMEOUT_S = 60.0
@@ -95,7 +95,7 @@
         body: request_body.Body,
         chosen: balancer.Balancer,
         held_s: float,
-    ) -> waiting.Call:
+    ) -> wait_queue.Call:
         now = ids.later(self.state.clock.now(), -held_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
         typical_s = chosen.pool.latencies.typical_s(route.name)
@@ -107,7 +107,7 @@
         )
         size = body.known_bytes + self.traffic.expected_bytes(route)
         far_s = overflow.way_s(size)
-        return waiting.Call(
+        return wait_queue.Call(
             id=ids.CallId(f"{next(self._numbers):x}"),
             priority=route.rank,
             repeatable=route.repeatable,
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -38,7 +38,7 @@
     The upstreams by id, and the running means of the service as a whole.
 
     Invariants: ``in_flight`` counts the calls sent and not ended,
-    ``waiting`` those in the queue; at most ``eject_share`` of the pool (at least
+    ``wait_queue`` those in the queue; at most ``eject_share`` of the pool (at least
     one) is ejected at a time. ``mean_foreign_load`` is the number of requests
     that other processes have in an upstream where this one owns no slots,
     ``near_used`` the share of their slots that upstreams of the own region have in
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -24,7 +24,7 @@
     slot_division,
     state_changes,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 #: Why an upstream gets no new work whose answers say that it leaves.
@@ -146,7 +146,7 @@
         """Return the other regions that have upstreams."""
         return {self.region_of(upstream) for upstream in self.far_order}
 
-    def allows(self, call: waiting.Call, upstream: upstreams.Upstream) -> bool:
+    def allows(self, call: wait_queue.Call, upstream: upstreams.Upstream) -> bool:
         """Tell whether a call may run in the region of an upstream."""
         allowed = call.allowed_regions
         return allowed is None or self.region_of(upstream) in allowed
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from spindlenotch import ids, registry
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Random draws per upstream of a sample: some hit one that is drawn already or that may
 #: not take the call.
@@ -67,7 +67,7 @@
     def choose(
         self,
         pool: upstream_pool.Pool,
-        call: waiting.Call,
+        call: wait_queue.Call,
         now: ids.Instant,
         exclude: Exclusion,
     ) -> Choice | None:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -29,7 +29,7 @@
     rendezvous,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
 )
 from spindlenotch.peers import capnp_codec, documents, gossip, messages, peer_seal
 from tools import measure_gossip, slopes
@@ -107,8 +107,8 @@
     )
 
 
-def _call(name: str) -> waiting.Call:
-    return waiting.Call(
+def _call(name: str) -> wait_queue.Call:
+    return wait_queue.Call(
         id=ids.CallId(name),
         priority=1,
         repeatable=True,
