--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -13,9 +13,9 @@
 from spindlenotch.decisions import balancer, soonest, verdicts
 from spindlenotch.kernel import (
     budgets,
+    copy_tracker,
     extra_budgets,
     ownership,
-    repeats,
     service_policy,
     upstreams,
 )
@@ -196,7 +196,7 @@
     one = decider()
     first, second = one.pool.upstream_by_id.values()
     budget = budgets.SlidingShareBudget(0.2, 4.0, 10.0)
-    followed = repeats.Repeats(
+    followed = copy_tracker.Repeats(
         extra_budgets.ExtraBudgets(budget, budget, counts_drains=True)
     )
     call = ids.CallId("1")
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -23,7 +23,7 @@
     ),
     mutant_table.Mutant(
         "a repeat has arrived when one copy was read",
-        "kernel/repeats",
+        "kernel/copy_tracker",
         "return min(self.sent - 1, self.unread)",
         "return min(self.sent - 1, self.unread) * (self.unread == self.sent)",
         "a repeat has arrived when all copies but one were read",
