--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -196,7 +196,7 @@
     one = decider()
     first, second = one.pool.upstream_by_id.values()
     budget = budgets.SlidingShareBudget(0.2, 4.0, 10.0)
-    followed = copy_tracker.Repeats(
+    followed = copy_tracker.CopyTracker(
         extra_budgets.ExtraBudgets(budget, budget, counts_drains=True)
     )
     call = ids.CallId("1")
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -63,7 +63,7 @@
         self.split: traffic_split.TrafficSplit | None = None
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
-        self.repeats = copy_tracker.Repeats(self.extra)
+        self.repeats = copy_tracker.CopyTracker(self.extra)
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self._unreached_by_call: collections.Counter[ids.CallId] = collections.Counter()
         self.decisions: collections.deque[verdicts.Decision] = collections.deque(
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -48,7 +48,7 @@
     after_s: float
 
 
-class Repeats:
+class CopyTracker:
     """
     The repeats of one service's requests that may yet arrive.
 
