--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -207,12 +207,12 @@
     # The hedge is answered; the first copy may lie unread where it was sent.
     followed.ended(call, second, ids.later(NOW, 0.1))
     followed.forget(call)
-    followed.look(ids.later(NOW, 30.0))
+    followed.settle_read(ids.later(NOW, 30.0))
     assert budget.unsettled == 1
     assert budget.available(ids.later(NOW, 30.0))
     assert budget.balance == 3.0
     first.reported(REPORT, ids.later(NOW, 30.0))
-    followed.look(ids.later(NOW, 30.0))
+    followed.settle_read(ids.later(NOW, 30.0))
     assert budget.unsettled == 0
     (late,) = followed.take_late()
     assert (late.upstream, late.count, late.after_s) == (first.spec.id, 1, 30.0)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -241,7 +241,7 @@
         self, before: verdicts.Grant, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place one more copy of a call, if its budget allows it."""
-        self.repeats.look(now)
+        self.repeats.settle_read(now)
         budget = self.hedges if kind is verdicts.Kind.HEDGE else self.retries
         if not budget.available(now):
             return None
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -41,7 +41,7 @@
     ) -> None:
         """Tell what is new."""
         for service in services:
-            service.repeats.look(now)
+            service.repeats.settle_read(now)
             self._tell_late(service)
             for budget in service.extra.sliding():
                 self._tell_budget(service, budget, now)
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -104,7 +104,7 @@
         """Take in that no more copies of a request go out."""
         self._request_by_call.pop(call, None)
 
-    def look(self, now: ids.Instant) -> None:
+    def settle_read(self, now: ids.Instant) -> None:
         """Settle what has been read by now."""
         still_unread = []
         for copy in self._unread:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -308,7 +308,7 @@
         question="The budget of retries and hedges",
         functions=(
             "kernel/budgets.SlidingShareBudget.available",
-            "kernel/copy_tracker.CopyTracker.look",
+            "kernel/copy_tracker.CopyTracker.settle_read",
             "kernel/budgets.ShareBudget.available",
             "kernel/extra_budgets.SharedWindow",
             "gateway/service_defaults.extra_reserve",
