--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -200,7 +200,7 @@
         extra_budgets.ExtraBudgets(budget, budget, counts_drains=True)
     )
     call = ids.CallId("1")
-    followed.begin(call, first, NOW, is_read=False)
+    followed.record_first(call, first, NOW, is_read=False)
     followed.sent(call, second, NOW)
     assert budget.spend(NOW)
     assert budget.unsettled == 1
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -251,7 +251,9 @@
         call_id = before.call.id
         # A retry follows on a try that has ended; beside a hedge the try goes on.
         is_read = kind is verdicts.Kind.RETRY
-        self.repeats.begin(call_id, before.upstream, before.sent_at, is_read=is_read)
+        self.repeats.record_first(
+            call_id, before.upstream, before.sent_at, is_read=is_read
+        )
         self.repeats.sent(call_id, again.upstream, now)
         return msgspec.structs.replace(again, taken_from=budget.spend(now))
 
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -62,7 +62,7 @@
         self._unread: list[_Copy] = []
         self._late_by_upstream: dict[ids.UpstreamId, LateRead] = {}
 
-    def begin(
+    def record_first(
         self,
         call: ids.CallId,
         upstream: upstreams.Upstream,
