--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -214,7 +214,7 @@
     first.reported(REPORT, ids.later(NOW, 30.0))
     followed.settle_read(ids.later(NOW, 30.0))
     assert budget.unsettled == 0
-    (late,) = followed.take_late()
+    (late,) = followed.take_late_reads()
     assert (late.upstream, late.count, late.after_s) == (first.spec.id, 1, 30.0)
     # It arrived at that instant at the latest, and counts for a window from there.
     assert not budget.available(ids.later(NOW, 39.9)) or budget.balance == 3.0
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -48,7 +48,7 @@
 
     def _tell_late(self, service: balancer.Balancer) -> None:
         name = service.service.name
-        for late in service.repeats.take_late():
+        for late in service.repeats.take_late_reads():
             self.metrics.read_late.labels(name).inc(late.count)
             events.emit(
                 events.Event.READ_LATE,
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -117,7 +117,7 @@
                 still_unread.append(copy)
         self._unread = still_unread
 
-    def take_late(self) -> list[LateRead]:
+    def take_late_reads(self) -> list[LateRead]:
         """Return which upstreams have read copies late since this was asked last."""
         late = list(self._late_by_upstream.values())
         self._late_by_upstream.clear()
