--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -14,7 +14,7 @@
 
 #: Seconds after which a copy is taken to be lost with its upstream, if nothing is heard
 #: of that: longer than hosts are suspended or cut off.
-MOST_UNREAD_S = 60.0
+UNREAD_TIMEOUT_S = 60.0
 #: Seconds after which a copy has been read late: more than a request's way and the
 #: period of the reports, by which it shows, take together.
 LATE_S = 1.0
@@ -109,7 +109,7 @@
         still_unread = []
         for copy in self._unread:
             is_read = copy.upstream.hearing.read_until > copy.sent_at
-            if is_read or now - copy.sent_at > MOST_UNREAD_S:
+            if is_read or now - copy.sent_at > UNREAD_TIMEOUT_S:
                 self._settle(copy, now)
                 if is_read and now - copy.sent_at > LATE_S:
                     self._note_late(copy.upstream.spec.id, now - copy.sent_at)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -335,7 +335,7 @@
             "gateway/cluster/fleet_size.MEMORY_S",
             "kernel/budgets.SAVED_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
-            "kernel/copy_tracker.MOST_UNREAD_S",
+            "kernel/copy_tracker.UNREAD_TIMEOUT_S",
             "kernel/copy_tracker.LATE_S",
             "kernel/budgets.MOST_SAVED",
             "kernel/budgets.INITIAL_RESERVE",
