--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -17,7 +17,7 @@
 UNREAD_TIMEOUT_S = 60.0
 #: Seconds after which a copy has been read late: more than a request's way and the
 #: period of the reports, by which it shows, take together.
-LATE_S = 1.0
+LATE_READ_S = 1.0
 
 
 class _Request(msgspec.Struct, eq=False):
@@ -111,7 +111,7 @@
             is_read = copy.upstream.hearing.read_until > copy.sent_at
             if is_read or now - copy.sent_at > UNREAD_TIMEOUT_S:
                 self._settle(copy, now)
-                if is_read and now - copy.sent_at > LATE_S:
+                if is_read and now - copy.sent_at > LATE_READ_S:
                     self._note_late(copy.upstream.spec.id, now - copy.sent_at)
             else:
                 still_unread.append(copy)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -336,7 +336,7 @@
             "kernel/budgets.SAVED_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
             "kernel/copy_tracker.UNREAD_TIMEOUT_S",
-            "kernel/copy_tracker.LATE_S",
+            "kernel/copy_tracker.LATE_READ_S",
             "kernel/budgets.MOST_SAVED",
             "kernel/budgets.INITIAL_RESERVE",
         ),
