--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -63,7 +63,7 @@
         self.split: traffic_split.TrafficSplit | None = None
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
-        self.repeats = copy_tracker.CopyTracker(self.extra)
+        self.copies = copy_tracker.CopyTracker(self.extra)
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self._unreached_by_call: collections.Counter[ids.CallId] = collections.Counter()
         self.decisions: collections.deque[verdicts.Decision] = collections.deque(
@@ -117,7 +117,7 @@
         expected_s = typical_s * slowdown
         upstream.ended(grant.call.id, result, expected_s, now)
         if result is not upstreams.Result.CANCELLED:
-            self.repeats.ended(grant.call.id, upstream, now)
+            self.copies.ended(grant.call.id, upstream, now)
         if result is upstreams.Result.CONNECT_FAILED:
             self._unreached_by_call[grant.call.id] += 1
         if self.split is not None:
@@ -149,7 +149,7 @@
         """Drop what was kept to place further tries of a call."""
         self.tried_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
-        self.repeats.forget(call_id)
+        self.copies.forget(call_id)
 
     def settle(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """Refuse what is too late, then place waiting calls while one finds room."""
@@ -241,7 +241,7 @@
         self, before: verdicts.Grant, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place one more copy of a call, if its budget allows it."""
-        self.repeats.settle_read(now)
+        self.copies.settle_read(now)
         budget = self.hedges if kind is verdicts.Kind.HEDGE else self.retries
         if not budget.available(now):
             return None
@@ -251,10 +251,10 @@
         call_id = before.call.id
         # A retry follows on a try that has ended; beside a hedge the try goes on.
         is_read = kind is verdicts.Kind.RETRY
-        self.repeats.record_first(
+        self.copies.record_first(
             call_id, before.upstream, before.sent_at, is_read=is_read
         )
-        self.repeats.sent(call_id, again.upstream, now)
+        self.copies.sent(call_id, again.upstream, now)
         return msgspec.structs.replace(again, taken_from=budget.spend(now))
 
     def _place(
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -41,14 +41,14 @@
     ) -> None:
         """Tell what is new."""
         for service in services:
-            service.repeats.settle_read(now)
+            service.copies.settle_read(now)
             self._tell_late(service)
             for budget in service.extra.sliding():
                 self._tell_budget(service, budget, now)
 
     def _tell_late(self, service: balancer.Balancer) -> None:
         name = service.service.name
-        for late in service.repeats.take_late_reads():
+        for late in service.copies.take_late_reads():
             self.metrics.read_late.labels(name).inc(late.count)
             events.emit(
                 events.Event.READ_LATE,
