--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -97,7 +97,7 @@
         for copy in self._unread:
             if copy.request is request and copy.upstream is upstream:
                 self._unread.remove(copy)
-                self._settle(copy, now)
+                self._settle_copy(copy, now)
                 return
 
     def forget(self, call: ids.CallId) -> None:
@@ -110,7 +110,7 @@
         for copy in self._unread:
             is_read = copy.upstream.hearing.read_until > copy.sent_at
             if is_read or now - copy.sent_at > UNREAD_TIMEOUT_S:
-                self._settle(copy, now)
+                self._settle_copy(copy, now)
                 if is_read and now - copy.sent_at > LATE_READ_S:
                     self._note_late(copy.upstream.spec.id, now - copy.sent_at)
             else:
@@ -130,7 +130,7 @@
             upstream, before.count + 1, max(before.after_s, after_s)
         )
 
-    def _settle(self, copy: _Copy, now: ids.Instant) -> None:
+    def _settle_copy(self, copy: _Copy, now: ids.Instant) -> None:
         request = copy.request
         before = request.pending
         request.unread -= 1
