--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -112,7 +112,7 @@
             if is_read or now - copy.sent_at > UNREAD_TIMEOUT_S:
                 self._settle_copy(copy, now)
                 if is_read and now - copy.sent_at > LATE_READ_S:
-                    self._note_late(copy.upstream.spec.id, now - copy.sent_at)
+                    self._record_late_read(copy.upstream.spec.id, now - copy.sent_at)
             else:
                 still_unread.append(copy)
         self._unread = still_unread
@@ -123,7 +123,7 @@
         self._late_by_upstream.clear()
         return late
 
-    def _note_late(self, upstream: ids.UpstreamId, after_s: float) -> None:
+    def _record_late_read(self, upstream: ids.UpstreamId, after_s: float) -> None:
         """Add to what is told; kept in one row each, as nobody may ever ask."""
         before = self._late_by_upstream.get(upstream, LateRead(upstream, 0, 0.0))
         self._late_by_upstream[upstream] = LateRead(
