--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -15,7 +15,7 @@
 from spindlenotch import ids
 
 #: Most extra requests that a share budget saves up.
-MOST_SAVED = 10.0
+MAX_BALANCE = 10.0
 #: Extra requests that it allows before anything was earned.
 INITIAL_RESERVE = 1.0
 #: Time constant with which a sliding budget loses what it saved, as a share of its
@@ -66,7 +66,7 @@
     """
 
     share: float
-    cap: float = MOST_SAVED
+    cap: float = MAX_BALANCE
     balance: float = INITIAL_RESERVE
 
     def earn(self, now: ids.Instant) -> None:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -337,7 +337,7 @@
             "kernel/budgets.UNSETTLED_SHARE",
             "kernel/copy_tracker.UNREAD_TIMEOUT_S",
             "kernel/copy_tracker.LATE_READ_S",
-            "kernel/budgets.MOST_SAVED",
+            "kernel/budgets.MAX_BALANCE",
             "kernel/budgets.INITIAL_RESERVE",
         ),
         events=("REQUEST_SENT_AGAIN", "EXTRA_SENDS_IN_WINDOW", "READ_LATE"),
