--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -21,7 +21,7 @@
 #: Time constant with which a sliding budget loses what it saved, as a share of its
 #: window. Whoever takes over another's requests earns anew what that one has just
 #: used: with this tenth, and nine tenths of what is allowed, the sum still holds.
-SAVED_SHARE_OF_WINDOW = 0.1
+DECAY_SHARE_OF_WINDOW = 0.1
 #: Share of what requests have earned that may be unsettled, besides the reserve. What a
 #: process has sent before it is killed may arrive together with what its successor
 #: sends.
@@ -183,7 +183,7 @@
         """Let go of what was earned some time ago and not used."""
         if self._saved_at is not None and self._saved > self._kept:
             elapsed_s = max(0.0, now - self._saved_at)
-            rest = math.exp(-elapsed_s / (SAVED_SHARE_OF_WINDOW * self.window_s))
+            rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
             self._saved = self._kept + (self._saved - self._kept) * rest
         self._saved_at = now
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -333,7 +333,7 @@
             "gateway/service_defaults.LEAST_RESERVE_PARTS",
             "gateway/service_defaults.UNKNOWN_FLEET",
             "gateway/cluster/fleet_size.MEMORY_S",
-            "kernel/budgets.SAVED_SHARE_OF_WINDOW",
+            "kernel/budgets.DECAY_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
             "kernel/copy_tracker.UNREAD_TIMEOUT_S",
             "kernel/copy_tracker.LATE_READ_S",
