--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -124,7 +124,7 @@
 
     def earn(self, now: ids.Instant) -> None:
         """Count one ordinary request."""
-        self._fade(now)
+        self._decay(now)
         self._saved += self.share
         self.earned_count += 1
         self.earned_at.append(now)
@@ -132,7 +132,7 @@
 
     def available(self, now: ids.Instant) -> bool:
         """Tell whether one more extra request is allowed."""
-        self._fade(now)
+        self._decay(now)
         self._forget(self.earned_at, now)
         self._forget(self.settled_at, now)
         self._saved = max(self._saved, -float(self._in_use))
@@ -179,7 +179,7 @@
         """Return what does not fade: with the reserve, enough for one request."""
         return max(0.0, 1.0 - self.reserve)
 
-    def _fade(self, now: ids.Instant) -> None:
+    def _decay(self, now: ids.Instant) -> None:
         """Let go of what was earned some time ago and not used."""
         if self._saved_at is not None and self._saved > self._kept:
             elapsed_s = max(0.0, now - self._saved_at)
