--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -128,13 +128,13 @@
         self._saved += self.share
         self.earned_count += 1
         self.earned_at.append(now)
-        self._forget(self.earned_at, now)
+        self._drop_expired(self.earned_at, now)
 
     def available(self, now: ids.Instant) -> bool:
         """Tell whether one more extra request is allowed."""
         self._decay(now)
-        self._forget(self.earned_at, now)
-        self._forget(self.settled_at, now)
+        self._drop_expired(self.earned_at, now)
+        self._drop_expired(self.settled_at, now)
         self._saved = max(self._saved, -float(self._in_use))
         return self.balance >= 1.0 and self.unsettled + 1 <= self._most_unsettled
 
@@ -187,7 +187,7 @@
             self._saved = self._kept + (self._saved - self._kept) * rest
         self._saved_at = now
 
-    def _forget(
+    def _drop_expired(
         self, instants: collections.deque[ids.Instant], now: ids.Instant
     ) -> None:
         while instants and instants[0] <= now - self.window_s:
