--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -104,7 +104,7 @@
     So do the sums where processes end, or others take over their requests: what
     was earned is mostly used at once or lost. ``_saved`` is what was earned and not
     used; negative while the reserve is in use, which is until the extra requests that
-    used it leave the window. What lies over ``_kept`` fades.
+    used it leave the window. What lies over ``_decay_floor`` fades.
     """
 
     def __init__(self, share: float, reserve: float, window_s: float) -> None:
@@ -175,16 +175,16 @@
         return max(1.0, self.reserve + UNSETTLED_SHARE * earned)
 
     @property
-    def _kept(self) -> float:
+    def _decay_floor(self) -> float:
         """Return what does not fade: with the reserve, enough for one request."""
         return max(0.0, 1.0 - self.reserve)
 
     def _decay(self, now: ids.Instant) -> None:
         """Let go of what was earned some time ago and not used."""
-        if self._saved_at is not None and self._saved > self._kept:
+        if self._saved_at is not None and self._saved > self._decay_floor:
             elapsed_s = max(0.0, now - self._saved_at)
             rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
-            self._saved = self._kept + (self._saved - self._kept) * rest
+            self._saved = self._decay_floor + (self._saved - self._decay_floor) * rest
         self._saved_at = now
 
     def _drop_expired(
