--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -102,7 +102,7 @@
     ``unsettled`` are those of which that is not known.
 
     So do the sums where processes end, or others take over their requests: what
-    was earned is mostly used at once or lost. ``_saved`` is what was earned and not
+    was earned is mostly used at once or lost. ``_unspent`` is what was earned and not
     used; negative while the reserve is in use, which is until the extra requests that
     used it leave the window. What lies over ``_decay_floor`` fades.
     """
@@ -119,13 +119,13 @@
         self.earned_count = 0
         #: Extra requests so far.
         self.taken_by_part: collections.Counter[Part] = collections.Counter()
-        self._saved = 0.0
+        self._unspent = 0.0
         self._saved_at: ids.Instant | None = None
 
     def earn(self, now: ids.Instant) -> None:
         """Count one ordinary request."""
         self._decay(now)
-        self._saved += self.share
+        self._unspent += self.share
         self.earned_count += 1
         self.earned_at.append(now)
         self._drop_expired(self.earned_at, now)
@@ -135,7 +135,7 @@
         self._decay(now)
         self._drop_expired(self.earned_at, now)
         self._drop_expired(self.settled_at, now)
-        self._saved = max(self._saved, -float(self._in_use))
+        self._unspent = max(self._unspent, -float(self._in_use))
         return self.balance >= 1.0 and self.unsettled + 1 <= self._most_unsettled
 
     def spend(self, now: ids.Instant) -> Part | None:
@@ -143,7 +143,7 @@
         if not self.available(now):
             return None
         part = Part.SHARE if self._earned >= 1.0 else Part.RESERVE
-        self._saved -= 1.0
+        self._unspent -= 1.0
         self.unsettled += 1
         self.taken_by_part[part] += 1
         return part
@@ -161,7 +161,7 @@
     @property
     def _earned(self) -> float:
         """Return what is left of what ordinary requests have earned."""
-        return min(self.share * len(self.earned_at) - self._in_use, self._saved)
+        return min(self.share * len(self.earned_at) - self._in_use, self._unspent)
 
     @property
     def _in_use(self) -> int:
@@ -181,10 +181,12 @@
 
     def _decay(self, now: ids.Instant) -> None:
         """Let go of what was earned some time ago and not used."""
-        if self._saved_at is not None and self._saved > self._decay_floor:
+        if self._saved_at is not None and self._unspent > self._decay_floor:
             elapsed_s = max(0.0, now - self._saved_at)
             rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
-            self._saved = self._decay_floor + (self._saved - self._decay_floor) * rest
+            self._unspent = (
+                self._decay_floor + (self._unspent - self._decay_floor) * rest
+            )
         self._saved_at = now
 
     def _drop_expired(
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -304,8 +304,8 @@
     Mutant(
         "the reserve of retries that was used comes back by requests only",
         "kernel/budgets",
-        "max(self._saved, -float(self._in_use))",
-        "self._saved",
+        "max(self._unspent, -float(self._in_use))",
+        "self._unspent",
         "a reserve that was used is whole again after a window",
     ),
     Mutant(
