--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -120,7 +120,7 @@
         #: Extra requests so far.
         self.taken_by_part: collections.Counter[Part] = collections.Counter()
         self._unspent = 0.0
-        self._saved_at: ids.Instant | None = None
+        self._decayed_at: ids.Instant | None = None
 
     def earn(self, now: ids.Instant) -> None:
         """Count one ordinary request."""
@@ -181,13 +181,13 @@
 
     def _decay(self, now: ids.Instant) -> None:
         """Let go of what was earned some time ago and not used."""
-        if self._saved_at is not None and self._unspent > self._decay_floor:
-            elapsed_s = max(0.0, now - self._saved_at)
+        if self._decayed_at is not None and self._unspent > self._decay_floor:
+            elapsed_s = max(0.0, now - self._decayed_at)
             rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
             self._unspent = (
                 self._decay_floor + (self._unspent - self._decay_floor) * rest
             )
-        self._saved_at = now
+        self._decayed_at = now
 
     def _drop_expired(
         self, instants: collections.deque[ids.Instant], now: ids.Instant
