--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -136,7 +136,7 @@
         self._drop_expired(self.earned_at, now)
         self._drop_expired(self.settled_at, now)
         self._unspent = max(self._unspent, -float(self._in_use))
-        return self.balance >= 1.0 and self.unsettled + 1 <= self._most_unsettled
+        return self.balance >= 1.0 and self.unsettled + 1 <= self._max_unsettled
 
     def spend(self, now: ids.Instant) -> Part | None:
         """Take one extra request from the budget; None where none is left."""
@@ -169,7 +169,7 @@
         return len(self.settled_at) + self.unsettled
 
     @property
-    def _most_unsettled(self) -> float:
+    def _max_unsettled(self) -> float:
         """Return how many extra requests may be unsettled: one at least."""
         earned = self.share * len(self.earned_at)
         return max(1.0, self.reserve + UNSETTLED_SHARE * earned)
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -17,7 +17,7 @@
     mutant_table.Mutant(
         "any part of the budget may be unsettled",
         "kernel/budgets",
-        "self.unsettled + 1 <= self._most_unsettled",
+        "self.unsettled + 1 <= self._max_unsettled",
         "True",
         "a fleet's retries keep to it where they arrive late",
     ),
