--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -43,7 +43,7 @@
         for service in services:
             service.copies.settle_read(now)
             self._tell_late(service)
-            for budget in service.extra.sliding():
+            for budget in service.extra.sliding_budgets():
                 self._tell_budget(service, budget, now)
 
     def _tell_late(self, service: balancer.Balancer) -> None:
--- a/spindlenotch/kernel/extra_budgets.py
+++ b/spindlenotch/kernel/extra_budgets.py
@@ -47,7 +47,7 @@
         for budget in self._distinct:
             budget.settle(now)
 
-    def sliding(self) -> abc.Iterator[budgets.SlidingShareBudget]:
+    def sliding_budgets(self) -> abc.Iterator[budgets.SlidingShareBudget]:
         """Return the budgets that are sliding ones."""
         for budget in self._distinct:
             if isinstance(budget, budgets.SlidingShareBudget):
@@ -55,7 +55,7 @@
 
     def set_reserve(self, reserve: float) -> None:
         """Change what sliding budgets allow beyond their share; others have none."""
-        for budget in self.sliding():
+        for budget in self.sliding_budgets():
             budget.reserve = reserve
 
 
