--- a/spindlenotch/kernel/backoff.py
+++ b/spindlenotch/kernel/backoff.py
@@ -12,13 +12,13 @@
 
 
 class Backoff:
-    """Waits in seconds from ``least_s``, doubling up to ``most_s``, before jitter."""
+    """Waits in seconds from ``min_s``, doubling up to ``most_s``, before jitter."""
 
-    def __init__(self, rng: random.Random, least_s: float, most_s: float) -> None:
+    def __init__(self, rng: random.Random, min_s: float, most_s: float) -> None:
         self.rng = rng
-        self.least_s = least_s
+        self.min_s = min_s
         self.most_s = most_s
-        self.wait_s = least_s
+        self.wait_s = min_s
 
     def next(self) -> float:
         """Return the next wait in seconds."""
@@ -28,4 +28,4 @@
 
     def reset(self) -> None:
         """Begin again with the least wait."""
-        self.wait_s = self.least_s
+        self.wait_s = self.min_s
