--- a/spindlenotch/kernel/backoff.py
+++ b/spindlenotch/kernel/backoff.py
@@ -12,18 +12,18 @@
 
 
 class Backoff:
-    """Waits in seconds from ``min_s``, doubling up to ``most_s``, before jitter."""
+    """Waits in seconds from ``min_s``, doubling up to ``max_s``, before jitter."""
 
-    def __init__(self, rng: random.Random, min_s: float, most_s: float) -> None:
+    def __init__(self, rng: random.Random, min_s: float, max_s: float) -> None:
         self.rng = rng
         self.min_s = min_s
-        self.most_s = most_s
+        self.max_s = max_s
         self.wait_s = min_s
 
     def next(self) -> float:
         """Return the next wait in seconds."""
         wait_s = self.wait_s
-        self.wait_s = min(self.most_s, wait_s * 2)
+        self.wait_s = min(self.max_s, wait_s * 2)
         return wait_s * self.rng.uniform(*JITTER)
 
     def reset(self) -> None:
