--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -17,7 +17,7 @@
 #: lowest class never starves.
 OLDEST_FIRST_EVERY = 20
 #: Upstreams that a call may be sent to where nothing bounds them: more than there are.
-MOST_TRIES = 1_000
+MAX_TRIES = 1_000
 #: What an upstream in another zone costs a call where nothing else is said, in seconds,
 #: both ways.
 CROSS_ZONE_S = 0.002
@@ -43,7 +43,7 @@
     deadline: ids.Instant
     latency_key: str
     arrived_at: ids.Instant
-    most_tries: int = MOST_TRIES
+    most_tries: int = MAX_TRIES
     wait_until: ids.Instant = ids.NEVER
     late: bool = False
     cross_zone_s: float = CROSS_ZONE_S
