--- a/features/support/recorded_gateway.py
+++ b/features/support/recorded_gateway.py
@@ -16,7 +16,7 @@
 from spindlenotch.gateway import settings, state as states
 from spindlenotch.gateway.cluster import fleet as fleets, membership
 from spindlenotch.gateway.source import relay, routing, sources
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 from spindlenotch.peers import messages
 
 Result = typing.TypeVar("Result")
@@ -216,7 +216,7 @@
 def stored_quarantine() -> sources.StoredQuarantine:
     """Return a request that ends upstreams, as the source holds it."""
     ended = tuple(ids.UpstreamId(f"up-{number}") for number in (4, 5, 6))
-    note = crash_notes.CrashNote(
+    note = crash_records.CrashNote(
         ids.Fingerprint("00c0ffee0123456789abcdef"), 1, 3, ended, is_retried=True
     )
     # Later than any clock of the tests.
--- a/features/support/recorded_messages.py
+++ b/features/support/recorded_messages.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 from spindlenotch.peers import documents, messages, rollout_notes, workload
 
 
@@ -163,10 +163,10 @@
     """Return a message of a gateway while upstreams end under requests."""
     ended = tuple(ids.UpstreamId(f"up-{number}") for number in (4, 5, 6))
     notes = (
-        crash_notes.CrashNote(
+        crash_records.CrashNote(
             ids.Fingerprint("00c0ffee0123456789abcdef"), 1, 3, ended, True
         ),
-        crash_notes.CrashNote(ids.Fingerprint("00c0ffee0123456789abcd00"), 2),
+        crash_records.CrashNote(ids.Fingerprint("00c0ffee0123456789abcd00"), 2),
     )
     return msgspec.structs.replace(added_message(), crashes=notes)
 
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -16,7 +16,7 @@
 from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import balancer, quarantine, verdicts
 from spindlenotch.forwarding import jobs, recent_answers, try_marks
-from spindlenotch.kernel import crash_notes, fingerprints, upstreams
+from spindlenotch.kernel import crash_records, fingerprints, upstreams
 
 #: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
 #: each, and a probe's work, 6 ms.
@@ -32,7 +32,7 @@
 GONE = "gone"
 
 #: Called with each note that peers need to know.
-NoteListener = abc.Callable[[crash_notes.CrashNote], None]
+NoteListener = abc.Callable[[crash_records.CrashNote], None]
 
 
 class WatchState(typing.Protocol):
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -15,7 +15,7 @@
 from spindlenotch.forwarding import crash_watch
 from spindlenotch.gateway import state
 from spindlenotch.gateway.cluster import fleet
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 from spindlenotch.peers import gossip, messages, peer_link
 
 #: Seconds between two rounds; that of the shortest loops that wake together.
@@ -41,7 +41,7 @@
         self.fleet = gateway_fleet
         self.link = link
         self.watch = watch
-        self._news: dict[ids.Fingerprint, crash_notes.CrashNote] = {}
+        self._news: dict[ids.Fingerprint, crash_records.CrashNote] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
@@ -111,7 +111,7 @@
 
     # Telling
 
-    def _add_news(self, note: crash_notes.CrashNote) -> None:
+    def _add_news(self, note: crash_records.CrashNote) -> None:
         """Send a note that this gateway has made, with those of the same moment."""
         if not self._news:
             asyncio.get_running_loop().call_soon(self._send_news)
@@ -124,7 +124,7 @@
         self._news.clear()
         self._send(notes, self._active())
 
-    def _in_turn(self) -> tuple[crash_notes.CrashNote, ...]:
+    def _in_turn(self) -> tuple[crash_records.CrashNote, ...]:
         """Return the notes that changed lately, and one quarantined request in turn."""
         most = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-most:]
@@ -161,7 +161,7 @@
         ]
 
     def _send(
-        self, notes: tuple[crash_notes.CrashNote, ...], targets: list[ids.Address]
+        self, notes: tuple[crash_records.CrashNote, ...], targets: list[ids.Address]
     ) -> None:
         if not targets:
             return
--- a/spindlenotch/gateway/source/sources.py
+++ b/spindlenotch/gateway/source/sources.py
@@ -14,7 +14,7 @@
 
 from spindlenotch import ids, registry
 from spindlenotch.gateway.source import routing
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 
 
 class SourceFault(enum.Enum):
@@ -142,7 +142,7 @@
     that of the source at which it was written; zero where the source holds none yet.
     """
 
-    note: crash_notes.CrashNote
+    note: crash_records.CrashNote
     until_unix_s: float
     revision: int = 0
 
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import crash_notes, ownership
+from spindlenotch.kernel import crash_records, ownership
 from spindlenotch.peers import (
     documents,
     drain_notices,
@@ -76,7 +76,7 @@
         #: How far orders to change a service's version have come.
         self.rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
         #: Requests under which upstreams ended, as all messages tell of them now.
-        self.crashes: tuple[crash_notes.CrashNote, ...] = ()
+        self.crashes: tuple[crash_records.CrashNote, ...] = ()
         self.sequence = 0
         self.swept_at = ids.NEVER
 
--- a/spindlenotch/peers/messages.py
+++ b/spindlenotch/peers/messages.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 from spindlenotch.peers import documents, rollout_notes, workload
 
 #: Changed member records in a message. With it gossip took 2.6 to 4.7 KB/s at 1% loss
@@ -189,7 +189,7 @@
     regions: tuple[RegionSummary, ...] = ()
     rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
     evidence: rollout_notes.EvidenceRecord | None = None
-    crashes: tuple[crash_notes.CrashNote, ...] = ()
+    crashes: tuple[crash_records.CrashNote, ...] = ()
 
 
 class DocumentFrame(msgspec.Struct, frozen=True):
--- a/spindlenotch/peers/msgpack_codec.py
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from spindlenotch.kernel import crash_notes
+from spindlenotch.kernel import crash_records
 from spindlenotch.peers import messages, rollout_notes, wire_format
 
 #: zlib's fastest: messages are small and sent several times a second.
@@ -108,7 +108,7 @@
 MSGPACK: wire_format.Codec = MsgpackCodec()
 
 
-def _exceeds_crash_limits(notes: tuple[crash_notes.CrashNote, ...]) -> bool:
+def _exceeds_crash_limits(notes: tuple[crash_records.CrashNote, ...]) -> bool:
     return len(notes) > messages.CRASH_NOTES_PER_MESSAGE or any(
-        len(note.ended) > crash_notes.MOST_ENDED for note in notes
+        len(note.ended) > crash_records.MOST_ENDED for note in notes
     )
