--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -135,7 +135,7 @@
 
 
 notes = strategies.builds(
-    crash_records.CrashNote,
+    crash_records.CrashRecord,
     strategies.just(PRINT),
     strategies.integers(0, 2),
     strategies.integers(0, 4),
@@ -148,7 +148,7 @@
 def any_order() -> None:
     @hypothesis.given(strategies.lists(notes, max_size=6), strategies.randoms())
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
-    def check(told: list[crash_records.CrashNote], rng: random.Random) -> None:
+    def check(told: list[crash_records.CrashRecord], rng: random.Random) -> None:
         known, peer = quarantine.Quarantine(), quarantine.Quarantine()
         for note in told:
             known.merge(note, NOW)
@@ -249,7 +249,7 @@
             way_s = self.rng.uniform(0.0, LONGEST_WAY_S)
             self._after(way_s, lambda: self._hear(peer, note))
 
-    def _hear(self, number: int, note: crash_records.CrashNote) -> None:
+    def _hear(self, number: int, note: crash_records.CrashRecord) -> None:
         self.known[number].merge(note, ids.Instant(self.now))
 
     def _gossip(self, number: int) -> None:
--- a/features/support/recorded_gateway.py
+++ b/features/support/recorded_gateway.py
@@ -216,7 +216,7 @@
 def stored_quarantine() -> sources.StoredQuarantine:
     """Return a request that ends upstreams, as the source holds it."""
     ended = tuple(ids.UpstreamId(f"up-{number}") for number in (4, 5, 6))
-    note = crash_records.CrashNote(
+    note = crash_records.CrashRecord(
         ids.Fingerprint("00c0ffee0123456789abcdef"), 1, 3, ended, is_retried=True
     )
     # Later than any clock of the tests.
--- a/features/support/recorded_messages.py
+++ b/features/support/recorded_messages.py
@@ -163,10 +163,10 @@
     """Return a message of a gateway while upstreams end under requests."""
     ended = tuple(ids.UpstreamId(f"up-{number}") for number in (4, 5, 6))
     notes = (
-        crash_records.CrashNote(
+        crash_records.CrashRecord(
             ids.Fingerprint("00c0ffee0123456789abcdef"), 1, 3, ended, True
         ),
-        crash_records.CrashNote(ids.Fingerprint("00c0ffee0123456789abcd00"), 2),
+        crash_records.CrashRecord(ids.Fingerprint("00c0ffee0123456789abcd00"), 2),
     )
     return msgspec.structs.replace(added_message(), crashes=notes)
 
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -71,14 +71,14 @@
 class Change(msgspec.Struct, frozen=True):
     """That a request was quarantined, or is no longer; for the log."""
 
-    note: crash_records.CrashNote
+    note: crash_records.CrashRecord
     standing: Standing
 
 
 class Kept(msgspec.Struct):
     """A note, and until when it is kept."""
 
-    note: crash_records.CrashNote
+    note: crash_records.CrashRecord
     until: ids.Instant
 
     @property
@@ -130,10 +130,10 @@
         note = self.note(fingerprint)
         return Mark(note.round, note.depth + (fingerprint in self._doubts))
 
-    def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashNote:
+    def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
         """Return what is known of a request in the form that is passed on."""
         kept = self.kept_by_fingerprint.get(fingerprint)
-        return crash_records.CrashNote(fingerprint) if kept is None else kept.note
+        return crash_records.CrashRecord(fingerprint) if kept is None else kept.note
 
     def doubt(self, fingerprint: ids.Fingerprint) -> None:
         """Hold a request to be suspect until ``settle``."""
@@ -156,7 +156,7 @@
     ) -> bool:
         """Take in that an upstream ended under a try with this mark; see ``merge``."""
         before = standing_of(self.note(fingerprint))
-        strike = crash_records.CrashNote(
+        strike = crash_records.CrashRecord(
             fingerprint, mark.round, mark.depth + 1, (upstream,)
         )
         is_news = self.merge(strike, now)
@@ -178,11 +178,11 @@
         note = self.note(fingerprint)
         if not note.depth:
             return False
-        return self.merge(crash_records.CrashNote(fingerprint, note.round + 1), now)
+        return self.merge(crash_records.CrashRecord(fingerprint, note.round + 1), now)
 
     def merge(
         self,
-        told: crash_records.CrashNote,
+        told: crash_records.CrashRecord,
         now: ids.Instant,
         until: ids.Instant = ids.NEVER,
     ) -> bool:
@@ -209,7 +209,7 @@
             else:
                 self._forget(fingerprint)
 
-    def quarantined(self) -> abc.Iterator[crash_records.CrashNote]:
+    def quarantined(self) -> abc.Iterator[crash_records.CrashRecord]:
         """Return the notes on all requests that are not sent any more."""
         for kept in self.kept_by_fingerprint.values():
             if kept.standing is Standing.QUARANTINED:
@@ -229,7 +229,7 @@
         return standing
 
     def _keep(
-        self, note: crash_records.CrashNote, now: ids.Instant, until: ids.Instant
+        self, note: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
     ) -> None:
         before = standing_of(self.note(note.fingerprint))
         after = standing_of(note)
@@ -272,7 +272,7 @@
 }
 
 
-def standing_of(note: crash_records.CrashNote) -> Standing:
+def standing_of(note: crash_records.CrashRecord) -> Standing:
     """Return what is held of a request of which this is known."""
     if not note.depth:
         return Standing.CLEAR
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -32,7 +32,7 @@
 GONE = "gone"
 
 #: Called with each note that peers need to know.
-NoteListener = abc.Callable[[crash_records.CrashNote], None]
+NoteListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
 class WatchState(typing.Protocol):
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -41,7 +41,7 @@
         self.fleet = gateway_fleet
         self.link = link
         self.watch = watch
-        self._news: dict[ids.Fingerprint, crash_records.CrashNote] = {}
+        self._news: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
@@ -111,7 +111,7 @@
 
     # Telling
 
-    def _add_news(self, note: crash_records.CrashNote) -> None:
+    def _add_news(self, note: crash_records.CrashRecord) -> None:
         """Send a note that this gateway has made, with those of the same moment."""
         if not self._news:
             asyncio.get_running_loop().call_soon(self._send_news)
@@ -124,7 +124,7 @@
         self._news.clear()
         self._send(notes, self._active())
 
-    def _in_turn(self) -> tuple[crash_records.CrashNote, ...]:
+    def _in_turn(self) -> tuple[crash_records.CrashRecord, ...]:
         """Return the notes that changed lately, and one quarantined request in turn."""
         most = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-most:]
@@ -161,7 +161,7 @@
         ]
 
     def _send(
-        self, notes: tuple[crash_records.CrashNote, ...], targets: list[ids.Address]
+        self, notes: tuple[crash_records.CrashRecord, ...], targets: list[ids.Address]
     ) -> None:
         if not targets:
             return
--- a/spindlenotch/gateway/source/sources.py
+++ b/spindlenotch/gateway/source/sources.py
@@ -142,7 +142,7 @@
     that of the source at which it was written; zero where the source holds none yet.
     """
 
-    note: crash_records.CrashNote
+    note: crash_records.CrashRecord
     until_unix_s: float
     revision: int = 0
 
--- a/spindlenotch/kernel/crash_records.py
+++ b/spindlenotch/kernel/crash_records.py
@@ -14,7 +14,7 @@
 MOST_ENDED = 3
 
 
-class CrashNote(msgspec.Struct, frozen=True, array_like=True):
+class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
     """
     A request and the upstreams that ended under it.
 
@@ -30,14 +30,14 @@
     ended: tuple[ids.UpstreamId, ...] = ()
     is_retried: bool = False
 
-    def merged(self, other: "CrashNote") -> "CrashNote":
+    def merged(self, other: "CrashRecord") -> "CrashRecord":
         """Return what two notes on the same request tell together."""
         if self.round != other.round:
             newer = max(self, other, key=lambda note: note.round)
             # With itself, as a peer may name its ends in any order, or twice.
             return newer.merged(newer)
         ended = {*self.ended, *other.ended}
-        return CrashNote(
+        return CrashRecord(
             self.fingerprint,
             self.round,
             max(self.depth, other.depth),
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -76,7 +76,7 @@
         #: How far orders to change a service's version have come.
         self.rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
         #: Requests under which upstreams ended, as all messages tell of them now.
-        self.crashes: tuple[crash_records.CrashNote, ...] = ()
+        self.crashes: tuple[crash_records.CrashRecord, ...] = ()
         self.sequence = 0
         self.swept_at = ids.NEVER
 
--- a/spindlenotch/peers/messages.py
+++ b/spindlenotch/peers/messages.py
@@ -189,7 +189,7 @@
     regions: tuple[RegionSummary, ...] = ()
     rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
     evidence: rollout_notes.EvidenceRecord | None = None
-    crashes: tuple[crash_records.CrashNote, ...] = ()
+    crashes: tuple[crash_records.CrashRecord, ...] = ()
 
 
 class DocumentFrame(msgspec.Struct, frozen=True):
--- a/spindlenotch/peers/msgpack_codec.py
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -108,7 +108,7 @@
 MSGPACK: wire_format.Codec = MsgpackCodec()
 
 
-def _exceeds_crash_limits(notes: tuple[crash_records.CrashNote, ...]) -> bool:
+def _exceeds_crash_limits(notes: tuple[crash_records.CrashRecord, ...]) -> bool:
     return len(notes) > messages.CRASH_NOTES_PER_MESSAGE or any(
         len(note.ended) > crash_records.MOST_ENDED for note in notes
     )
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -17,7 +17,7 @@
             "decisions/quarantine.Quarantine.strike",
             "decisions/quarantine.Quarantine.take_retrial",
             "kernel/fingerprints.of",
-            "kernel/crash_records.CrashNote.merged",
+            "kernel/crash_records.CrashRecord.merged",
             "forwarding/crash_watch.CrashWatch.lost",
             "decisions/silence.seems_ended",
             "forwarding/recent_answers.RecentAnswers.holds",
--- a/tools/quarantine_mutants.py
+++ b/tools/quarantine_mutants.py
@@ -24,8 +24,8 @@
     mutant_table.Mutant(
         "an answer leaves a request suspect",
         "decisions/quarantine",
-        "crash_records.CrashNote(fingerprint, note.round + 1)",
-        "crash_records.CrashNote(fingerprint, note.round)",
+        "crash_records.CrashRecord(fingerprint, note.round + 1)",
+        "crash_records.CrashRecord(fingerprint, note.round)",
         held_by="an answer clears a request, and older notes are no news",
     ),
     mutant_table.Mutant(
