--- a/spindlenotch/kernel/crash_records.py
+++ b/spindlenotch/kernel/crash_records.py
@@ -11,7 +11,7 @@
 from spindlenotch import ids
 
 #: Ends that a note names; more tell nothing new.
-MOST_ENDED = 3
+MAX_ENDED_UPSTREAMS = 3
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -41,6 +41,6 @@
             self.fingerprint,
             self.round,
             max(self.depth, other.depth),
-            tuple(sorted(ended)[:MOST_ENDED]),
+            tuple(sorted(ended)[:MAX_ENDED_UPSTREAMS]),
             self.is_retried or other.is_retried,
         )
--- a/spindlenotch/peers/msgpack_codec.py
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -110,5 +110,5 @@
 
 def _exceeds_crash_limits(notes: tuple[crash_records.CrashRecord, ...]) -> bool:
     return len(notes) > messages.CRASH_NOTES_PER_MESSAGE or any(
-        len(note.ended) > crash_records.MOST_ENDED for note in notes
+        len(note.ended) > crash_records.MAX_ENDED_UPSTREAMS for note in notes
     )
