--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -197,7 +197,7 @@
     first, second = one.pool.upstream_by_id.values()
     budget = budgets.SlidingShareBudget(0.2, 4.0, 10.0)
     followed = copy_tracker.CopyTracker(
-        extra_budgets.ExtraBudgets(budget, budget, counts_drains=True)
+        extra_budgets.ExtraBudgets(budget, budget, charges_drain_retries=True)
     )
     call = ids.CallId("1")
     followed.record_first(call, first, NOW, is_read=False)
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -44,7 +44,8 @@
     Invariants: a grant names an upstream that is listed, not leaving and not
     ejected; a call is never granted twice to the same upstream; a call that may
     have run is granted again only where it is repeatable; every further grant is
-    taken from a budget, but for those that ``ExtraBudgets.counts_drains`` leaves out.
+    taken from a budget, but for those that ``ExtraBudgets.charges_drain_retries``
+    leaves out.
     ``split`` is None unless the service changes its version.
     """
 
@@ -209,7 +210,7 @@
         if not allowed:
             return None
         drains = grant.upstream.state is upstreams.State.LEAVING
-        if known_not_run and drains and not self.extra.counts_drains:
+        if known_not_run and drains and not self.extra.charges_drain_retries:
             return self._grant(call, verdicts.Kind.RETRY, now)
         return self._repeat(grant, verdicts.Kind.RETRY, now)
 
--- a/spindlenotch/kernel/extra_budgets.py
+++ b/spindlenotch/kernel/extra_budgets.py
@@ -20,8 +20,8 @@
     The budgets of one service's retries and hedges.
 
     Both may be the same budget, which then earns once for each call.
-    ``counts_drains``: also requests that an upstream turned away because it drains take
-    a retry from it.
+    ``charges_drain_retries``: also requests that an upstream turned away because it
+    drains take a retry from it.
     """
 
     def __init__(
@@ -29,11 +29,11 @@
         retries: budgets.ExtraBudget,
         hedges: budgets.ExtraBudget,
         *,
-        counts_drains: bool,
+        charges_drain_retries: bool,
     ) -> None:
         self.retries = retries
         self.hedges = hedges
-        self.counts_drains = counts_drains
+        self.charges_drain_retries = charges_drain_retries
         shared = retries is hedges
         self._distinct = (retries,) if shared else (retries, hedges)
 
@@ -82,7 +82,7 @@
             budgets.ShareBudget(self.hedge_share),
             # They come once, when an upstream begins to drain, as many as it had. From
             # a budget that begins with one retry the second of two was refused.
-            counts_drains=False,
+            charges_drain_retries=False,
         )
 
     def update(self, existing: ExtraBudgets) -> None:
@@ -111,7 +111,7 @@
         """Return one new budget for both."""
         shared = budgets.SlidingShareBudget(self.share, self.reserve, self.window_s)
         # The sum over the fleet counts whatever arrives again.
-        return ExtraBudgets(shared, shared, counts_drains=True)
+        return ExtraBudgets(shared, shared, charges_drain_retries=True)
 
     def update(self, existing: ExtraBudgets) -> None:
         """Change the reserve; the share and the window need a restart."""
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -66,7 +66,7 @@
     mutant_table.Mutant(
         "what a draining upstream turned away takes from an entry's budget",
         "decisions/balancer",
-        "if known_not_run and drains and not self.extra.counts_drains:",
+        "if known_not_run and drains and not self.extra.charges_drain_retries:",
         "if False:",
         "what a draining upstream turned away moves beside the budget",
     ),
