--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -165,7 +165,7 @@
             arrived_at=now,
             most_tries=3,
             wait_until=wait_until,
-            far_s=overflow.way_s(self.size),
+            cross_region_s=overflow.way_s(self.size),
             far_from=overflow.leave_region_at(
                 now, wait_until, overflow.way_s(self.size)
             ),
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -65,7 +65,7 @@
     if min(pool.far_used_by_region.values()) > pool.near_used - LESS_USED:
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
-    return near_s > UNKNOWN_FACTOR * typical_s + call.far_s
+    return near_s > UNKNOWN_FACTOR * typical_s + call.cross_region_s
 
 
 def candidates(
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -222,5 +222,5 @@
     if upstream.spec.zone == pool.local_member.zone:
         return work_s
     if pool.far_order and pool.is_far(upstream):
-        return overflow.UNKNOWN_FACTOR * work_s + call.far_s
+        return overflow.UNKNOWN_FACTOR * work_s + call.cross_region_s
     return work_s + call.cross_zone_s
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -106,7 +106,7 @@
             typical_s=typical_s,
         )
         size = body.known_bytes + self.traffic.expected_bytes(route)
-        far_s = overflow.way_s(size)
+        cross_region_s = overflow.way_s(size)
         return wait_queue.Call(
             id=ids.CallId(f"{next(self._numbers):x}"),
             priority=route.rank,
@@ -118,8 +118,8 @@
             wait_until=limit.wait_until,
             late=limit.late,
             cross_zone_s=cross_zone_s(body, typical_s),
-            far_s=far_s,
-            far_from=overflow.leave_region_at(now, limit.wait_until, far_s),
+            cross_region_s=cross_region_s,
+            far_from=overflow.leave_region_at(now, limit.wait_until, cross_region_s),
             allowed_regions=allowed_regions(route),
         )
 
