--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -166,7 +166,7 @@
             most_tries=3,
             wait_until=wait_until,
             cross_region_s=overflow.way_s(self.size),
-            far_from=overflow.leave_region_at(
+            cross_region_from=overflow.leave_region_at(
                 now, wait_until, overflow.way_s(self.size)
             ),
             allowed_regions=self.allowed,
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -280,7 +280,7 @@
         sent: list[verdicts.Settlement] = []
         full: set[frozenset[ids.RegionName] | None] = set()
         for call in list(self.queue) if self.pool.far_order else ():
-            if call.far_from > now or call.allowed_regions in full:
+            if call.cross_region_from > now or call.allowed_regions in full:
                 continue
             grant = self._grant(call, verdicts.Kind.FIRST, now)
             if grant is None:
@@ -304,7 +304,7 @@
         """Place a call that its region would refuse: now it may leave it."""
         if not self.pool.far_order:
             return None
-        may_leave = msgspec.structs.replace(call, far_from=now)
+        may_leave = msgspec.structs.replace(call, cross_region_from=now)
         return self._grant(may_leave, verdicts.Kind.FIRST, now)
 
     def _eject_if_frozen(self, grant: verdicts.Grant, now: ids.Instant) -> None:
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -48,7 +48,7 @@
     """
     if not pool.far_order:
         return False
-    if now >= call.far_from or exclude:
+    if now >= call.cross_region_from or exclude:
         return True
     return not _any_near(pool, now)
 
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -119,7 +119,9 @@
             late=limit.late,
             cross_zone_s=cross_zone_s(body, typical_s),
             cross_region_s=cross_region_s,
-            far_from=overflow.leave_region_at(now, limit.wait_until, cross_region_s),
+            cross_region_from=overflow.leave_region_at(
+                now, limit.wait_until, cross_region_s
+            ),
             allowed_regions=allowed_regions(route),
         )
 
--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -33,8 +33,8 @@
     sent to. It is refused when it would wait beyond ``wait_until`` for a slot.
     ``late``: its answer can't be in time any more; calls of its priority that can
     be go first. An upstream in another zone counts ``cross_zone_s`` seconds more, one
-    in another region ``cross_region_s``; that is used from ``far_from`` where no
-    other has room.
+    in another region ``cross_region_s``; that is used from ``cross_region_from`` where
+    no other has room.
     ``allowed_regions``: where it may run; None: anywhere.
     """
 
@@ -49,7 +49,7 @@
     late: bool = False
     cross_zone_s: float = CROSS_ZONE_S
     cross_region_s: float = 0.0
-    far_from: ids.Instant = ids.Instant(0.0)
+    cross_region_from: ids.Instant = ids.Instant(0.0)
     allowed_regions: frozenset[ids.RegionName] | None = None
 
     @property
