--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -39,7 +39,7 @@
 ) -> fingerprints.Fingerprints:
     """Return the fingerprints of a request."""
     content = fingerprints.Content("GET", "h", target, body)
-    return fingerprints.of(content, caller)
+    return fingerprints.compute(content, caller)
 
 
 def upstream(number: int) -> ids.UpstreamId:
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -60,7 +60,7 @@
             body=body,
             streamed_bytes=self.streamed_bytes,
         )
-        return fingerprints.of(content, self.caller)
+        return fingerprints.compute(content, self.caller)
 
     @property
     def body_is_whole(self) -> bool:
--- a/spindlenotch/kernel/fingerprints.py
+++ b/spindlenotch/kernel/fingerprints.py
@@ -54,7 +54,7 @@
     return f"{zlib.crc32(target.encode()):0{TARGET_DIGITS}x}"
 
 
-def of(content: Content, caller: str) -> Fingerprints:
+def compute(content: Content, caller: str) -> Fingerprints:
     """Return the fingerprints of a request that ``caller`` sends."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (content.method, content.host, content.target):
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -16,7 +16,7 @@
             "decisions/quarantine.standing_of",
             "decisions/quarantine.Quarantine.strike",
             "decisions/quarantine.Quarantine.take_retrial",
-            "kernel/fingerprints.of",
+            "kernel/fingerprints.compute",
             "kernel/crash_records.CrashRecord.merged",
             "forwarding/crash_watch.CrashWatch.lost",
             "decisions/silence.seems_ended",
