--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -94,15 +94,15 @@
     request = prints()
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
-        for one in request.each():
+        for one in request.as_tuple():
             known.strike(one, known.mark(one), upstream(number), NOW)
-    for one in request.each():
+    for one in request.as_tuple():
         peer.merge(known.note(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RETRIAL_S)
     assert not known.take_retrial(request, ids.later(NOW, quarantine.RETRIAL_S / 2))
     assert known.take_retrial(request, later)
     assert not known.take_retrial(request, later)
-    for one in request.each():
+    for one in request.as_tuple():
         assert known.note(one).is_retried
     assert not peer.take_retrial(request, later)
 
@@ -111,7 +111,7 @@
 def other_requests() -> None:
     base = prints()
     for other in (prints(target="/b"), prints(body=b"x")):
-        assert not set(base.each()) & set(other.each())
+        assert not set(base.as_tuple()) & set(other.as_tuple())
     from_other = prints(caller="d")
     assert base.content == from_other.content
     assert base.from_caller != from_other.from_caller
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -114,11 +114,11 @@
 
     def standing(self, known: fingerprints.Fingerprints) -> Standing:
         """Return what is held of a request: the worse of what both prints tell."""
-        return max(self._standing(one) for one in known.each())
+        return max(self._standing(one) for one in known.as_tuple())
 
     def until(self, known: fingerprints.Fingerprints) -> ids.Instant:
         """Return until when a request is quarantined."""
-        kept = [self.kept_by_fingerprint.get(one) for one in known.each()]
+        kept = [self.kept_by_fingerprint.get(one) for one in known.as_tuple()]
         return max(
             one.until
             for one in kept
@@ -167,7 +167,7 @@
 
     def take_retrial(self, known: fingerprints.Fingerprints, now: ids.Instant) -> bool:
         """Tell whether a quarantined request is sent once more, now; only once."""
-        due = [one for one in known.each() if self._is_retrial_due(one, now)]
+        due = [one for one in known.as_tuple() if self._is_retrial_due(one, now)]
         for fingerprint in due:
             note = self.note(fingerprint)
             self.merge(msgspec.structs.replace(note, is_retried=True), now)
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -64,7 +64,7 @@
 
     def suspects(self) -> tuple[ids.Fingerprint, ...]:
         """Return the fingerprints that may be those of the cause."""
-        return () if self.answered_lately else self.prints.each()
+        return () if self.answered_lately else self.prints.as_tuple()
 
 
 class CrashWatch:
@@ -97,7 +97,7 @@
 
     def tell(self, prints: fingerprints.Fingerprints) -> None:
         """Pass on what is known of a request."""
-        for fingerprint in prints.each():
+        for fingerprint in prints.as_tuple():
             self._tell(fingerprint)
 
     # How a try ends
@@ -194,7 +194,7 @@
 
     def _clear(self, prints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
-        for fingerprint in prints.each():
+        for fingerprint in prints.as_tuple():
             if self.quarantine.clear(fingerprint, now):
                 self._tell(fingerprint)
 
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -9,7 +9,7 @@
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import jobs
 
-#: Marks of a try, in the order of ``Fingerprints.each``.
+#: Marks of a try, in the order of ``Fingerprints.as_tuple``.
 Marks = tuple[quarantine.Mark, quarantine.Mark]
 TryKey = tuple[ids.CallId, ids.UpstreamId]
 
@@ -28,7 +28,7 @@
     def sent(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Keep what is known of a request as a try of it is sent."""
         if self.quarantine.knows_target(job.target):
-            content, from_caller = job.fingerprints().each()
+            content, from_caller = job.fingerprints().as_tuple()
             marks = (self.quarantine.mark(content), self.quarantine.mark(from_caller))
             self._marks_by_try[_key(grant)] = marks
 
--- a/spindlenotch/kernel/fingerprints.py
+++ b/spindlenotch/kernel/fingerprints.py
@@ -44,7 +44,7 @@
     content: ids.Fingerprint
     from_caller: ids.Fingerprint
 
-    def each(self) -> tuple[ids.Fingerprint, ids.Fingerprint]:
+    def as_tuple(self) -> tuple[ids.Fingerprint, ids.Fingerprint]:
         """Return both."""
         return self.content, self.from_caller
 
