--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -15,10 +15,10 @@
     extra_budgets,
     outcomes,
     ownership,
-    schedule,
     service_policy,
     upstreams,
     wait_queue,
+    zone_schedule,
 )
 from spindlenotch.peers import documents
 
@@ -127,11 +127,11 @@
     @hypothesis.given(steps, strategies.floats(0, 1439.9))
     def check(drawn: list[tuple[int, list[float]]], minute: float) -> None:
         day = tuple(
-            schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
+            zone_schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
             for at, values in sorted(drawn)
         )
-        before = schedule.planned(ZONES, day, minute)
-        after = schedule.planned(ZONES, day, (minute + 0.01) % 1440)
+        before = zone_schedule.planned(ZONES, day, minute)
+        after = zone_schedule.planned(ZONES, day, (minute + 0.01) % 1440)
         assert abs(sum(before.values()) - 1) < 1e-9
         steepest = 0.01 * 100 / max(1, _shortest(day)) + 1e-6
         for zone in ZONES:
@@ -140,7 +140,7 @@
     check()
 
 
-def _shortest(day: tuple[schedule.DayStep, ...]) -> float:
+def _shortest(day: tuple[zone_schedule.DayStep, ...]) -> float:
     minutes = [step.minute for step in day]
     if len(minutes) == 1:
         return 1440
--- a/features/support/recorded_bundles.py
+++ b/features/support/recorded_bundles.py
@@ -8,7 +8,7 @@
 from features.support import recorded
 from spindlenotch import ids
 from spindlenotch.bundles import bundle, bundle_check, bundle_seal
-from spindlenotch.kernel import schedule
+from spindlenotch.kernel import zone_schedule
 
 Sample = recorded.Sample
 PRIVATE = "1f" * 32
@@ -29,8 +29,12 @@
         ),
     )
     day = (
-        schedule.DayStep(minute=390, weight_by_zone={zones[0]: 1.5, zones[1]: 0.0}),
-        schedule.DayStep(minute=1080, weight_by_zone={zones[0]: 0.5, zones[1]: 2.0}),
+        zone_schedule.DayStep(
+            minute=390, weight_by_zone={zones[0]: 1.5, zones[1]: 0.0}
+        ),
+        zone_schedule.DayStep(
+            minute=1080, weight_by_zone={zones[0]: 0.5, zones[1]: 2.0}
+        ),
     )
     service = bundle.Service(
         name=ids.ServiceName("core"),
--- a/spindlenotch/bundles/bundle.py
+++ b/spindlenotch/bundles/bundle.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import schedule
+from spindlenotch.kernel import zone_schedule
 
 
 class Operation(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
     queue_limit: int
     eject_share: float
     operations: tuple[Operation, ...]
-    day: tuple[schedule.DayStep, ...]
+    day: tuple[zone_schedule.DayStep, ...]
 
     def operation_for(self, method: str, path: str) -> Operation | None:
         """Return the operation with the longest matching prefix, if any."""
--- a/spindlenotch/bundles/service_tables.py
+++ b/spindlenotch/bundles/service_tables.py
@@ -16,7 +16,7 @@
     scalar_fields,
     table_reader,
 )
-from spindlenotch.kernel import schedule
+from spindlenotch.kernel import zone_schedule
 
 TIME_OF_DAY = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])")
 METHODS = ("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH")
@@ -109,7 +109,7 @@
 
 def _read_day(
     service: table_reader.TableReader, zones: Zones
-) -> tuple[schedule.DayStep, ...]:
+) -> tuple[zone_schedule.DayStep, ...]:
     steps = tuple(_read_step(table, zones) for table in service.subtables("day"))
     minutes = [step.minute for step in steps]
     if minutes != sorted(set(minutes)):
@@ -117,7 +117,7 @@
     return steps
 
 
-def _read_step(table: table_reader.TableReader, zones: Zones) -> schedule.DayStep:
+def _read_step(table: table_reader.TableReader, zones: Zones) -> zone_schedule.DayStep:
     table.refuse_unknown(("at", "weights"))
     time_of_day = TIME_OF_DAY.fullmatch(str(table.get("at")))
     minute = 0
@@ -125,7 +125,9 @@
         table.refuse("at", table.get("at"), "a time such as 08:30")
     else:
         minute = int(time_of_day[1]) * 60 + int(time_of_day[2])
-    return schedule.DayStep(minute, _read_weights(table.subtable("weights"), zones))
+    return zone_schedule.DayStep(
+        minute, _read_weights(table.subtable("weights"), zones)
+    )
 
 
 def _read_weights(
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -24,7 +24,7 @@
     tickets,
 )
 from spindlenotch.forwarding import upstream_events
-from spindlenotch.kernel import hostlist, ownership, schedule, upstreams
+from spindlenotch.kernel import hostlist, ownership, upstreams, zone_schedule
 from spindlenotch.peers import documents, gossip, messages
 
 _STATUS_BY_PHASE = {
@@ -124,10 +124,10 @@
         current = self.bundle
         if current is None:
             return
-        minute = schedule.minute_of_day(self.clock.unix_s(), current.timezone)
+        minute = zone_schedule.minute_of_day(self.clock.unix_s(), current.timezone)
         for service in self.balancer_by_service.values():
             policy = service.service
-            plan = schedule.planned(policy.zones, policy.day, minute)
+            plan = zone_schedule.planned(policy.zones, policy.day, minute)
             service.pool.set_plan(plan)
 
     def publish_status(self) -> None:
--- a/spindlenotch/kernel/service_policy.py
+++ b/spindlenotch/kernel/service_policy.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import extra_budgets, regions, schedule
+from spindlenotch.kernel import extra_budgets, regions, zone_schedule
 
 
 class ServicePolicy(msgspec.Struct, frozen=True, kw_only=True):
@@ -36,7 +36,7 @@
     queue_limit: int
     eject_share: float
     latency_keys: tuple[str, ...] = ()
-    day: tuple[schedule.DayStep, ...] = ()
+    day: tuple[zone_schedule.DayStep, ...] = ()
     cold_rate_per_s: float | None = None
     cold_start_s: float = 0.0
     region_map: regions.Regions = regions.ONE_REGION
--- a/spindlenotch/kernel/slot_division.py
+++ b/spindlenotch/kernel/slot_division.py
@@ -2,7 +2,7 @@
 Which slots of a pool's upstreams are divided among the members.
 
 Between the state of the upstreams and ``ownership``, which divides: ejected ones
-are left out, and the day's plan weights the zones (``schedule``). Pure.
+are left out, and the day's plan weights the zones (``zone_schedule``). Pure.
 """
 
 from collections import abc
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -18,13 +18,13 @@
     ownership,
     regions,
     said,
-    schedule,
     service_policy,
     shared_rate,
     slot_division,
     state_changes,
     upstreams,
     wait_queue,
+    zone_schedule,
 )
 
 #: Why an upstream gets no new work whose answers say that it leaves.
@@ -58,7 +58,7 @@
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
-        self.plan: dict[ids.ZoneName, float] = schedule.planned(
+        self.plan: dict[ids.ZoneName, float] = zone_schedule.planned(
             service.zones, service.day, 0.0
         )
         self.changes = state_changes.ChangeLog()
@@ -168,7 +168,7 @@
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
         slots = slot_division.slots_by_zone(self.usable_order)
-        self.zone_factor = schedule.effective(self.plan, slots)
+        self.zone_factor = zone_schedule.effective(self.plan, slots)
         self._assign_slots()
 
     def _begin(
