--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -130,8 +130,8 @@
             zone_schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
             for at, values in sorted(drawn)
         )
-        before = zone_schedule.planned(ZONES, day, minute)
-        after = zone_schedule.planned(ZONES, day, (minute + 0.01) % 1440)
+        before = zone_schedule.planned_shares(ZONES, day, minute)
+        after = zone_schedule.planned_shares(ZONES, day, (minute + 0.01) % 1440)
         assert abs(sum(before.values()) - 1) < 1e-9
         steepest = 0.01 * 100 / max(1, _shortest(day)) + 1e-6
         for zone in ZONES:
--- a/spindlenotch/entry/entry_state.py
+++ b/spindlenotch/entry/entry_state.py
@@ -127,7 +127,7 @@
         minute = zone_schedule.minute_of_day(self.clock.unix_s(), current.timezone)
         for service in self.balancer_by_service.values():
             policy = service.service
-            plan = zone_schedule.planned(policy.zones, policy.day, minute)
+            plan = zone_schedule.planned_shares(policy.zones, policy.day, minute)
             service.pool.set_plan(plan)
 
     def publish_status(self) -> None:
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -58,7 +58,7 @@
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
-        self.plan: dict[ids.ZoneName, float] = zone_schedule.planned(
+        self.plan: dict[ids.ZoneName, float] = zone_schedule.planned_shares(
             service.zones, service.day, 0.0
         )
         self.changes = state_changes.ChangeLog()
--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -31,7 +31,7 @@
     return local.hour * 60 + local.minute + local.second / 60
 
 
-def planned(
+def planned_shares(
     zones: tuple[ids.ZoneName, ...], day: tuple[DayStep, ...], minute: float
 ) -> dict[ids.ZoneName, float]:
     """
