--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -168,7 +168,7 @@
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
         slots = slot_division.slots_by_zone(self.usable_order)
-        self.zone_factor = zone_schedule.effective(self.plan, slots)
+        self.zone_factor = zone_schedule.slot_factors(self.plan, slots)
         self._assign_slots()
 
     def _begin(
--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -54,7 +54,7 @@
     return _shares({zone: _between(before, after, zone, progress) for zone in zones})
 
 
-def effective(
+def slot_factors(
     plan: dict[ids.ZoneName, float], usable_slots: dict[ids.ZoneName, float]
 ) -> dict[ids.ZoneName, float]:
     """
