--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -40,7 +40,7 @@
     ``day`` is in order of minutes; where it is empty every zone counts alike.
     """
     if not day:
-        return _shares(dict.fromkeys(zones, 1.0))
+        return _normalized(dict.fromkeys(zones, 1.0))
     before = day[-1]
     after = day[0]
     for step in day:
@@ -51,7 +51,9 @@
             after = step
     span = (after.minute - before.minute) % MINUTES_PER_DAY or MINUTES_PER_DAY
     progress = ((minute - before.minute) % MINUTES_PER_DAY) / span
-    return _shares({zone: _between(before, after, zone, progress) for zone in zones})
+    return _normalized(
+        {zone: _between(before, after, zone, progress) for zone in zones}
+    )
 
 
 def slot_factors(
@@ -79,7 +81,7 @@
     return start + (end - start) * progress
 
 
-def _shares(weights: dict[ids.ZoneName, float]) -> dict[ids.ZoneName, float]:
+def _normalized(weights: dict[ids.ZoneName, float]) -> dict[ids.ZoneName, float]:
     total = sum(weights.values())
     if total <= 0:
         return dict.fromkeys(weights, 1.0 / max(1, len(weights)))
