--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -52,7 +52,7 @@
     span = (after.minute - before.minute) % MINUTES_PER_DAY or MINUTES_PER_DAY
     progress = ((minute - before.minute) % MINUTES_PER_DAY) / span
     return _normalized(
-        {zone: _between(before, after, zone, progress) for zone in zones}
+        {zone: _interpolated(before, after, zone, progress) for zone in zones}
     )
 
 
@@ -73,7 +73,7 @@
     return {zone: density[zone] / top for zone in wanted}
 
 
-def _between(
+def _interpolated(
     before: DayStep, after: DayStep, zone: ids.ZoneName, progress: float
 ) -> float:
     start = before.weight_by_zone.get(zone, 0.0)
