--- a/spindlenotch/entry/probe_lease.py
+++ b/spindlenotch/entry/probe_lease.py
@@ -108,7 +108,7 @@
         hosts = [
             host
             for zone in sorted(zones)
-            for host in rendezvous.chosen(members, zone, _key(service), 1)
+            for host in rendezvous.assigned_hosts(members, zone, _key(service), 1)
         ]
         return self.state.config.host in hosts[:CANDIDATES]
 
--- a/spindlenotch/entry/readers.py
+++ b/spindlenotch/entry/readers.py
@@ -25,7 +25,7 @@
 
 def is_reader(state: entry_state.EntryState, resource: Resource) -> bool:
     """Tell whether this entry is to read ``resource`` for its zone."""
-    chosen = rendezvous.chosen(
+    chosen = rendezvous.assigned_hosts(
         state.gossip.ready_members(),
         state.config.zone,
         resource.value,
--- a/spindlenotch/gateway/cluster/duties.py
+++ b/spindlenotch/gateway/cluster/duties.py
@@ -81,4 +81,4 @@
     hosts: abc.Iterable[ids.HostId], zone: ids.ZoneName, salt: str, count: int
 ) -> list[ids.HostId]:
     members = [ownership.Member(zone, host) for host in hosts]
-    return rendezvous.chosen(members, zone, salt, count)
+    return rendezvous.assigned_hosts(members, zone, salt, count)
--- a/spindlenotch/gateway/rollout/deciding.py
+++ b/spindlenotch/gateway/rollout/deciding.py
@@ -72,4 +72,4 @@
     service: ids.ServiceName, hosts: abc.Iterable[ids.HostId], count: int
 ) -> list[ids.HostId]:
     members = [ownership.Member(ANY_ZONE, host) for host in sorted(hosts)]
-    return rendezvous.chosen(members, ANY_ZONE, f"{SALT}/{service}", count)
+    return rendezvous.assigned_hosts(members, ANY_ZONE, f"{SALT}/{service}", count)
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -20,7 +20,7 @@
 SCORES = 2**64
 
 
-def chosen(
+def assigned_hosts(
     members: abc.Iterable[ownership.Member],
     zone: ids.ZoneName,
     duty: str,
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -315,7 +315,7 @@
         readers = {
             host
             for zone in {m.zone for m in members}
-            for host in rendezvous.chosen(members, zone, "store", 2)
+            for host in rendezvous.assigned_hosts(members, zone, "store", 2)
         }
         counts.append(float(len(readers)))
     slopes.show("entries that watch the store, 5 zones", "", slopes.FLEETS, counts)
