--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -23,7 +23,7 @@
 def assigned_hosts(
     members: abc.Iterable[ownership.Member],
     zone: ids.ZoneName,
-    duty: str,
+    task: str,
     count: int,
 ) -> list[ids.HostId]:
     """
@@ -34,11 +34,11 @@
     assigned here must be harmless then.
     """
     hosts = [m.host for m in members if m.zone == zone]
-    scored = sorted(hosts, key=lambda h: score(duty, h), reverse=True)
+    scored = sorted(hosts, key=lambda h: score(task, h), reverse=True)
     return scored[:count]
 
 
 @functools.lru_cache(SCORES_KEPT)
-def score(duty: str, host: ids.HostId) -> tuple[int, str]:
+def score(task: str, host: ids.HostId) -> tuple[int, str]:
     """Return the rank of a host for a duty; the highest takes it on."""
-    return random.Random(f"{duty}/{host}").getrandbits(SCORE_BITS), host
+    return random.Random(f"{task}/{host}").getrandbits(SCORE_BITS), host
