--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -13,7 +13,7 @@
 from spindlenotch.kernel import ownership
 
 #: Scores that are cached.
-SCORES_KEPT = 65_536
+SCORE_CACHE_SIZE = 65_536
 #: Bits of a score, and how many different scores there are. Part of the choice:
 #: processes of two releases in one fleet must agree on it.
 SCORE_BITS = 64
@@ -38,7 +38,7 @@
     return scored[:count]
 
 
-@functools.lru_cache(SCORES_KEPT)
+@functools.lru_cache(SCORE_CACHE_SIZE)
 def score(task: str, host: ids.HostId) -> tuple[int, str]:
     """Return the rank of a host for a duty; the highest takes it on."""
     return random.Random(f"{task}/{host}").getrandbits(SCORE_BITS), host
