--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -107,7 +107,7 @@
 def precedence(host: ids.HostId) -> float:
     """Return which share of equally strong hosts becomes active before this one."""
     score, _ = rendezvous.score(TIE_SALT, host)
-    return 1.0 - score / rendezvous.SCORES
+    return 1.0 - score / rendezvous.SCORE_COUNT
 
 
 def _split(
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -17,7 +17,7 @@
 #: Bits of a score, and how many different scores there are. Part of the choice:
 #: processes of two releases in one fleet must agree on it.
 SCORE_BITS = 64
-SCORES = 2**64
+SCORE_COUNT = 2**64
 
 
 def assigned_hosts(
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -160,13 +160,13 @@
     def phase(self) -> float:
         """Return a number from 0 to 1 that is another one for each upstream."""
         score, _ = rendezvous.score(self.upstream, NO_HOST)
-        return score / rendezvous.SCORES
+        return score / rendezvous.SCORE_COUNT
 
     @property
     def local_phase(self) -> float:
         """Return a number from 0 to 1 that is another one for each process, too."""
         score, _ = rendezvous.score(self.upstream, self.local_host)
-        return score / rendezvous.SCORES
+        return score / rendezvous.SCORE_COUNT
 
     def holders(self, view: View, most: int) -> list[ids.HostId]:
         """Return ``most`` holders at most, the same for equal views."""
