--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -32,7 +32,7 @@
         """Return the region of a zone."""
         return self.region_by_zone.get(zone, self.others)
 
-    def names(self, zone: ids.ZoneName) -> frozenset[ids.RegionName]:
+    def all_regions(self, zone: ids.ZoneName) -> frozenset[ids.RegionName]:
         """Return all regions, that of ``zone`` included."""
         return frozenset((*self.region_by_zone.values(), self.region(zone)))
 
@@ -55,5 +55,7 @@
     Where only one is named, all zones lie in it: settings of a fleet of one region may
     name just that of the own zone.
     """
-    names = set(region_by_zone.values())
-    return Regions(region_by_zone, names.pop() if len(names) == 1 else UNNAMED)
+    all_regions = set(region_by_zone.values())
+    return Regions(
+        region_by_zone, all_regions.pop() if len(all_regions) == 1 else UNNAMED
+    )
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -49,7 +49,7 @@
     ) -> None:
         self.known = known
         self.local_region = known.region(zone)
-        self.others = tuple(sorted(known.names(zone) - {self.local_region}))
+        self.others = tuple(sorted(known.all_regions(zone) - {self.local_region}))
         self.rng = rng
         self.heard_by_region: dict[ids.RegionName, Heard] = {}
         self._own = messages.RegionSummary(self.local_region)
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -106,7 +106,7 @@
     known: regions.Regions,
 ) -> gossip.Gossip:
     """Return the gossip of a member; without links where there is one region."""
-    if len(known.names(local.zone)) == 1:
+    if len(known.all_regions(local.zone)) == 1:
         return gossip.Gossip(local, rng, timeouts)
     return RegionalGossip(local, rng, timeouts, known)
 
