--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -23,14 +23,14 @@
 
 
 class Regions(msgspec.Struct, frozen=True):
-    """The region of each zone; zones without one share ``others``."""
+    """The region of each zone; zones without one share ``default_region``."""
 
     region_by_zone: dict[ids.ZoneName, ids.RegionName] = {}
-    others: ids.RegionName = UNNAMED
+    default_region: ids.RegionName = UNNAMED
 
     def region(self, zone: ids.ZoneName) -> ids.RegionName:
         """Return the region of a zone."""
-        return self.region_by_zone.get(zone, self.others)
+        return self.region_by_zone.get(zone, self.default_region)
 
     def all_regions(self, zone: ids.ZoneName) -> frozenset[ids.RegionName]:
         """Return all regions, that of ``zone`` included."""
