--- a/features/steps/gateway_allowed.py
+++ b/features/steps/gateway_allowed.py
@@ -41,7 +41,9 @@
         one = route(allowed)
         assert region_rules.allows(one, NORTH) is is_served, allowed
         # A gateway that knows no regions can't say that it lies in one of them.
-        assert region_rules.allows(one, regions.UNNAMED) is (allowed is None), allowed
+        assert region_rules.allows(one, regions.UNNAMED_REGION) is (allowed is None), (
+            allowed
+        )
         passed = job_factory.allowed_regions(one)
         assert passed == (None if allowed is None else frozenset(allowed))
 
--- a/spindlenotch/gateway/source/region_rules.py
+++ b/spindlenotch/gateway/source/region_rules.py
@@ -20,7 +20,7 @@
     """
     if route.allowed_regions is None:
         return True
-    return region != regions.UNNAMED and region in route.allowed_regions
+    return region != regions.UNNAMED_REGION and region in route.allowed_regions
 
 
 def shared(
--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -11,7 +11,7 @@
 from spindlenotch import ids
 
 #: The region of zones that the settings give none.
-UNNAMED = ids.RegionName("")
+UNNAMED_REGION = ids.RegionName("")
 
 
 class Distance(enum.Enum):
@@ -26,7 +26,7 @@
     """The region of each zone; zones without one share ``default_region``."""
 
     region_by_zone: dict[ids.ZoneName, ids.RegionName] = {}
-    default_region: ids.RegionName = UNNAMED
+    default_region: ids.RegionName = UNNAMED_REGION
 
     def region(self, zone: ids.ZoneName) -> ids.RegionName:
         """Return the region of a zone."""
@@ -57,5 +57,5 @@
     """
     all_regions = set(region_by_zone.values())
     return Regions(
-        region_by_zone, all_regions.pop() if len(all_regions) == 1 else UNNAMED
+        region_by_zone, all_regions.pop() if len(all_regions) == 1 else UNNAMED_REGION
     )
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -311,7 +311,7 @@
     Mutant(
         "a route is served in any region",
         "gateway/source/region_rules",
-        "region != regions.UNNAMED and region in route.allowed_regions",
+        "region != regions.UNNAMED_REGION and region in route.allowed_regions",
         "True",
         "elsewhere its requests are refused at once, and never run",
     ),
