--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -117,7 +117,7 @@
         member = ownership.Member(rollout_service.ZONE, host)
         self.balancer = balancer.Balancer(rollout_service.policy(), member, rng)
         for route, work_s in rollout_service.WORK_S_BY_ROUTE.items():
-            self.balancer.pool.latencies.learn(route, world.plan.guess * work_s)
+            self.balancer.pool.latencies.track(route, world.plan.guess * work_s)
         measured = world.metrics
         self.rollouts = registry.Registry(rollout_service.SHARE, measured)
         self.local = rollout_service.record(host, next(world.numbers))
--- a/spindlenotch/gateway/services.py
+++ b/spindlenotch/gateway/services.py
@@ -49,7 +49,7 @@
             typical_s = service_defaults.typical_latency_s(route)
             for part in route.parts:
                 pool = self.balancer_by_service[part.service].pool
-                pool.latencies.learn(route.name, typical_s)
+                pool.latencies.track(route.name, typical_s)
 
     def set_listed(
         self,
--- a/spindlenotch/kernel/latency_table.py
+++ b/spindlenotch/kernel/latency_table.py
@@ -40,9 +40,9 @@
         self.overall = latency.Mean(typical_s, OVERALL_WEIGHT)
         self.latency_by_key: dict[str, KeyLatency] = {}
         for key in keys:
-            self.learn(key, typical_s)
+            self.track(key, typical_s)
 
-    def learn(self, key: str, typical_s: float) -> None:
+    def track(self, key: str, typical_s: float) -> None:
         """Begin to follow a kind of call; one that is followed already stays."""
         if key not in self.latency_by_key:
             self.latency_by_key[key] = KeyLatency(
