--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -45,7 +45,9 @@
     def refuse_expired(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """Refuse the waiting calls whose deadline has passed."""
         refusal = outcomes.not_run(outcomes.Reason.DEADLINE_PASSED)
-        return [verdicts.Settlement(call, refusal) for call in self.queue.expired(now)]
+        return [
+            verdicts.Settlement(call, refusal) for call in self.queue.pop_expired(now)
+        ]
 
     def refuse_stranded(
         self,
--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -120,7 +120,7 @@
                 return next(reversed(self.calls_by_rank[rank].values()))
         return None
 
-    def expired(self, now: ids.Instant) -> list[Call]:
+    def pop_expired(self, now: ids.Instant) -> list[Call]:
         """Take out and return the calls whose deadline has passed."""
         late = [call for call in self if call.deadline <= now]
         for call in late:
