--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -1,8 +1,8 @@
 """
-Budgets: upper bounds that hold whatever order events come in.
+Budgets: upper bounds that hold for any order of events.
 
-Pure arithmetic over instants that the caller passes in. Retries and hedges
-use a share of real traffic; probes and claims use a rate.
+Pure arithmetic over instants that the caller passes in. Retries and hedges are
+bounded to a share of ordinary traffic, probes and claims to a rate.
 """
 
 import collections
@@ -14,55 +14,57 @@
 
 from spindlenotch import ids
 
-#: Most extra requests that a share budget saves up.
+#: Most extra requests that a share budget accumulates.
 MAX_BALANCE = 10.0
-#: Extra requests that it allows before anything was earned.
+#: Extra requests that a share budget allows before it has earned anything.
 INITIAL_RESERVE = 1.0
-#: Time constant with which a sliding budget loses what it saved, as a share of its
-#: window. Whoever takes over another's requests earns anew what that one has just
-#: used: with this tenth, and nine tenths of what is allowed, the sum still holds.
+#: Time constant with which the unspent credit of a sliding budget decays, as a share
+#: of its window. A process that takes over another's requests earns credit that the
+#: other has just spent: with this tenth, and with processes that use nine tenths of
+#: the allowed share, the fleet as a whole still keeps to its bound.
 DECAY_SHARE_OF_WINDOW = 0.1
-#: Share of what requests have earned that may be unsettled, besides the reserve. What a
-#: process has sent before it is killed may arrive together with what its successor
-#: sends.
+#: Share of the earned credit that may be unsettled, in addition to the reserve: extra
+#: requests that a process sent before it was killed may arrive together with those of
+#: its successor.
 UNSETTLED_SHARE = 0.1
 
 
 class Part(enum.Enum):
-    """What part of a budget an extra request was taken from."""
+    """The part of a budget that an extra request was charged to."""
 
-    #: What ordinary requests have earned.
+    #: Credit earned by ordinary requests.
     SHARE = "share"
-    #: What is allowed beyond that.
+    #: Extra requests that are allowed beyond that credit.
     RESERVE = "reserve"
 
 
 class ExtraBudget(typing.Protocol):
-    """Bounds what is sent beyond the first try of each request."""
+    """Bounds the requests sent beyond the first try of each: retries and hedges."""
 
     @property
     def balance(self) -> float:
-        """Return how many extra requests were allowed when last asked."""
+        """Return how many extra requests were allowed at the last check."""
 
     def earn(self, now: ids.Instant) -> None:
-        """Count one ordinary request."""
+        """Record one ordinary request."""
 
     def available(self, now: ids.Instant) -> bool:
-        """Tell whether one more extra request is allowed."""
+        """Return whether one more extra request is allowed."""
 
     def spend(self, now: ids.Instant) -> Part | None:
-        """Take one extra request from the budget; None where none is left."""
+        """Charge one extra request to the budget; return None if none is left."""
 
     def settle(self, now: ids.Instant) -> None:
-        """Take in that one extra request has arrived by now, or never will."""
+        """Record that one extra request has arrived by now, or never will."""
 
 
 class ShareBudget(msgspec.Struct):
     """
-    Allows extra work as a share of ordinary work.
+    Allows extra requests up to a share of the ordinary ones.
 
-    Invariant: spent <= share * earned + the initial reserve of one. The
-    balance is capped so that a quiet day does not save up for a burst of retries.
+    Invariant: extra requests <= ``share`` * ordinary requests + ``INITIAL_RESERVE``.
+    The balance is capped at ``cap`` so that a long time without retries does not
+    build up credit for a burst of them.
     """
 
     share: float
@@ -70,41 +72,42 @@
     balance: float = INITIAL_RESERVE
 
     def earn(self, now: ids.Instant) -> None:
-        """Count one ordinary request."""
+        """Record one ordinary request."""
         self.balance = min(self.cap, self.balance + self.share)
 
     def available(self, now: ids.Instant) -> bool:
-        """Tell whether one more extra request is allowed."""
+        """Return whether one more extra request is allowed."""
         return self.balance >= 1.0
 
     def spend(self, now: ids.Instant) -> Part | None:
-        """Take one extra request from the budget; None where none is left."""
+        """Charge one extra request to the budget; return None if none is left."""
         if self.balance < 1.0:
             return None
         self.balance -= 1.0
         return Part.SHARE
 
     def settle(self, now: ids.Instant) -> None:
-        """Do nothing: the bound is no matter of when extra requests arrive."""
+        """Do nothing: the bound does not depend on when extra requests arrive."""
 
 
 class SlidingShareBudget:
     """
-    Allows extra work as a share of ordinary work in every sliding window.
+    Allows extra requests up to a share of the ordinary ones in every sliding window.
 
     Invariant: in any span of ``window_s`` seconds, the extra requests that arrive are
     at most ``share`` of the ordinary ones in a span of that length before, plus
-    ``reserve``. The sums of several processes that serve all the time therefore keep to
-    the same share plus the sum of their reserves, without any message.
+    ``reserve``. So the totals over several processes that serve all the time keep to
+    the same share plus the sum of their reserves, without any coordination.
 
     An extra request may arrive long after it was sent, together with those of several
-    windows. So it counts until one window after ``settle`` told that it has arrived;
-    ``unsettled`` are those of which that is not known.
-
-    So do the sums where processes end, or others take over their requests: what
-    was earned is mostly used at once or lost. ``_unspent`` is what was earned and not
-    used; negative while the reserve is in use, which is until the extra requests that
-    used it leave the window. What lies over ``_decay_floor`` fades.
+    windows. It therefore counts until one window after ``settle`` reported its
+    arrival; ``unsettled`` counts those that have not been reported yet.
+
+    The bound also holds for the totals where processes end or take over each other's
+    requests, because credit is either spent soon or lost. ``_unspent`` is the credit
+    that was earned and not spent. It is negative while the reserve is in use, that is,
+    until the extra requests charged to it leave the window. Credit above
+    ``_decay_floor`` decays exponentially.
     """
 
     def __init__(self, share: float, reserve: float, window_s: float) -> None:
@@ -112,18 +115,18 @@
         self.reserve = reserve
         self.window_s = window_s
         self.earned_at: collections.deque[ids.Instant] = collections.deque()
-        #: When those extra requests arrived, at the latest, that have arrived.
+        #: Latest possible arrival of each settled extra request in the window.
         self.settled_at: collections.deque[ids.Instant] = collections.deque()
         self.unsettled = 0
-        #: Ordinary requests so far.
+        #: Ordinary requests since the start.
         self.earned_count = 0
-        #: Extra requests so far.
+        #: Extra requests since the start, by the part they were charged to.
         self.taken_by_part: collections.Counter[Part] = collections.Counter()
         self._unspent = 0.0
         self._decayed_at: ids.Instant | None = None
 
     def earn(self, now: ids.Instant) -> None:
-        """Count one ordinary request."""
+        """Record one ordinary request."""
         self._decay(now)
         self._unspent += self.share
         self.earned_count += 1
@@ -131,7 +134,7 @@
         self._drop_expired(self.earned_at, now)
 
     def available(self, now: ids.Instant) -> bool:
-        """Tell whether one more extra request is allowed."""
+        """Return whether one more extra request is allowed."""
         self._decay(now)
         self._drop_expired(self.earned_at, now)
         self._drop_expired(self.settled_at, now)
@@ -139,7 +142,7 @@
         return self.balance >= 1.0 and self.unsettled + 1 <= self._max_unsettled
 
     def spend(self, now: ids.Instant) -> Part | None:
-        """Take one extra request from the budget; None where none is left."""
+        """Charge one extra request to the budget; return None if none is left."""
         if not self.available(now):
             return None
         part = Part.SHARE if self._earned >= 1.0 else Part.RESERVE
@@ -149,38 +152,38 @@
         return part
 
     def settle(self, now: ids.Instant) -> None:
-        """Take in that one extra request has arrived by now, or never will."""
+        """Record that one extra request has arrived by now, or never will."""
         self.unsettled -= 1
         self.settled_at.append(now)
 
     @property
     def balance(self) -> float:
-        """Return how many extra requests were allowed when last asked."""
+        """Return how many extra requests were allowed at the last check."""
         return self.reserve + self._earned
 
     @property
     def _earned(self) -> float:
-        """Return what is left of what ordinary requests have earned."""
+        """Return the credit from ordinary requests that is still available."""
         return min(self.share * len(self.earned_at) - self._in_use, self._unspent)
 
     @property
     def _in_use(self) -> int:
-        """Return how many extra requests may arrive in one window with the next."""
+        """Return how many extra requests may arrive in one window with the next one."""
         return len(self.settled_at) + self.unsettled
 
     @property
     def _max_unsettled(self) -> float:
-        """Return how many extra requests may be unsettled: one at least."""
+        """Return how many extra requests may be unsettled at a time, at least one."""
         earned = self.share * len(self.earned_at)
         return max(1.0, self.reserve + UNSETTLED_SHARE * earned)
 
     @property
     def _decay_floor(self) -> float:
-        """Return what does not fade: with the reserve, enough for one request."""
+        """Return the credit that does not decay: with the reserve, one request's."""
         return max(0.0, 1.0 - self.reserve)
 
     def _decay(self, now: ids.Instant) -> None:
-        """Let go of what was earned some time ago and not used."""
+        """Decay the unspent credit down to this instant."""
         if self._decayed_at is not None and self._unspent > self._decay_floor:
             elapsed_s = max(0.0, now - self._decayed_at)
             rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
@@ -200,10 +203,9 @@
     """
     Allows at most ``per_window`` uses in any window of ``window_s`` seconds.
 
-    Invariant: uses lie at least ``window_s / per_window`` apart, the first
-    at least one whole window after the start. A process that takes over from
-    another therefore leaves that other's uses out of its own window, and a
-    restarted one cannot add a burst.
+    Invariant: uses are at least ``window_s / per_window`` seconds apart, and the first
+    is at least one whole window after the start. So no window holds the uses of both a
+    process and the one it takes over from, and a restart cannot add a burst.
     """
 
     def __init__(self, per_window: int, window_s: float, start: ids.Instant) -> None:
@@ -211,7 +213,7 @@
         self.free_at = ids.later(start, window_s)
 
     def spend(self, now: ids.Instant) -> bool:
-        """Use the budget once, or say that it is too early."""
+        """Use the budget once and return True; return False if it is too early."""
         if now < self.free_at or self.spacing_s == float("inf"):
             return False
         self.free_at = ids.later(now, self.spacing_s)
@@ -220,11 +222,11 @@
 
 class RateBudget(msgspec.Struct):
     """
-    A token bucket that starts empty; ``burst`` tokens at the most.
+    A token bucket that starts empty and holds at most ``burst`` tokens.
 
-    Invariant: up to any instant at most ``per_second`` uses for each second
-    since the start, and in any span at most ``burst`` more than that.
-    ``tokens`` is negative while uses are reserved for later.
+    Invariant: up to any instant there are at most ``per_second`` uses for each second
+    since the start, and in any span at most ``burst`` more than ``per_second`` gives.
+    ``tokens`` is negative while uses are reserved ahead of time.
     """
 
     per_second: float
@@ -234,9 +236,10 @@
 
     def reserve(self, now: ids.Instant, longest_wait_s: float) -> ids.Instant | None:
         """
-        Reserve one use and return when it is due, not before now.
+        Reserve one use and return the instant at which it is due, not before ``now``.
 
-        None where that would be more than ``longest_wait_s`` seconds away.
+        Return None, and reserve nothing, if that is more than ``longest_wait_s``
+        seconds away.
         """
         elapsed = max(0.0, now - self.filled_at)
         self.tokens = min(self.burst, self.tokens + elapsed * self.per_second)
--- a/spindlenotch/kernel/extra_budgets.py
+++ b/spindlenotch/kernel/extra_budgets.py
@@ -1,8 +1,8 @@
 """
-How the budgets of retries and hedges go together: separate or shared.
+The budgets of a service's retries and hedges: separate or shared.
 
-A service has one of two named policies: each kind gets a share of the traffic
-of its own (``SeparateShares``), or both draw on one sliding window
+A service has one of two policies: retries and hedges each get a share of the traffic
+(``SeparateShares``), or both draw on one budget over a sliding window
 (``SharedWindow``). Relies on ``budgets`` for the arithmetic.
 """
 
@@ -20,8 +20,8 @@
     The budgets of one service's retries and hedges.
 
     Both may be the same budget, which then earns once for each call.
-    ``charges_drain_retries``: also requests that an upstream turned away because it
-    drains take a retry from it.
+    ``charges_drain_retries``: retries of requests that a draining upstream turned away
+    are charged to the retry budget too.
     """
 
     def __init__(
@@ -38,39 +38,39 @@
         self._distinct = (retries,) if shared else (retries, hedges)
 
     def earn(self, now: ids.Instant) -> None:
-        """Count one ordinary request."""
+        """Record one ordinary request."""
         for budget in self._distinct:
             budget.earn(now)
 
     def settle(self, now: ids.Instant) -> None:
-        """Take in that one extra request has arrived by now, or never will."""
+        """Record that one extra request has arrived by now, or never will."""
         for budget in self._distinct:
             budget.settle(now)
 
     def sliding_budgets(self) -> abc.Iterator[budgets.SlidingShareBudget]:
-        """Return the budgets that are sliding ones."""
+        """Yield those budgets that work over a sliding window."""
         for budget in self._distinct:
             if isinstance(budget, budgets.SlidingShareBudget):
                 yield budget
 
     def set_reserve(self, reserve: float) -> None:
-        """Change what sliding budgets allow beyond their share; others have none."""
+        """Set the reserve of the sliding budgets; other budgets have none."""
         for budget in self.sliding_budgets():
             budget.reserve = reserve
 
 
 class ExtraPolicy(typing.Protocol):
-    """Says which budgets a service has."""
+    """Determines which budgets a service has."""
 
     def create(self) -> ExtraBudgets:
         """Return new budgets."""
 
     def update(self, existing: ExtraBudgets) -> None:
-        """Put this policy into force in budgets that are already in use."""
+        """Apply this policy to budgets that are already in use."""
 
 
 class SeparateShares(msgspec.Struct, frozen=True):
-    """Retries and hedges each get a share of the calls offered, from 0 to 1."""
+    """Retries and hedges each get a share, from 0 to 1, of the calls offered."""
 
     retry_share: float
     hedge_share: float
@@ -80,13 +80,13 @@
         return ExtraBudgets(
             budgets.ShareBudget(self.retry_share),
             budgets.ShareBudget(self.hedge_share),
-            # They come once, when an upstream begins to drain, as many as it had. From
-            # a budget that begins with one retry the second of two was refused.
+            # These retries come once per drain, as many as the upstream had requests.
+            # The budget starts with one retry, so charging them refused the second.
             charges_drain_retries=False,
         )
 
     def update(self, existing: ExtraBudgets) -> None:
-        """Change the shares; what has been earned stays."""
+        """Set the shares; credit that was earned already stays."""
         for budget, share in (
             (existing.retries, self.retry_share),
             (existing.hedges, self.hedge_share),
@@ -97,10 +97,10 @@
 
 class SharedWindow(msgspec.Struct, frozen=True):
     """
-    Retries and hedges together get one budget over a sliding window.
+    Retries and hedges share one budget over a sliding window.
 
-    ``share`` of the calls offered in ``window_s`` seconds, and ``reserve``
-    besides.
+    It allows ``share`` of the calls offered in ``window_s`` seconds, plus ``reserve``
+    extra requests.
     """
 
     share: float
@@ -108,11 +108,11 @@
     window_s: float
 
     def create(self) -> ExtraBudgets:
-        """Return one new budget for both."""
+        """Return budgets in which retries and hedges use the same new one."""
         shared = budgets.SlidingShareBudget(self.share, self.reserve, self.window_s)
-        # The sum over the fleet counts whatever arrives again.
+        # The bound on the fleet's total counts every request that arrives again.
         return ExtraBudgets(shared, shared, charges_drain_retries=True)
 
     def update(self, existing: ExtraBudgets) -> None:
-        """Change the reserve; the share and the window need a restart."""
+        """Set the reserve; changes of share and window need a restart."""
         existing.set_reserve(self.reserve)
