--- a/spindlenotch/kernel/fingerprints.py
+++ b/spindlenotch/kernel/fingerprints.py
@@ -1,8 +1,8 @@
 """
-What makes a request the same one when it is sent again.
+Fingerprints that identify a request across resends.
 
-Each time it has another id, and may come over another connection and to another
-process; method, host, target and body stay, and mostly who sends it. Pure.
+A resent request has a new id and may come over another connection or to another
+process. Its method, host, target and body stay the same, and usually its caller. Pure.
 """
 
 import hashlib
@@ -12,19 +12,19 @@
 
 from spindlenotch import ids
 
-#: Bytes of a fingerprint's digest: of a million requests, two differing ones have the
-#: same with a probability of 3 in 10^8.
+#: Bytes of a fingerprint's digest: among a million different requests, the probability
+#: of a collision is 3 in 10^8.
 DIGEST_BYTES = 8
-#: Hexadecimal digits at the beginning of a fingerprint that come from the target alone.
+#: Hexadecimal digits at the start of a fingerprint that depend on the target alone.
 TARGET_DIGITS = 8
 
 
 class Content(msgspec.Struct, frozen=True):
     """
-    What a request asks for.
+    The parts of a request that are the same when it is sent again.
 
-    ``body`` is None where there is none, or where it is not here as a whole; then
-    ``streamed_bytes`` is its declared length, which stands for it.
+    ``body`` is None if there is none or if it is not buffered as a whole; in the second
+    case its declared length, ``streamed_bytes``, is used in its place.
     """
 
     method: str
@@ -36,26 +36,27 @@
 
 class Fingerprints(msgspec.Struct, frozen=True):
     """
-    A request by what it asks for alone, and by that and its caller.
+    The fingerprints of a request: by its content, and by its content and caller.
 
-    What is harmless from one caller may do harm from another.
+    Both are needed because a request that is harmless from one caller may crash
+    upstreams when it comes from another.
     """
 
     content: ids.Fingerprint
     from_caller: ids.Fingerprint
 
     def as_tuple(self) -> tuple[ids.Fingerprint, ids.Fingerprint]:
-        """Return both."""
+        """Return the fingerprint by content and the one by content and caller."""
         return self.content, self.from_caller
 
 
 def target_digits(target: str) -> str:
-    """Return how all fingerprints of a target begin; cheap beside the whole."""
+    """Return the prefix of all fingerprints of a target; cheaper than a digest."""
     return f"{zlib.crc32(target.encode()):0{TARGET_DIGITS}x}"
 
 
 def compute(content: Content, caller: str) -> Fingerprints:
-    """Return the fingerprints of a request that ``caller`` sends."""
+    """Return the fingerprints of a request from ``caller``."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (content.method, content.host, content.target):
         digest.update(part.encode() + b"\0")
--- a/spindlenotch/kernel/hostlist.py
+++ b/spindlenotch/kernel/hostlist.py
@@ -1,8 +1,8 @@
 """
-The host list as data: which hosts the platform lists and in what state.
+The platform's host list: the hosts and their states.
 
-The list lags behind: an upstream that reports that it is draining, or of which a
-peer has sent a drain notice, is leaving whatever the list says. Pure.
+The list lags behind the hosts: an upstream that reports that it is draining, or for
+which a peer has sent a drain notice, is leaving whatever the list says. Pure.
 """
 
 import enum
@@ -14,14 +14,14 @@
 
 
 class Role(enum.Enum):
-    """What a listed host does."""
+    """The role of a listed host."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
 
 
 class HostState(enum.Enum):
-    """Whether the platform lets a host get new work."""
+    """Whether the platform allows new work on a host."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,8 +31,8 @@
     """
     One listed host.
 
-    ``generation`` grows when the host is restarted or a drain is called off.
-    ``peer_address`` is given for entries, ``service`` for upstreams.
+    ``generation`` grows when the host restarts or its drain is cancelled.
+    ``peer_address`` is set for entries, ``service`` for upstreams.
     """
 
     id: str
@@ -46,14 +46,14 @@
 
 
 class HostTable(msgspec.Struct, frozen=True):
-    """The whole list in one revision."""
+    """One revision of the whole list."""
 
     revision: int
     hosts: tuple[HostRecord, ...]
 
 
 def decode(body: bytes) -> HostTable | None:
-    """Read the JSON form; None where it is garbled."""
+    """Decode a list from JSON; return None if it is malformed."""
     try:
         return msgspec.json.decode(body, type=HostTable)
     except (msgspec.DecodeError, msgspec.ValidationError):
