--- a/spindlenotch/kernel/latency.py
+++ b/spindlenotch/kernel/latency.py
@@ -1,27 +1,27 @@
 """
-Estimates of time that cost a few floating-point operations per sample.
+Estimators of latency that cost a few floating-point operations per sample.
 
-Used by the kernel on every answer. Histograms for reports come from the
-HdrHistogram library; these trackers only steer decisions.
+The kernel updates them with every answer, and they only inform its decisions.
+Histograms for reports come from the HdrHistogram library.
 """
 
 import math
 
 import msgspec
 
-#: Largest step of a quantile tracker with one sample, as a share of its value.
+#: Largest step of a quantile tracker per sample, as a share of its value.
 QUANTILE_GAIN = 0.05
-#: Weight of the newest sample where a mean is given none.
+#: Default weight of the newest sample in a mean.
 DEFAULT_WEIGHT = 0.1
 
 
 class QuantileTracker(msgspec.Struct):
     """
-    Follows one quantile of a positive, drifting quantity.
+    Estimates one quantile of a positive quantity that drifts.
 
-    Invariant: ``value`` stays positive. Each sample moves it by a small
-    factor, up with weight ``quantile`` and down with the rest, so that at
-    balance the wanted share of samples lies below.
+    Invariant: ``value`` stays positive. Each sample moves it by a small factor: up in
+    proportion to ``quantile``, down in proportion to 1 - ``quantile``. In equilibrium
+    that share of the samples lies below.
     """
 
     quantile: float
@@ -29,7 +29,7 @@
     gain: float = QUANTILE_GAIN
 
     def add(self, sample: float) -> None:
-        """Take in one sample (same unit as ``value``)."""
+        """Update the estimate with a sample, in the unit of ``value``."""
         if sample > self.value:
             self.value *= 1.0 + self.gain * self.quantile
         else:
@@ -43,10 +43,10 @@
     weight: float = DEFAULT_WEIGHT
 
     def add(self, sample: float) -> None:
-        """Take in one sample."""
+        """Update the mean with a sample, in the unit of ``value``."""
         self.value += self.weight * (sample - self.value)
 
 
 def decay(age_s: float, time_constant_s: float) -> float:
-    """Return how much a report of this age still counts, from 1 down to 0."""
+    """Return the weight of a sample of this age: 1 when new, falling towards 0."""
     return math.exp(-max(age_s, 0.0) / time_constant_s)
--- a/spindlenotch/kernel/latency_table.py
+++ b/spindlenotch/kernel/latency_table.py
@@ -1,8 +1,8 @@
 """
-The latencies of one service: of all its calls, and of each kind of call.
+Latency estimates of one service: over all its calls, and per kind of call.
 
-Owns the running estimates; ``Pool`` feeds them with each answer and the decisions
-read them. A kind of call is named by its latency key: the operation in the
+Owns the running estimates; ``Pool`` updates them with each answer and the decisions
+read them. A kind of call is identified by its latency key: the operation in the
 entry daemon, the route in the gateway. All times are in seconds.
 """
 
@@ -14,11 +14,11 @@
 
 #: Weight of the newest answer in the mean over all calls of a service.
 OVERALL_WEIGHT = 0.02
-#: Weight of the newest answer in the mean of one kind.
+#: Weight of the newest answer in the mean over one kind of call.
 KEY_WEIGHT = 0.05
-#: The quantile after which a call is late: 95 in 100 are faster.
+#: Quantile of the latency above which a call counts as slow: 95 in 100 are faster.
 SLOW_QUANTILE = 0.95
-#: The first estimate of that quantile, as a multiple of the typical latency.
+#: Initial estimate of that quantile, as a multiple of the typical latency.
 SLOW_FACTOR = 3.0
 
 
@@ -33,7 +33,7 @@
     """
     Estimates by latency key, and one over all calls.
 
-    A call whose key is unknown counts by the estimate over all.
+    For a key that is not tracked, the estimate over all calls is used.
     """
 
     def __init__(self, typical_s: float, keys: abc.Iterable[str]) -> None:
@@ -43,7 +43,7 @@
             self.track(key, typical_s)
 
     def track(self, key: str, typical_s: float) -> None:
-        """Begin to follow a kind of call; one that is followed already stays."""
+        """Start to track a kind of call; do nothing if it is tracked already."""
         if key not in self.latency_by_key:
             self.latency_by_key[key] = KeyLatency(
                 latency.Mean(typical_s, KEY_WEIGHT),
@@ -56,14 +56,14 @@
         return self.overall.value if known is None else known.typical.value
 
     def p95_s(self, key: str) -> float:
-        """Return the latency that 95 in 100 calls of one kind stay under."""
+        """Return the 95th percentile of the latency of one kind of call."""
         known = self.latency_by_key.get(key)
         if known is None:
             return SLOW_FACTOR * self.overall.value
         return known.p95.value
 
     def add(self, key: str, took_s: float) -> None:
-        """Take in one answer."""
+        """Update the estimates with the latency of one answer."""
         self.overall.add(took_s)
         known = self.latency_by_key.get(key)
         if known is not None:
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -1,9 +1,9 @@
 """
-What became of a request, as every answer states it.
+Outcomes of requests and reasons for refusals, as every answer states them.
 
-The client library, both daemons and the tests use these values. ``NOT_RUN`` may
-only be built from positive knowledge: the request was never dispatched, the
-connection was never made, or the upstream reported that it has not run.
+The client library, both daemons and the tests use these values. ``NOT_RUN`` must be
+based on positive knowledge: the request was never dispatched, the connection was
+never made, or the upstream reported that the request has not run.
 """
 
 import enum
@@ -12,13 +12,13 @@
 
 from spindlenotch import ids
 
-#: Upstreams' answers from this status up are failures: RFC 9110, section 15.6,
-#: gives 5xx to servers that failed to do a valid request.
+#: Lowest HTTP status that counts as a failure of the upstream: RFC 9110, section 15.6,
+#: reserves 5xx for servers that failed to fulfil a valid request.
 FIRST_FAILED_STATUS = 500
 
 
 class Outcome(enum.Enum):
-    """What is known of a request when its answer is given."""
+    """Whether a request ran, as far as is known when it is answered."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -26,7 +26,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused or its outcome is what it is."""
+    """The reason for a refusal or an outcome."""
 
     SERVED = "served"
     KEPT_ANSWER = "kept-answer"
@@ -59,14 +59,14 @@
     CALLER_GONE = "caller-gone"
     ROUTE_REFUSED = "route-refused"
     REGION_NOT_ALLOWED = "region-not-allowed"
-    #: The request ends the upstreams that run it.
+    #: Upstreams crash when they run the request.
     QUARANTINED = "quarantined"
-    #: An upstream ended under the request, and another call still tries it.
+    #: An upstream crashed on the request, and another call is still trying it.
     ON_TRIAL = "on-trial"
 
 
 class RefusalRule(enum.Enum):
-    """Which rule says that a request will get no room; named in the log."""
+    """The queueing rule by which a request is refused; its value is logged."""
 
     DEADLINE = "deadline-hopeless"
     QUEUE_TOO_LONG = "queue-too-long"
@@ -75,11 +75,11 @@
 
 class Refusal(msgspec.Struct, frozen=True):
     """
-    A value returned in place of an answer. It is final when it is made.
+    A final refusal, returned in place of an answer.
 
-    ``retry_at`` is the instant from which asking again makes sense, or None
-    where the same request would be refused again. ``rule`` is the one that
-    decided, where several lead to one reason.
+    ``retry_at`` is the instant from which a retry makes sense, or None if the same
+    request would be refused again. ``rule`` tells which rule decided, for reasons that
+    several rules lead to.
     """
 
     outcome: Outcome
@@ -95,12 +95,12 @@
     detail: str = "",
     rule: RefusalRule | None = None,
 ) -> Refusal:
-    """Build a refusal of a request that positively did not run."""
+    """Return a refusal of a request that is known not to have run."""
     return Refusal(Outcome.NOT_RUN, reason, retry_at, detail, rule)
 
 
 def unknown(
     reason: Reason, retry_at: ids.Instant | None = None, detail: str = ""
 ) -> Refusal:
-    """Build a refusal of a request that may have run."""
+    """Return a refusal of a request that may have run."""
     return Refusal(Outcome.UNKNOWN, reason, retry_at, detail)
