--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -179,11 +179,11 @@
 
     @property
     def _decay_floor(self) -> float:
-        """Return the credit that does not decay: with the reserve, one request's."""
+        """Return the credit that never decays: one request's, less the reserve."""
         return max(0.0, 1.0 - self.reserve)
 
     def _decay(self, now: ids.Instant) -> None:
-        """Decay the unspent credit down to this instant."""
+        """Decay the unspent credit up to this instant."""
         if self._decayed_at is not None and self._unspent > self._decay_floor:
             elapsed_s = max(0.0, now - self._decayed_at)
             rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -1,10 +1,12 @@
 """
-Which repeats of requests may yet arrive at their upstreams.
-
-What was sent to an upstream that stands still is read when it goes on, also over a
-connection that was closed or reset meanwhile: nothing takes it back. So a repeat has
-arrived only once all but one of its request's copies are known to be read, and until
-then it may arrive at any time. Pure; relies on ``upstreams`` for what has been read.
+Tracks copies of requests that may still arrive at their upstreams.
+
+A request that is retried or hedged has several copies. An upstream that was suspended
+reads what was sent to it when it resumes, even over a connection that was closed or
+reset in the meantime: a copy cannot be recalled. So the repeats of a request, its
+copies beyond the first, have all arrived only once all copies but one are known to be
+read; until then they may arrive at any time. Pure; relies on ``upstreams`` for what
+has been read.
 """
 
 import msgspec
@@ -12,28 +14,28 @@
 from spindlenotch import ids
 from spindlenotch.kernel import extra_budgets, upstreams
 
-#: Seconds after which a copy is taken to be lost with its upstream, if nothing is heard
-#: of that: longer than hosts are suspended or cut off.
+#: Seconds after which an unread copy is assumed lost with its upstream if nothing is
+#: heard from that: longer than hosts are suspended or cut off from the network.
 UNREAD_TIMEOUT_S = 60.0
-#: Seconds after which a copy has been read late: more than a request's way and the
-#: period of the reports, by which it shows, take together.
+#: Seconds after which a copy counts as read late: more than the network delay of a
+#: request plus the period of the load reports, which show that it was read.
 LATE_READ_S = 1.0
 
 
 class _Request(msgspec.Struct, eq=False):
-    """A request that was sent more than once; ``unread`` of ``sent`` copies may be."""
+    """A request that was sent more than once; counts ``sent`` and ``unread`` copies."""
 
     sent: int = 0
     unread: int = 0
 
     @property
     def pending(self) -> int:
-        """Return how many of its repeats may yet arrive."""
+        """Return how many of its repeats may still arrive."""
         return min(self.sent - 1, self.unread)
 
 
 class _Copy(msgspec.Struct, eq=False):
-    """A copy of a request that may not have been read."""
+    """A copy of a request that is not known to have been read."""
 
     request: _Request
     upstream: upstreams.Upstream
@@ -41,7 +43,7 @@
 
 
 class LateRead(msgspec.Struct, frozen=True):
-    """An upstream that has read ``count`` copies late, the oldest by ``after_s``."""
+    """An upstream that read ``count`` copies late, up to ``after_s`` after sending."""
 
     upstream: ids.UpstreamId
     count: int
@@ -50,10 +52,10 @@
 
 class CopyTracker:
     """
-    The repeats of one service's requests that may yet arrive.
+    Tracks the repeats of one service's requests that may still arrive.
 
-    Invariant: what the budgets hold as unsettled is the sum of ``pending`` over the
-    requests of ``_request_by_call`` and of ``_unread``.
+    Invariant: the unsettled count of the budgets is the sum of ``pending`` over the
+    requests in ``_request_by_call`` and in ``_unread``.
     """
 
     def __init__(self, extra: extra_budgets.ExtraBudgets) -> None:
@@ -70,7 +72,7 @@
         *,
         is_read: bool,
     ) -> None:
-        """Take in the first copy of a request that is sent again, unless known."""
+        """Record the first copy of a request to be sent again, unless tracked."""
         if call in self._request_by_call:
             return
         if is_read:
@@ -81,7 +83,7 @@
     def sent(
         self, call: ids.CallId, upstream: upstreams.Upstream, sent_at: ids.Instant
     ) -> None:
-        """Take in that a copy of a request goes out."""
+        """Record that a copy of a request is sent."""
         request = self._request_by_call.setdefault(call, _Request())
         request.sent += 1
         request.unread += 1
@@ -90,7 +92,7 @@
     def ended(
         self, call: ids.CallId, upstream: upstreams.Upstream, now: ids.Instant
     ) -> None:
-        """Take in that a copy was answered or is lost: it will not arrive any more."""
+        """Record that a copy was answered or lost, so it can no longer arrive."""
         request = self._request_by_call.get(call)
         if request is None:
             return
@@ -101,11 +103,11 @@
                 return
 
     def forget(self, call: ids.CallId) -> None:
-        """Take in that no more copies of a request go out."""
+        """Record that no more copies of a request will be sent."""
         self._request_by_call.pop(call, None)
 
     def settle_read(self, now: ids.Instant) -> None:
-        """Settle what has been read by now."""
+        """Settle the copies that have been read by now or have timed out."""
         still_unread = []
         for copy in self._unread:
             is_read = copy.upstream.hearing.read_until > copy.sent_at
@@ -118,13 +120,13 @@
         self._unread = still_unread
 
     def take_late_reads(self) -> list[LateRead]:
-        """Return which upstreams have read copies late since this was asked last."""
+        """Return and clear the late reads since the last call."""
         late = list(self._late_by_upstream.values())
         self._late_by_upstream.clear()
         return late
 
     def _record_late_read(self, upstream: ids.UpstreamId, after_s: float) -> None:
-        """Add to what is told; kept in one row each, as nobody may ever ask."""
+        """Add a late read, in one entry per upstream: it may never be collected."""
         before = self._late_by_upstream.get(upstream, LateRead(upstream, 0, 0.0))
         self._late_by_upstream[upstream] = LateRead(
             upstream, before.count + 1, max(before.after_s, after_s)
--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -1,9 +1,9 @@
 """
-The queue of one service in one process: by rank, then first come, first served.
+The queue of one service in one process: by rank, then first in, first out.
 
-A call waits here rather than at an upstream, so that a more urgent one can
-still pass it and so that it is bound to a slot as late as possible. Owns the
-order only; ``queueing`` in the decisions says who is admitted and given up.
+A call waits here rather than at an upstream so that a more urgent one can still
+overtake it and so that it is bound to a slot as late as possible. Owns the order only;
+``decisions.queueing`` decides which calls are admitted and which are given up.
 """
 
 import collections
@@ -13,13 +13,13 @@
 
 from spindlenotch import ids
 
-#: One call in this many is the longest-waiting one, whatever its priority, so that the
-#: lowest class never starves.
+#: One in this many calls taken is the one that has waited longest, whatever its
+#: priority, so that the lowest class never starves.
 OLDEST_FIRST_EVERY = 20
-#: Upstreams that a call may be sent to where nothing bounds them: more than there are.
+#: Default bound on the upstreams a call may be sent to: more than there are.
 MAX_TRIES = 1_000
-#: What an upstream in another zone costs a call where nothing else is said, in seconds,
-#: both ways.
+#: Default cost in seconds of sending a call to an upstream in another zone, for the
+#: round trip.
 CROSS_ZONE_S = 0.002
 
 
@@ -27,15 +27,15 @@
     """
     A request as the kernel sees it.
 
-    The lowest ``priority`` goes first. ``latency_key`` names the kind of call
-    whose latency is expected: the operation or the route. ``repeatable``:
-    running it twice does no harm. ``most_tries`` bounds the upstreams it may be
-    sent to. It is refused when it would wait beyond ``wait_until`` for a slot.
-    ``late``: its answer can't be in time any more; calls of its priority that can
-    be go first. An upstream in another zone counts ``cross_zone_s`` seconds more, one
-    in another region ``cross_region_s``; that is used from ``cross_region_from`` where
-    no other has room.
-    ``allowed_regions``: where it may run; None: anywhere.
+    The lowest ``priority`` goes first. ``latency_key`` is the kind of call whose
+    latency is expected: the operation or the route. ``repeatable``: the call is
+    idempotent. ``most_tries`` bounds the upstreams it may be sent to. The call is
+    refused if it would wait beyond ``wait_until`` for a slot. ``late``: it can no
+    longer be answered in time, and calls of its priority that can go first. An
+    upstream in another zone costs ``cross_zone_s`` seconds more, one in another region
+    ``cross_region_s``; from ``cross_region_from`` on, the call may be sent to another
+    region if its own has no room. It may only run in ``allowed_regions``, or anywhere
+    if that is None.
     """
 
     id: ids.CallId
@@ -54,20 +54,20 @@
 
     @property
     def rank(self) -> int:
-        """Return its place among waiting calls; the lowest goes first."""
+        """Return the rank among waiting calls; the lowest goes first."""
         return 2 * self.priority + self.late
 
     def may_wait_for(self, usable_at: ids.Instant, now: ids.Instant) -> bool:
-        """Tell whether it may wait for what is usable from then on; NEVER: nothing."""
+        """Return whether it may wait until ``usable_at``; NEVER means no slot."""
         return usable_at != ids.NEVER and usable_at <= max(now, self.wait_until)
 
 
 class WaitQueue:
     """
-    Calls that wait, by priority.
+    Waiting calls by rank, which follows from their priority.
 
-    Invariant: within a priority the order is that of arrival. ``head`` is of the
-    lowest priority number, except for every ``OLDEST_FIRST_EVERY``-th call.
+    Invariant: within a rank the order is that of arrival. ``head`` has the lowest rank,
+    except for every ``OLDEST_FIRST_EVERY``-th call.
     """
 
     def __init__(self, limit: int) -> None:
@@ -84,7 +84,7 @@
             yield from self.calls_by_rank[rank].values()
 
     def ahead_of(self, call: Call) -> int:
-        """Return how many waiting calls go before ``call``, a new one."""
+        """Return how many waiting calls are served before ``call``, a new one."""
         return sum(len(c) for r, c in self.calls_by_rank.items() if r <= call.rank)
 
     def push(self, call: Call) -> None:
@@ -94,12 +94,12 @@
         self.rank_by_call[call.id] = call.rank
 
     def remove(self, call_id: ids.CallId) -> Call | None:
-        """Take out a call that is served, expired or withdrawn."""
+        """Remove a call that is served, expired or withdrawn, and return it."""
         rank = self.rank_by_call.pop(call_id, None)
         return None if rank is None else self.calls_by_rank[rank].pop(call_id)
 
     def head(self) -> Call | None:
-        """Return the call that goes next, without taking it out."""
+        """Return the call that is served next, without removing it."""
         ranks = sorted(rank for rank, calls in self.calls_by_rank.items() if calls)
         if not ranks:
             return None
@@ -109,19 +109,19 @@
         return firsts[0]
 
     def take(self, call: Call) -> None:
-        """Take out the call that ``head`` returned."""
+        """Remove the call that ``head`` returned, to serve it."""
         self.taken += 1
         self.remove(call.id)
 
     def least_urgent(self) -> Call | None:
-        """Return the newest call of the last rank."""
+        """Return the newest call of the highest rank number, or None if empty."""
         for rank in sorted(self.calls_by_rank, reverse=True):
             if self.calls_by_rank[rank]:
                 return next(reversed(self.calls_by_rank[rank].values()))
         return None
 
     def pop_expired(self, now: ids.Instant) -> list[Call]:
-        """Take out and return the calls whose deadline has passed."""
+        """Remove and return the calls whose deadline has passed."""
         late = [call for call in self if call.deadline <= now]
         for call in late:
             self.remove(call.id)
