--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -1,11 +1,11 @@
 """
-Which slots of which upstreams a member owns: deterministic subsetting.
+Deterministic subsetting: which slots of which upstreams a member owns.
 
-All members put the same upstreams in the same order and divide their slots into
+All members sort the same upstreams in the same order and divide their slots into
 equal parts, so that nearly all work in a slot comes from one member, whose own
-count of outstanding requests is then nearly exact. Ownership is a preference,
-not a right: members with different lists share some slots, and load reports show
-it. Nothing unsafe follows from a wrong division. Pure.
+count of outstanding requests is then nearly exact. Ownership is a preference and not
+exclusive: members with different lists share some slots, which shows in the load
+reports. A wrong division is safe. Pure.
 """
 
 from collections import abc
@@ -16,14 +16,14 @@
 
 
 class Member(msgspec.Struct, frozen=True, order=True):
-    """A process that sends to the upstreams; sorted by zone, then host."""
+    """A process that sends to the upstreams; sorts by zone, then host."""
 
     zone: ids.ZoneName
     host: ids.HostId
 
 
 class SlotOffer(msgspec.Struct, frozen=True):
-    """An upstream and the slots it offers, already weighted by zone."""
+    """An upstream and the number of slots it offers, weighted by zone."""
 
     upstream: ids.UpstreamId
     zone: ids.ZoneName
@@ -34,10 +34,10 @@
     offers: abc.Iterable[SlotOffer], members: abc.Iterable[Member], local_member: Member
 ) -> dict[ids.UpstreamId, float]:
     """
-    Return the slots that ``local_member`` owns, by upstream.
+    Return the number of slots that ``local_member`` owns, by upstream.
 
-    Both lists are put in order of zone, so that where zones have members and
-    slots in equal proportion every member owns slots of its own zone.
+    Both lists are sorted by zone: if members and slots are spread over the zones in
+    the same proportion, every member owns slots of its own zone.
     """
     ordered = sorted(offers, key=lambda s: (s.zone, s.upstream))
     all_members = sorted({*members, local_member})
--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -1,7 +1,7 @@
 """
-Which zones lie near each other, and how far it is from one to another.
+Regions: groups of availability zones that are near each other.
 
-Pure values from the settings. Without any region all zones lie in one.
+Pure values from the settings. If no region is set, all zones are in the same one.
 """
 
 import enum
@@ -10,12 +10,12 @@
 
 from spindlenotch import ids
 
-#: The region of zones that the settings give none.
+#: Region of zones for which the settings name none.
 UNNAMED_REGION = ids.RegionName("")
 
 
 class Distance(enum.Enum):
-    """How far bytes travel; the values label metrics."""
+    """The distance that traffic travels; the values are metric labels."""
 
     ZONE = "zone"
     REGION = "region"
@@ -23,7 +23,7 @@
 
 
 class Regions(msgspec.Struct, frozen=True):
-    """The region of each zone; zones without one share ``default_region``."""
+    """The region of each zone; zones without one are in ``default_region``."""
 
     region_by_zone: dict[ids.ZoneName, ids.RegionName] = {}
     default_region: ids.RegionName = UNNAMED_REGION
@@ -33,11 +33,11 @@
         return self.region_by_zone.get(zone, self.default_region)
 
     def all_regions(self, zone: ids.ZoneName) -> frozenset[ids.RegionName]:
-        """Return all regions, that of ``zone`` included."""
+        """Return the names of all regions, including that of ``zone``."""
         return frozenset((*self.region_by_zone.values(), self.region(zone)))
 
     def distance(self, zone: ids.ZoneName, other: ids.ZoneName) -> Distance:
-        """Return how far it is from one zone to another."""
+        """Return the distance between two zones."""
         if zone == other:
             return Distance.ZONE
         if self.region(zone) == self.region(other):
@@ -52,8 +52,8 @@
     """
     Return the regions of a fleet.
 
-    Where only one is named, all zones lie in it: settings of a fleet of one region may
-    name just that of the own zone.
+    If the settings name only one region, all zones are in it: in a fleet with a single
+    region they may name only that of the local zone.
     """
     all_regions = set(region_by_zone.values())
     return Regions(
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -1,8 +1,9 @@
 """
-Who carries a duty, by rendezvous hashing: the same for equal views.
+Assignment of tasks to hosts by rendezvous hashing.
 
-Pure. Every duty assigned here must be harmless when views differ and too many or
-too few hosts carry it for a while.
+Pure. Processes with the same view of the members compute the same assignment. While
+views differ, too many or too few hosts may have a task: every task that is assigned
+here must be harmless then.
 """
 
 import functools
@@ -12,10 +13,10 @@
 from spindlenotch import ids
 from spindlenotch.kernel import ownership
 
-#: Scores that are cached.
+#: Most scores that are cached.
 SCORE_CACHE_SIZE = 65_536
-#: Bits of a score, and how many different scores there are. Part of the choice:
-#: processes of two releases in one fleet must agree on it.
+#: Bits of a score, and the number of different scores. Changing them changes the
+#: assignment, and processes of two releases in one fleet must agree on it.
 SCORE_BITS = 64
 SCORE_COUNT = 2**64
 
@@ -27,11 +28,10 @@
     count: int,
 ) -> list[ids.HostId]:
     """
-    Return which hosts of ``zone`` carry a duty, the same for equal views.
+    Return the ``count`` hosts of ``zone`` with the highest scores for a task.
 
-    Rendezvous hashing: a member that joins or leaves moves no other's duty.
-    Differing views give too many or too few holders for a while; every duty
-    assigned here must be harmless then.
+    The result is the same for equal ``members``. A member that joins or leaves does
+    not change the order of the others, so it moves only its own assignments.
     """
     hosts = [m.host for m in members if m.zone == zone]
     scored = sorted(hosts, key=lambda h: score(task, h), reverse=True)
@@ -40,5 +40,5 @@
 
 @functools.lru_cache(SCORE_CACHE_SIZE)
 def score(task: str, host: ids.HostId) -> tuple[int, str]:
-    """Return the rank of a host for a duty; the highest takes it on."""
+    """Return the score of a host for a task; the highest ones are assigned it."""
     return random.Random(f"{task}/{host}").getrandbits(SCORE_BITS), host
--- a/spindlenotch/kernel/service_policy.py
+++ b/spindlenotch/kernel/service_policy.py
@@ -1,9 +1,9 @@
 """
-What the kernel needs to know of one service.
+The balancing policy of one service.
 
-Built from a signed bundle in the entry daemon and from the gateway's defaults
-in the gateway. Owns no state. Immutable: a changed service is a new policy,
-which ``Balancer.update_service`` puts into force.
+The entry daemon builds it from a signed bundle, the gateway from its defaults.
+Immutable and without state: a change to a service is a new policy, which
+``Balancer.update_service`` applies.
 """
 
 import msgspec
@@ -14,17 +14,18 @@
 
 class ServicePolicy(msgspec.Struct, frozen=True, kw_only=True):
     """
-    How the calls of one service are treated.
+    How the calls of one service are balanced.
 
-    ``slots`` is what an upstream runs at once where its own spec says nothing;
-    ``typical_s`` seeds every latency estimate before there are measurements;
-    ``latency_keys`` name the kinds of calls whose latency is followed
-    separately. ``selection`` is the registered name of the selection policy,
-    ``eject_share`` the share of the upstreams that may be ejected at a time.
-    ``day`` holds the planned zone weights; empty where all zones count alike.
-    ``cold_rate_per_s`` is how many requests a second a cold upstream bears from all
-    processes together, None where nothing bounds it; one that starts is cold for
-    ``cold_start_s`` seconds. ``region_map`` says which zones lie far from each other.
+    ``slots`` is the concurrency of an upstream whose own spec sets none.
+    ``typical_s`` is the initial value of every latency estimate, in seconds.
+    ``latency_keys`` names the kinds of calls whose latency is tracked separately.
+    ``selection`` is the registered name of the selection policy. ``eject_share`` is
+    the largest share of the upstreams that may be ejected at a time. ``day`` holds the
+    scheduled zone weights; if empty, all zones have equal weights.
+    ``cold_rate_per_s`` is how many requests per second a cold upstream can take from
+    all processes together, None if that is not limited; an upstream is cold for
+    ``cold_start_s`` seconds after its start. ``region_map`` gives the region of each
+    zone.
     """
 
     name: ids.ServiceName
--- a/spindlenotch/kernel/slot_division.py
+++ b/spindlenotch/kernel/slot_division.py
@@ -1,8 +1,8 @@
 """
-Which slots of a pool's upstreams are divided among the members.
+The slots of a pool's upstreams that are divided among the members.
 
-Between the state of the upstreams and ``ownership``, which divides: ejected ones
-are left out, and the day's plan weights the zones (``zone_schedule``). Pure.
+Prepares the input of ``ownership``, which divides the slots: leaves out ejected
+upstreams and applies the scheduled zone weights (``zone_schedule``). Pure.
 """
 
 from collections import abc
@@ -15,10 +15,10 @@
     usable: abc.Sequence[upstreams.Upstream],
 ) -> dict[ids.ZoneName, float]:
     """
-    Return the slots of each zone that has an upstream in use.
+    Return the slots of each zone that has an upstream that is not ejected.
 
-    Ejected slots count here: a zone that has lost most of its own must not
-    make the plan shrink the others.
+    Slots of ejected upstreams count here: otherwise, a zone most of whose upstreams
+    are ejected would lower the factors of the other zones.
     """
     zones = {u.spec.zone for u in usable if u.state is not upstreams.State.EJECTED}
     slots: dict[ids.ZoneName, float] = {}
@@ -33,7 +33,7 @@
     usable: abc.Iterable[upstreams.Upstream],
     zone_factor: abc.Mapping[ids.ZoneName, float],
 ) -> list[ownership.SlotOffer]:
-    """Return the slots that are divided, weighted by zone."""
+    """Return the slots to divide among the members, weighted by zone."""
     return [
         ownership.SlotOffer(
             u.spec.id, u.spec.zone, u.slots * zone_factor.get(u.spec.zone, 0.0)
--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -1,10 +1,10 @@
 """
-The day's movement: how much of a service's traffic each zone should carry.
+Daily schedule of the zone weights: the share of a service's traffic per zone.
 
-Weights move on a straight line between the planned steps, around
-midnight as well, so that a restart or a skewed clock causes no jump. What is
-observed overrides the plan: a zone without usable upstreams gets weight zero,
-and where all planned zones are empty every zone counts alike.
+Weights are interpolated linearly between the scheduled steps, across midnight too, so
+that a restart or a skewed clock causes no jump. Observed state overrides the
+schedule: a zone without usable upstreams gets no weight, and if all zones with a
+planned weight are empty, the slots of the others count in full.
 """
 
 import datetime
@@ -14,19 +14,19 @@
 
 from spindlenotch import ids
 
-#: By definition.
+#: Minutes of a day, ignoring changes to and from daylight saving time.
 MINUTES_PER_DAY = 1440.0
 
 
 class DayStep(msgspec.Struct, frozen=True):
-    """Zone weights that hold exactly at ``minute`` of the local day."""
+    """Zone weights that apply exactly at ``minute`` of the local day."""
 
     minute: int
     weight_by_zone: dict[ids.ZoneName, float]
 
 
 def minute_of_day(unix_s: float, timezone: str) -> float:
-    """Return the local minute of the day, with fractions."""
+    """Return the local minute of the day, including the fraction."""
     local = datetime.datetime.fromtimestamp(unix_s, zoneinfo.ZoneInfo(timezone))
     return local.hour * 60 + local.minute + local.second / 60
 
@@ -35,9 +35,9 @@
     zones: tuple[ids.ZoneName, ...], day: tuple[DayStep, ...], minute: float
 ) -> dict[ids.ZoneName, float]:
     """
-    Return the weight of each zone at ``minute``; shares add up to one.
+    Return the share of each zone at ``minute``; the shares add up to one.
 
-    ``day`` is in order of minutes; where it is empty every zone counts alike.
+    ``day`` is sorted by minute; if it is empty, all zones get equal shares.
     """
     if not day:
         return _normalized(dict.fromkeys(zones, 1.0))
@@ -60,10 +60,10 @@
     plan: dict[ids.ZoneName, float], usable_slots: dict[ids.ZoneName, float]
 ) -> dict[ids.ZoneName, float]:
     """
-    Return factors by which each zone's slots count, at most one each.
+    Return the factor, at most one, by which the slots of each zone are weighted.
 
-    ``usable_slots`` is what is observed to be there. The zone with the most
-    planned weight per slot counts in full; the others in proportion.
+    ``usable_slots`` is the number of slots observed in each zone. The zone with the
+    most planned weight per slot gets factor one, the others in proportion.
     """
     wanted = {z: plan.get(z, 0.0) for z, slots in usable_slots.items() if slots > 0}
     if not any(wanted.values()):
