--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -33,7 +33,7 @@
     The result is the same for equal ``members``. A member that joins or leaves does
     not change the order of the others, so it moves only its own assignments.
     """
-    hosts = [m.host for m in members if m.zone == zone]
+    hosts = [member.host for member in members if member.zone == zone]
     scored = sorted(hosts, key=lambda h: score(task, h), reverse=True)
     return scored[:count]
 
