--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -34,7 +34,7 @@
     not change the order of the others, so it moves only its own assignments.
     """
     hosts = [member.host for member in members if member.zone == zone]
-    scored = sorted(hosts, key=lambda h: score(task, h), reverse=True)
+    scored = sorted(hosts, key=lambda host: score(task, host), reverse=True)
     return scored[:count]
 
 
