--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -85,7 +85,9 @@
 
     def ahead_of(self, call: Call) -> int:
         """Return how many waiting calls are served before ``call``, a new one."""
-        return sum(len(c) for r, c in self.calls_by_rank.items() if r <= call.rank)
+        return sum(
+            len(calls) for r, calls in self.calls_by_rank.items() if r <= call.rank
+        )
 
     def push(self, call: Call) -> None:
         """Add a call at the end of its rank."""
