--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -86,7 +86,9 @@
     def ahead_of(self, call: Call) -> int:
         """Return how many waiting calls are served before ``call``, a new one."""
         return sum(
-            len(calls) for r, calls in self.calls_by_rank.items() if r <= call.rank
+            len(calls)
+            for rank, calls in self.calls_by_rank.items()
+            if rank <= call.rank
         )
 
     def push(self, call: Call) -> None:
