--- a/spindlenotch/kernel/slot_division.py
+++ b/spindlenotch/kernel/slot_division.py
@@ -20,7 +20,11 @@
     Slots of ejected upstreams count here: otherwise, a zone most of whose upstreams
     are ejected would lower the factors of the other zones.
     """
-    zones = {u.spec.zone for u in usable if u.state is not upstreams.State.EJECTED}
+    zones = {
+        candidate.spec.zone
+        for candidate in usable
+        if candidate.state is not upstreams.State.EJECTED
+    }
     slots: dict[ids.ZoneName, float] = {}
     for upstream in usable:
         zone = upstream.spec.zone
@@ -36,8 +40,10 @@
     """Return the slots to divide among the members, weighted by zone."""
     return [
         ownership.SlotOffer(
-            u.spec.id, u.spec.zone, u.slots * zone_factor.get(u.spec.zone, 0.0)
+            candidate.spec.id,
+            candidate.spec.zone,
+            candidate.slots * zone_factor.get(candidate.spec.zone, 0.0),
         )
-        for u in usable
-        if u.state is not upstreams.State.EJECTED
+        for candidate in usable
+        if candidate.state is not upstreams.State.EJECTED
     ]
