--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -39,9 +39,9 @@
     Both lists are sorted by zone: if members and slots are spread over the zones in
     the same proportion, every member owns slots of its own zone.
     """
-    ordered = sorted(offers, key=lambda s: (s.zone, s.upstream))
+    ordered = sorted(offers, key=lambda item: (item.zone, item.upstream))
     all_members = sorted({*members, local_member})
-    total = sum(s.slots for s in ordered)
+    total = sum(item.slots for item in ordered)
     part = total / len(all_members)
     begin = part * all_members.index(local_member)
     end = begin + part
