--- a/spindlenotch/kernel/zone_schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -65,7 +65,9 @@
     ``usable_slots`` is the number of slots observed in each zone. The zone with the
     most planned weight per slot gets factor one, the others in proportion.
     """
-    wanted = {z: plan.get(z, 0.0) for z, slots in usable_slots.items() if slots > 0}
+    wanted = {
+        name: plan.get(name, 0.0) for name, slots in usable_slots.items() if slots > 0
+    }
     if not any(wanted.values()):
         return dict.fromkeys(wanted, 1.0)
     density = {zone: wanted[zone] / usable_slots[zone] for zone in wanted}
