--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -186,9 +186,12 @@
         """Decay the unspent credit up to this instant."""
         if self._decayed_at is not None and self._unspent > self._decay_floor:
             elapsed_s = max(0.0, now - self._decayed_at)
-            rest = math.exp(-elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s))
+            remaining_share = math.exp(
+                -elapsed_s / (DECAY_SHARE_OF_WINDOW * self.window_s)
+            )
             self._unspent = (
-                self._decay_floor + (self._unspent - self._decay_floor) * rest
+                self._decay_floor
+                + (self._unspent - self._decay_floor) * remaining_share
             )
         self._decayed_at = now
 
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -248,8 +248,8 @@
     Mutant(
         "retries that were earned are kept for later",
         "kernel/budgets",
-        "rest = math.exp(",
-        "rest = 1.0 + 0.0 * math.exp(",
+        "remaining_share = math.exp(",
+        "remaining_share = 1.0 + 0.0 * math.exp(",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
