--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -244,8 +244,8 @@
         Return None, and reserve nothing, if that is more than ``longest_wait_s``
         seconds away.
         """
-        elapsed = max(0.0, now - self.filled_at)
-        self.tokens = min(self.burst, self.tokens + elapsed * self.per_second)
+        elapsed_s = max(0.0, now - self.filled_at)
+        self.tokens = min(self.burst, self.tokens + elapsed_s * self.per_second)
         self.filled_at = max(self.filled_at, now)
         missing = 1.0 - self.tokens
         if missing > longest_wait_s * self.per_second:
