--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -42,9 +42,9 @@
     ordered = sorted(offers, key=lambda item: (item.zone, item.upstream))
     all_members = sorted({*members, local_member})
     total = sum(item.slots for item in ordered)
-    part = total / len(all_members)
-    begin = part * all_members.index(local_member)
-    end = begin + part
+    slots_per_member = total / len(all_members)
+    begin = slots_per_member * all_members.index(local_member)
+    end = begin + slots_per_member
     result: dict[ids.UpstreamId, float] = {}
     position = 0.0
     for offer in ordered:
