--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -31,11 +31,11 @@
     latency is expected: the operation or the route. ``repeatable``: the call is
     idempotent. ``most_tries`` bounds the upstreams it may be sent to. The call is
     refused if it would wait beyond ``wait_until`` for a slot. ``late``: it can no
-    longer be answered in time, and calls of its priority that can go first. An
-    upstream in another zone costs ``cross_zone_s`` seconds more, one in another region
-    ``cross_region_s``; from ``cross_region_from`` on, the call may be sent to another
-    region if its own has no room. It may only run in ``allowed_regions``, or anywhere
-    if that is None.
+    longer be answered in time, so calls of its priority that still can are served
+    first. An upstream in another zone costs ``cross_zone_s`` seconds more, one in
+    another region ``cross_region_s``; from ``cross_region_from`` on, the call may be
+    sent to another region if its own has no room. It may only run in
+    ``allowed_regions``, or anywhere if that is None.
     """
 
     id: ids.CallId
