--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -247,12 +247,8 @@
         elapsed_s = max(0.0, now - self.filled_at)
         self.tokens = min(self.burst, self.tokens + elapsed_s * self.per_second)
         self.filled_at = max(self.filled_at, now)
-        missing_tokens = 1.0 - self.tokens
-        if missing_tokens > longest_wait_s * self.per_second:
+        deficit = 1.0 - self.tokens
+        if deficit > longest_wait_s * self.per_second:
             return None
         self.tokens -= 1.0
-        return (
-            now
-            if missing_tokens <= 0.0
-            else ids.later(now, missing_tokens / self.per_second)
-        )
+        return now if deficit <= 0.0 else ids.later(now, deficit / self.per_second)
