--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -29,7 +29,7 @@
     ownership,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 NOW = kernel.NOW
@@ -162,7 +162,7 @@
         self._arrive_next(one, at)
         now = ids.later(NOW, at)
         wait_until = ids.later(now, WAIT_S)
-        call = waiting.Call(
+        call = wait_queue.Call(
             id=ids.CallId(str(next(self._numbers))),
             priority=self.rng.randrange(2),
             repeatable=True,
@@ -171,8 +171,8 @@
             arrived_at=now,
             most_tries=3,
             wait_until=wait_until,
-            far_s=overflow.cross_region_cost_s(self.size),
-            far_from=overflow.leave_region_at(
+            cross_region_s=overflow.cross_region_cost_s(self.size),
+            cross_region_from=overflow.leave_region_at(
                 now, wait_until, overflow.cross_region_cost_s(self.size)
             ),
             allowed_regions=self.allowed,
--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -15,10 +15,10 @@
     extra_budgets,
     outcomes,
     ownership,
-    schedule,
     service_policy,
     upstreams,
-    waiting,
+    wait_queue,
+    zone_schedule,
 )
 from spindlenotch.peers import documents
 
@@ -76,10 +76,10 @@
     return made
 
 
-def call(number: int, rank: int = 1, deadline: float = 60.0) -> waiting.Call:
+def call(number: int, rank: int = 1, deadline: float = 60.0) -> wait_queue.Call:
     """Return a repeatable call."""
     name = ids.CallId(f"c{number}")
-    return waiting.Call(
+    return wait_queue.Call(
         id=name,
         priority=rank,
         repeatable=True,
@@ -127,11 +127,11 @@
     @hypothesis.given(steps, strategies.floats(0, 1439.9))
     def check(drawn: list[tuple[int, list[float]]], minute: float) -> None:
         day = tuple(
-            schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
+            zone_schedule.DayStep(at, dict(zip(ZONES, values, strict=True)))
             for at, values in sorted(drawn)
         )
-        before = schedule.planned(ZONES, day, minute)
-        after = schedule.planned(ZONES, day, (minute + 0.01) % 1440)
+        before = zone_schedule.planned_shares(ZONES, day, minute)
+        after = zone_schedule.planned_shares(ZONES, day, (minute + 0.01) % 1440)
         assert abs(sum(before.values()) - 1) < 1e-9
         steepest = 0.01 * 100 / max(1, _shortest(day)) + 1e-6
         for zone in ZONES:
@@ -140,7 +140,7 @@
     check()
 
 
-def _shortest(day: tuple[schedule.DayStep, ...]) -> float:
+def _shortest(day: tuple[zone_schedule.DayStep, ...]) -> float:
     minutes = [step.minute for step in day]
     if len(minutes) == 1:
         return 1440
@@ -153,14 +153,14 @@
     @SETTINGS
     @hypothesis.given(strategies.lists(strategies.integers(0, 3), max_size=100))
     def check(order: list[int]) -> None:
-        queue = waiting.WaitQueue(1000)
+        queue = wait_queue.WaitQueue(1000)
         for number, rank in enumerate(order):
             queue.push(call(number, rank))
         turns = 0
         while (chosen := queue.head()) is not None:
             turns += 1
             ahead = min(c.priority for c in queue)
-            fair = turns % waiting.OLDEST_FIRST_EVERY == 0
+            fair = turns % wait_queue.OLDEST_FIRST_EVERY == 0
             assert fair or chosen.priority == ahead
             queue.take(chosen)
         assert turns == len(order)
--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -13,9 +13,9 @@
 from spindlenotch.decisions import balancer, least_latency, verdicts
 from spindlenotch.kernel import (
     budgets,
+    copy_tracker,
     extra_budgets,
     ownership,
-    repeats,
     service_policy,
     upstreams,
 )
@@ -196,25 +196,25 @@
     one = decider()
     first, second = one.pool.upstream_by_id.values()
     budget = budgets.SlidingShareBudget(0.2, 4.0, 10.0)
-    followed = repeats.Repeats(
-        extra_budgets.ExtraBudgets(budget, budget, counts_drains=True)
+    followed = copy_tracker.CopyTracker(
+        extra_budgets.ExtraBudgets(budget, budget, charges_drain_retries=True)
     )
     call = ids.CallId("1")
-    followed.begin(call, first, NOW, is_read=False)
+    followed.record_first(call, first, NOW, is_read=False)
     followed.sent(call, second, NOW)
     assert budget.spend(NOW)
     assert budget.unsettled == 1
     # The hedge is answered; the first copy may lie unread where it was sent.
     followed.ended(call, second, ids.later(NOW, 0.1))
     followed.forget(call)
-    followed.look(ids.later(NOW, 30.0))
+    followed.settle_read(ids.later(NOW, 30.0))
     assert budget.unsettled == 1
     assert budget.available(ids.later(NOW, 30.0))
     assert budget.balance == 3.0
     first.reported(REPORT, ids.later(NOW, 30.0))
-    followed.look(ids.later(NOW, 30.0))
+    followed.settle_read(ids.later(NOW, 30.0))
     assert budget.unsettled == 0
-    (late,) = followed.take_late()
+    (late,) = followed.take_late_reads()
     assert (late.upstream, late.count, late.after_s) == (first.spec.id, 1, 30.0)
     # It arrived at that instant at the latest, and counts for a window from there.
     assert not budget.available(ids.later(NOW, 39.9)) or budget.balance == 3.0
--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -17,7 +17,7 @@
 from features.steps import kernel
 from spindlenotch import ids
 from spindlenotch.decisions import quarantine
-from spindlenotch.kernel import crash_notes, fingerprints
+from spindlenotch.kernel import crash_records, fingerprints
 
 CrashStatus = quarantine.CrashStatus
 NOW = kernel.NOW
@@ -39,7 +39,7 @@
 ) -> fingerprints.Fingerprints:
     """Return the fingerprints of a request."""
     content = fingerprints.Content("GET", "h", target, body)
-    return fingerprints.of(content, caller)
+    return fingerprints.compute(content, caller)
 
 
 def upstream(number: int) -> ids.UpstreamId:
@@ -94,9 +94,9 @@
     request = prints()
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
-        for one in request.each():
+        for one in request.as_tuple():
             known.record_crash(one, known.mark(one), upstream(number), NOW)
-    for one in request.each():
+    for one in request.as_tuple():
         peer.merge(known.note(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
     assert not known.take_recheck(
@@ -104,7 +104,7 @@
     )
     assert known.take_recheck(request, later)
     assert not known.take_recheck(request, later)
-    for one in request.each():
+    for one in request.as_tuple():
         assert known.note(one).is_retried
     assert not peer.take_recheck(request, later)
 
@@ -113,7 +113,7 @@
 def other_requests() -> None:
     base = prints()
     for other in (prints(target="/b"), prints(body=b"x")):
-        assert not set(base.each()) & set(other.each())
+        assert not set(base.as_tuple()) & set(other.as_tuple())
     from_other = prints(caller="d")
     assert base.content == from_other.content
     assert base.from_caller != from_other.from_caller
@@ -137,7 +137,7 @@
 
 
 notes = strategies.builds(
-    crash_notes.CrashNote,
+    crash_records.CrashRecord,
     strategies.just(PRINT),
     strategies.integers(0, 2),
     strategies.integers(0, 4),
@@ -150,7 +150,7 @@
 def any_order() -> None:
     @hypothesis.given(strategies.lists(notes, max_size=6), strategies.randoms())
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
-    def check(told: list[crash_notes.CrashNote], rng: random.Random) -> None:
+    def check(told: list[crash_records.CrashRecord], rng: random.Random) -> None:
         known, peer = quarantine.Quarantine(), quarantine.Quarantine()
         for note in told:
             known.merge(note, NOW)
@@ -253,7 +253,7 @@
             delay_s = self.rng.uniform(0.0, LONGEST_WAY_S)
             self._after(delay_s, lambda: self._hear(peer, note))
 
-    def _hear(self, number: int, note: crash_notes.CrashNote) -> None:
+    def _hear(self, number: int, note: crash_records.CrashRecord) -> None:
         self.known[number].merge(note, ids.Instant(self.now))
 
     def _gossip(self, number: int) -> None:
--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -24,7 +24,7 @@
     outcomes,
     ownership,
     upstreams,
-    waiting,
+    wait_queue,
 )
 from spindlenotch.peers import messages, rollout_notes
 
@@ -117,7 +117,7 @@
         member = ownership.Member(rollout_service.ZONE, host)
         self.balancer = balancer.Balancer(rollout_service.policy(), member, rng)
         for route, work_s in rollout_service.WORK_S_BY_ROUTE.items():
-            self.balancer.pool.latencies.learn(route, world.plan.guess * work_s)
+            self.balancer.pool.latencies.track(route, world.plan.guess * work_s)
         measured = world.metrics
         self.rollouts = registry.Registry(rollout_service.SHARE, measured)
         self.local = rollout_service.record(host, next(world.numbers))
@@ -318,7 +318,7 @@
             list(rollout_service.PART_BY_ROUTE),
             list(rollout_service.PART_BY_ROUTE.values()),
         )
-        call = waiting.Call(
+        call = wait_queue.Call(
             id=ids.CallId(f"c{next(self.numbers)}"),
             priority=1,
             repeatable=route != "book",
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -24,14 +24,14 @@
     verdicts,
 )
 from spindlenotch.kernel import (
+    copy_tracker,
     ejection,
     outcomes,
     ownership,
-    repeats,
     service_policy,
     upstream_pool,
     upstreams,
-    waiting,
+    wait_queue,
 )
 
 #: Decisions kept for ``explain``.
@@ -45,8 +45,8 @@
     Invariants: a grant names an upstream that is listed, not leaving and not
     ejected; a call is never granted twice to the same upstream; a call that may
     have run is granted again only if it is repeatable; every further grant is
-    taken from a budget, except those that ``ExtraBudgets.counts_drains`` exempts.
-    ``split`` is None unless the service is rolling out a version.
+    taken from a budget, except those that ``ExtraBudgets.charges_drain_retries``
+    exempts. ``split`` is None unless the service is rolling out a version.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         self.service = service
         self.pool = upstream_pool.Pool(service, local_member, rng)
         self.policy = selection.POLICIES.get(service.selection)()
-        self.queue = waiting.WaitQueue(service.queue_limit)
+        self.queue = wait_queue.WaitQueue(service.queue_limit)
         self.admission = admission.Admission(self.pool, self.queue)
         self.extra = service.extra.create()
         self.split: traffic_split.TrafficSplit | None = None
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
-        self.repeats = repeats.Repeats(self.extra)
+        self.copies = copy_tracker.CopyTracker(self.extra)
         self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self._unreached_by_call: collections.Counter[ids.CallId] = collections.Counter()
         self.decisions: collections.deque[verdicts.Decision] = collections.deque(
@@ -81,7 +81,7 @@
         service.extra.update(self.extra)
 
     def offer(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         """Decide on a new call."""
         self.extra.earn(now)
@@ -118,7 +118,7 @@
         expected_s = typical_s * slowdown
         upstream.ended(grant.call.id, result, expected_s, now)
         if result is not upstreams.Result.CANCELLED:
-            self.repeats.ended(grant.call.id, upstream, now)
+            self.copies.ended(grant.call.id, upstream, now)
         if result is upstreams.Result.CONNECT_FAILED:
             self._unreached_by_call[grant.call.id] += 1
         if self.split is not None:
@@ -151,7 +151,7 @@
         """Drop the state kept for placing further tries of a call."""
         self.tried_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
-        self.repeats.forget(call_id)
+        self.copies.forget(call_id)
 
     def settle(self, now: ids.Instant) -> list[verdicts.Settlement]:
         """Refuse expired calls, then place waiting calls while there is room."""
@@ -211,7 +211,7 @@
         if not allowed:
             return None
         drains = grant.upstream.state is upstreams.State.LEAVING
-        if known_not_run and drains and not self.extra.counts_drains:
+        if known_not_run and drains and not self.extra.charges_drain_retries:
             return self._grant(call, verdicts.Kind.RETRY, now)
         return self._repeat(grant, verdicts.Kind.RETRY, now)
 
@@ -243,7 +243,7 @@
         self, before: verdicts.Grant, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place one more copy of a call, if its budget allows it."""
-        self.repeats.look(now)
+        self.copies.settle_read(now)
         budget = self.hedges if kind is verdicts.Kind.HEDGE else self.retries
         if not budget.available(now):
             return None
@@ -253,12 +253,14 @@
         call_id = before.call.id
         # A retry follows a try that has ended; a hedge runs beside one that has not.
         is_read = kind is verdicts.Kind.RETRY
-        self.repeats.begin(call_id, before.upstream, before.sent_at, is_read=is_read)
-        self.repeats.sent(call_id, again.upstream, now)
+        self.copies.record_first(
+            call_id, before.upstream, before.sent_at, is_read=is_read
+        )
+        self.copies.sent(call_id, again.upstream, now)
         return msgspec.structs.replace(again, taken_from=budget.spend(now))
 
     def _place(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | verdicts.Waiting | outcomes.Refusal:
         ahead = self.queue.ahead_of(call)
         if ahead == 0:
@@ -279,7 +281,7 @@
         sent: list[verdicts.Settlement] = []
         full: set[frozenset[ids.RegionName] | None] = set()
         for call in list(self.queue) if self.pool.far_order else ():
-            if call.far_from > now or call.allowed_regions in full:
+            if call.cross_region_from > now or call.allowed_regions in full:
                 continue
             grant = self._grant(call, verdicts.Kind.FIRST, now)
             if grant is None:
@@ -298,12 +300,12 @@
         return verdicts.Settlement(settlement.call, grant)
 
     def _grant_remote(
-        self, call: waiting.Call, now: ids.Instant
+        self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place a call that its own region would refuse in another region."""
         if not self.pool.far_order:
             return None
-        may_leave = msgspec.structs.replace(call, far_from=now)
+        may_leave = msgspec.structs.replace(call, cross_region_from=now)
         return self._grant(may_leave, verdicts.Kind.FIRST, now)
 
     def _eject_if_frozen(self, grant: verdicts.Grant, now: ids.Instant) -> None:
@@ -313,19 +315,19 @@
         if self.pool.frozen(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, ejection.SILENT, now)
 
-    def next_retry_at(self, call: waiting.Call, now: ids.Instant) -> ids.Instant:
+    def next_retry_at(self, call: wait_queue.Call, now: ids.Instant) -> ids.Instant:
         """Return when the caller of a call that no upstream took may try again."""
         free_at = self._usable_at(call, now)
         return availability.next_retry_at(self.pool, free_at, len(self.queue), now)
 
-    def _usable_at(self, call: waiting.Call | None, now: ids.Instant) -> ids.Instant:
+    def _usable_at(self, call: wait_queue.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take ``call``, or any call if None."""
         barred = () if self.split is None else self.split.barred(self.pool)
         return availability.usable_at(self.pool, barred, call, now)
 
     def _choose(
         self,
-        call: waiting.Call,
+        call: wait_queue.Call,
         kind: verdicts.Kind,
         now: ids.Instant,
         tried: set[ids.UpstreamId],
@@ -341,7 +343,7 @@
         return self.policy.choose(self.pool, call, now, excluded)
 
     def _grant(
-        self, call: waiting.Call, kind: verdicts.Kind, now: ids.Instant
+        self, call: wait_queue.Call, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
         tried = self.tried_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overflow, silence
-from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
+from spindlenotch.kernel import crowding, upstream_pool, upstreams, wait_queue
 
 NAME = "paced"
 #: Requests by which the estimated load may exceed the slots of an upstream that still
@@ -56,7 +56,7 @@
     def choose(
         self,
         pool: upstream_pool.Pool,
-        call: waiting.Call,
+        call: wait_queue.Call,
         now: ids.Instant,
         exclude: selection.Exclusion,
     ) -> selection.Choice | None:
@@ -97,7 +97,7 @@
 
 def _options(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
@@ -126,7 +126,7 @@
 
 def _costs(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     options: list[upstreams.Upstream],
     now: ids.Instant,
 ) -> dict[ids.UpstreamId, float]:
@@ -179,7 +179,7 @@
 
 def failure_cost(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     upstream: upstreams.Upstream,
     now: ids.Instant,
 ) -> float:
@@ -197,7 +197,7 @@
 
 def expected_s(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     upstream: upstreams.Upstream,
     load: float,
     typical_s: float,
@@ -227,5 +227,5 @@
     if upstream.spec.zone == pool.local_member.zone:
         return work_s
     if pool.far_order and pool.is_far(upstream):
-        return overflow.REMOTE_LATENCY_FACTOR * work_s + call.far_s
+        return overflow.REMOTE_LATENCY_FACTOR * work_s + call.cross_region_s
     return work_s + call.cross_zone_s
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -8,7 +8,7 @@
 """
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import upstream_pool, upstreams, waiting
+from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
 #: Most upstreams of other regions compared for a call that may go there: such calls
 #: are few, and what is known of these upstreams is old.
@@ -36,7 +36,7 @@
 
 def may_leave_region(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> bool:
@@ -49,13 +49,13 @@
     """
     if not pool.far_order:
         return False
-    if now >= call.far_from or exclude:
+    if now >= call.cross_region_from or exclude:
         return True
     return not _any_near(pool, now)
 
 
 def is_remote_faster(
-    pool: upstream_pool.Pool, call: waiting.Call, near_s: float
+    pool: upstream_pool.Pool, call: wait_queue.Call, near_s: float
 ) -> bool:
     """
     Return whether another region may answer sooner than the best local upstream.
@@ -69,12 +69,12 @@
     if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
-    return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.far_s
+    return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
 
 
 def candidates(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     near_s: float | None,
     now: ids.Instant,
     exclude: selection.Exclusion,
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import crash_notes, fingerprints
+from spindlenotch.kernel import crash_records, fingerprints
 
 #: Crashed upstreams from which a request is quarantined: the smallest number that
 #: chance does not explain. Where 3 in 100 tries lose their upstream, as happens while
@@ -67,7 +67,7 @@
     """
     What was known of a request when a try of it was sent.
 
-    ``round`` and ``depth`` are those of its ``CrashNote``.
+    ``round`` and ``depth`` are those of its ``CrashRecord``.
     """
 
     round: int = 0
@@ -80,14 +80,14 @@
 class Change(msgspec.Struct, frozen=True):
     """A request was quarantined or released; for the log."""
 
-    note: crash_notes.CrashNote
+    note: crash_records.CrashRecord
     status: CrashStatus
 
 
 class KeptNote(msgspec.Struct):
     """A crash note and when it expires."""
 
-    note: crash_notes.CrashNote
+    note: crash_records.CrashRecord
     until: ids.Instant
 
     @property
@@ -125,11 +125,11 @@
 
     def status(self, known: fingerprints.Fingerprints) -> CrashStatus:
         """Return the status of a request: the worse one of its two fingerprints."""
-        return max(self._status(one) for one in known.each())
+        return max(self._status(one) for one in known.as_tuple())
 
     def until(self, known: fingerprints.Fingerprints) -> ids.Instant:
         """Return until when a request is quarantined."""
-        kept = [self.kept_by_fingerprint.get(one) for one in known.each()]
+        kept = [self.kept_by_fingerprint.get(one) for one in known.as_tuple()]
         return max(
             one.until
             for one in kept
@@ -141,10 +141,10 @@
         note = self.note(fingerprint)
         return Mark(note.round, note.depth + (fingerprint in self._checks_pending))
 
-    def note(self, fingerprint: ids.Fingerprint) -> crash_notes.CrashNote:
+    def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
         """Return what is known of a request, in the form in which peers get it."""
         kept = self.kept_by_fingerprint.get(fingerprint)
-        return crash_notes.CrashNote(fingerprint) if kept is None else kept.note
+        return crash_records.CrashRecord(fingerprint) if kept is None else kept.note
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
         """Treat a request as suspect while its upstream is checked for a crash."""
@@ -171,7 +171,7 @@
         Return whether that changes what is known, like ``merge``.
         """
         before = status_of(self.note(fingerprint))
-        crash = crash_notes.CrashNote(
+        crash = crash_records.CrashRecord(
             fingerprint, mark.round, mark.depth + 1, (upstream,)
         )
         is_news = self.merge(crash, now)
@@ -188,7 +188,7 @@
 
         The recheck is then taken: further calls return False.
         """
-        due = [one for one in known.each() if self._is_recheck_due(one, now)]
+        due = [one for one in known.as_tuple() if self._is_recheck_due(one, now)]
         for fingerprint in due:
             note = self.note(fingerprint)
             self.merge(msgspec.structs.replace(note, is_retried=True), now)
@@ -199,11 +199,11 @@
         note = self.note(fingerprint)
         if not note.depth:
             return False
-        return self.merge(crash_notes.CrashNote(fingerprint, note.round + 1), now)
+        return self.merge(crash_records.CrashRecord(fingerprint, note.round + 1), now)
 
     def merge(
         self,
-        told: crash_notes.CrashNote,
+        told: crash_records.CrashRecord,
         now: ids.Instant,
         until: ids.Instant = ids.NEVER,
     ) -> bool:
@@ -231,7 +231,7 @@
             else:
                 self._forget(fingerprint)
 
-    def quarantined(self) -> abc.Iterator[crash_notes.CrashNote]:
+    def quarantined(self) -> abc.Iterator[crash_records.CrashRecord]:
         """Return the notes on all quarantined requests."""
         for kept in self.kept_by_fingerprint.values():
             if kept.status is CrashStatus.QUARANTINED:
@@ -251,7 +251,7 @@
         return status
 
     def _keep(
-        self, note: crash_notes.CrashNote, now: ids.Instant, until: ids.Instant
+        self, note: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
     ) -> None:
         before = status_of(self.note(note.fingerprint))
         after = status_of(note)
@@ -294,7 +294,7 @@
 }
 
 
-def status_of(note: crash_notes.CrashNote) -> CrashStatus:
+def status_of(note: crash_records.CrashRecord) -> CrashStatus:
     """Return the status of a request with this crash note."""
     if not note.depth:
         return CrashStatus.CLEAR
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -2,13 +2,13 @@
 When a call is queued, for how long, and when a refused caller should try again.
 
 Pure rules on the pool, queue, call and instant. They rely on ``upstream_pool`` for
-typical latencies and the completion rate, and on ``waiting`` for the order of the
+typical latencies and the completion rate, and on ``wait_queue`` for the order of the
 queue. ``Balancer`` applies them when a call is offered, when a slot becomes free and
 at each queue check.
 """
 
 from spindlenotch import ids
-from spindlenotch.kernel import outcomes, upstream_pool, waiting
+from spindlenotch.kernel import outcomes, upstream_pool, wait_queue
 
 #: Shortest delay in seconds that a refused caller is given before it tries again.
 MIN_RETRY_AFTER_S = 0.05
@@ -38,7 +38,7 @@
 
 def refusal_rule(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     ahead: int,
     now: ids.Instant,
     reserve_s: float = 0.0,
@@ -60,7 +60,7 @@
 
 
 def refusal_rule_for_new(
-    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
     reserve_s = TURN_RESERVE_S if pool.turns(now) is not None else 0.0
@@ -68,7 +68,7 @@
 
 
 def refusal_rule_for_waiting(
-    pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
+    pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """
     Return why a waiting call behind ``ahead`` others is refused now, or None.
@@ -91,7 +91,9 @@
     return ids.later(now, max(MIN_RETRY_AFTER_S, wait_s))
 
 
-def displaced_by(queue: waiting.WaitQueue, call: waiting.Call) -> waiting.Call | None:
+def displaced_by(
+    queue: wait_queue.WaitQueue, call: wait_queue.Call
+) -> wait_queue.Call | None:
     """
     Return the waiting call that ``call`` displaces from a full queue.
 
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import overload
-from spindlenotch.kernel import upstream_pool, waiting
+from spindlenotch.kernel import upstream_pool, wait_queue
 
 #: Tries without a connection that do not count against a call's limit. Not more,
 #: as each takes time, and where many upstreams have gone the news of that arrives
@@ -32,7 +32,7 @@
 
 def is_allowed(
     pool: upstream_pool.Pool,
-    call: waiting.Call,
+    call: wait_queue.Call,
     tries: Tries,
     now: ids.Instant,
     *,
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -21,7 +21,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import least_latency, verdicts
-from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, waiting
+from spindlenotch.kernel import rendezvous, upstream_pool, upstreams, wait_queue
 
 #: Least number of canaries: the failure of a single upstream must not be attributed to
 #: its version.
@@ -140,7 +140,7 @@
         return Exclusion(tried, self.barred(pool))
 
     def choose_target(
-        self, pool: upstream_pool.Pool, call: waiting.Call, now: ids.Instant
+        self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
     ) -> selection.Choice | None:
         """Choose a canary for a call's first try, if the target is due a call."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
--- a/spindlenotch/decisions/verdicts.py
+++ b/spindlenotch/decisions/verdicts.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from spindlenotch import ids, selection
-from spindlenotch.kernel import budgets, outcomes, upstreams, waiting
+from spindlenotch.kernel import budgets, outcomes, upstreams, wait_queue
 
 
 class Kind(enum.Enum):
@@ -34,7 +34,7 @@
     retry that takes nothing from a budget.
     """
 
-    call: waiting.Call
+    call: wait_queue.Call
     upstream: upstreams.Upstream
     kind: Kind
     sent_at: ids.Instant
@@ -51,14 +51,14 @@
     ``displaced`` settles the less urgent call whose place it took in a full queue.
     """
 
-    call: waiting.Call
+    call: wait_queue.Call
     displaced: "Settlement | None" = None
 
 
 class Settlement(msgspec.Struct, frozen=True):
     """The verdict on a call that waited."""
 
-    call: waiting.Call
+    call: wait_queue.Call
     verdict: Grant | outcomes.Refusal
 
 
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -16,7 +16,7 @@
 from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import balancer, quarantine, verdicts
 from spindlenotch.forwarding import jobs, recent_answers, try_marks
-from spindlenotch.kernel import crash_notes, fingerprints, upstreams
+from spindlenotch.kernel import crash_records, fingerprints, upstreams
 
 #: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
 #: each, and a probe's work, 6 ms.
@@ -32,7 +32,7 @@
 GONE = "gone"
 
 #: Called with each note that peers need to know.
-NoteListener = abc.Callable[[crash_notes.CrashNote], None]
+NoteListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
 class WatchState(typing.Protocol):
@@ -64,7 +64,7 @@
 
     def suspects(self) -> tuple[ids.Fingerprint, ...]:
         """Return the fingerprints that may be those of the cause."""
-        return () if self.answered_lately else self.prints.each()
+        return () if self.answered_lately else self.prints.as_tuple()
 
 
 class CrashWatch:
@@ -97,7 +97,7 @@
 
     def tell(self, prints: fingerprints.Fingerprints) -> None:
         """Pass on what is known of a request."""
-        for fingerprint in prints.each():
+        for fingerprint in prints.as_tuple():
             self._tell(fingerprint)
 
     # How a try ends
@@ -194,7 +194,7 @@
 
     def _clear(self, prints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
-        for fingerprint in prints.each():
+        for fingerprint in prints.as_tuple():
             if self.quarantine.clear(fingerprint, now):
                 self._tell(fingerprint)
 
--- a/spindlenotch/kernel/schedule.py
+++ b/spindlenotch/kernel/zone_schedule.py
@@ -1,10 +1,10 @@
 """
-The day's movement: how much of a service's traffic each zone should carry.
+Daily schedule of the zone weights: the share of a service's traffic per zone.
 
-Weights move on a straight line between the planned steps, around
-midnight as well, so that a restart or a skewed clock causes no jump. What is
-observed overrides the plan: a zone without usable upstreams gets weight zero,
-and where all planned zones are empty every zone counts alike.
+Weights are interpolated linearly between the scheduled steps, across midnight too, so
+that a restart or a skewed clock causes no jump. Observed state overrides the
+schedule: a zone without usable upstreams gets no weight, and if all zones with a
+planned weight are empty, the slots of the others count in full.
 """
 
 import datetime
@@ -14,33 +14,33 @@
 
 from spindlenotch import ids
 
-#: By definition.
+#: Minutes of a day, ignoring changes to and from daylight saving time.
 MINUTES_PER_DAY = 1440.0
 
 
 class DayStep(msgspec.Struct, frozen=True):
-    """Zone weights that hold exactly at ``minute`` of the local day."""
+    """Zone weights that apply exactly at ``minute`` of the local day."""
 
     minute: int
     weight_by_zone: dict[ids.ZoneName, float]
 
 
 def minute_of_day(unix_s: float, timezone: str) -> float:
-    """Return the local minute of the day, with fractions."""
+    """Return the local minute of the day, including the fraction."""
     local = datetime.datetime.fromtimestamp(unix_s, zoneinfo.ZoneInfo(timezone))
     return local.hour * 60 + local.minute + local.second / 60
 
 
-def planned(
+def planned_shares(
     zones: tuple[ids.ZoneName, ...], day: tuple[DayStep, ...], minute: float
 ) -> dict[ids.ZoneName, float]:
     """
-    Return the weight of each zone at ``minute``; shares add up to one.
+    Return the share of each zone at ``minute``; the shares add up to one.
 
-    ``day`` is in order of minutes; where it is empty every zone counts alike.
+    ``day`` is sorted by minute; if it is empty, all zones get equal shares.
     """
     if not day:
-        return _shares(dict.fromkeys(zones, 1.0))
+        return _normalized(dict.fromkeys(zones, 1.0))
     before = day[-1]
     after = day[0]
     for step in day:
@@ -51,19 +51,23 @@
             after = step
     span = (after.minute - before.minute) % MINUTES_PER_DAY or MINUTES_PER_DAY
     progress = ((minute - before.minute) % MINUTES_PER_DAY) / span
-    return _shares({zone: _between(before, after, zone, progress) for zone in zones})
+    return _normalized(
+        {zone: _interpolated(before, after, zone, progress) for zone in zones}
+    )
 
 
-def effective(
+def slot_factors(
     plan: dict[ids.ZoneName, float], usable_slots: dict[ids.ZoneName, float]
 ) -> dict[ids.ZoneName, float]:
     """
-    Return factors by which each zone's slots count, at most one each.
+    Return the factor, at most one, by which the slots of each zone are weighted.
 
-    ``usable_slots`` is what is observed to be there. The zone with the most
-    planned weight per slot counts in full; the others in proportion.
+    ``usable_slots`` is the number of slots observed in each zone. The zone with the
+    most planned weight per slot gets factor one, the others in proportion.
     """
-    wanted = {z: plan.get(z, 0.0) for z, slots in usable_slots.items() if slots > 0}
+    wanted = {
+        name: plan.get(name, 0.0) for name, slots in usable_slots.items() if slots > 0
+    }
     if not any(wanted.values()):
         return dict.fromkeys(wanted, 1.0)
     density = {zone: wanted[zone] / usable_slots[zone] for zone in wanted}
@@ -71,7 +75,7 @@
     return {zone: density[zone] / top for zone in wanted}
 
 
-def _between(
+def _interpolated(
     before: DayStep, after: DayStep, zone: ids.ZoneName, progress: float
 ) -> float:
     start = before.weight_by_zone.get(zone, 0.0)
@@ -79,7 +83,7 @@
     return start + (end - start) * progress
 
 
-def _shares(weights: dict[ids.ZoneName, float]) -> dict[ids.ZoneName, float]:
+def _normalized(weights: dict[ids.ZoneName, float]) -> dict[ids.ZoneName, float]:
     total = sum(weights.values())
     if total <= 0:
         return dict.fromkeys(weights, 1.0 / max(1, len(weights)))
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -17,13 +17,13 @@
     mutant_table.Mutant(
         "any part of the budget may be unsettled",
         "kernel/budgets",
-        "self.unsettled + 1 <= self._most_unsettled",
+        "self.unsettled + 1 <= self._max_unsettled",
         "True",
         "a fleet's retries keep to it where they arrive late",
     ),
     mutant_table.Mutant(
         "a repeat has arrived when one copy was read",
-        "kernel/repeats",
+        "kernel/copy_tracker",
         "return min(self.sent - 1, self.unread)",
         "return min(self.sent - 1, self.unread) * (self.unread == self.sent)",
         "a repeat has arrived when all copies but one were read",
@@ -66,7 +66,7 @@
     mutant_table.Mutant(
         "what a draining upstream turned away takes from an entry's budget",
         "decisions/balancer",
-        "if known_not_run and drains and not self.extra.counts_drains:",
+        "if known_not_run and drains and not self.extra.charges_drain_retries:",
         "if False:",
         "what a draining upstream turned away moves beside the budget",
     ),
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -248,8 +248,8 @@
     Mutant(
         "retries that were earned are kept for later",
         "kernel/budgets",
-        "rest = math.exp(",
-        "rest = 1.0 + 0.0 * math.exp(",
+        "remaining_share = math.exp(",
+        "remaining_share = 1.0 + 0.0 * math.exp(",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
@@ -304,14 +304,14 @@
     Mutant(
         "the reserve of retries that was used comes back by requests only",
         "kernel/budgets",
-        "max(self._saved, -float(self._in_use))",
-        "self._saved",
+        "max(self._unspent, -float(self._in_use))",
+        "self._unspent",
         "a reserve that was used is whole again after a window",
     ),
     Mutant(
         "a route is served in any region",
         "gateway/source/region_rules",
-        "region != regions.UNNAMED and region in route.allowed_regions",
+        "region != regions.UNNAMED_REGION and region in route.allowed_regions",
         "True",
         "elsewhere its requests are refused at once, and never run",
     ),
