--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -13,11 +13,11 @@
 from spindlenotch import ports
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
+    attempts,
     crash_watch,
     exchanges,
     granting,
     jobs,
-    race,
     sending,
     trials,
 )
@@ -25,7 +25,7 @@
 
 
 class PathState(
-    granting.GrantState, race.UpstreamState, crash_watch.WatchState, typing.Protocol
+    granting.GrantState, attempts.UpstreamState, crash_watch.WatchState, typing.Protocol
 ):
     """What the data path needs of the process that it runs in."""
 
@@ -113,8 +113,8 @@
         finally:
             self._trials.leave(job)
 
-    def _race(self, job: jobs.Job) -> race.Race:
-        return race.Race(
+    def _race(self, job: jobs.Job) -> attempts.Race:
+        return attempts.Race(
             job=job,
             state=self.state,
             grants=self._grants,
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -41,7 +41,7 @@
             "decisions/quarantine.MOST_KEPT",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_watch.ANSWER_LIMIT_S",
-            "forwarding/race.ASK_AGAIN_S",
+            "forwarding/attempts.ASK_AGAIN_S",
             "forwarding/crash_watch.PROOF_S",
             "forwarding/trials.TRIAL_S",
             "forwarding/trials.MOST_RETRY_AFTER_S",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -51,19 +51,19 @@
     ),
     Mutant(
         "a broken connection is taken for not run",
-        "forwarding/race",
+        "forwarding/attempts",
         "self._may_have_run |= end.may_have_run",
         "self._may_have_run |= False",
     ),
     Mutant(
         "a deadline that passed in flight is taken for not run",
-        "forwarding/race",
+        "forwarding/attempts",
         "self._may_have_run = True",
         "self._may_have_run = False",
     ),
     Mutant(
         "a cancelled try keeps its slot",
-        "forwarding/race",
+        "forwarding/attempts",
         "grant, upstreams.Result.CANCELLED, None)\n        self._grant_by_task.clear()",
         "grant, upstreams.Result.CANCELLED, None) if 0 else None\n"
         "        self._grant_by_task.clear()",
@@ -102,7 +102,7 @@
     ),
     Mutant(
         "an upstream that says it is draining is not heeded",
-        "forwarding/race",
+        "forwarding/attempts",
         "if answer.draining:",
         "if False:",
     ),
--- a/tools/soak_processes/mutants.py
+++ b/tools/soak_processes/mutants.py
@@ -24,7 +24,7 @@
     ),
     mutant_table.Mutant(
         "a lost answer is taken for not run",
-        "forwarding/race",
+        "forwarding/attempts",
         "self._may_have_run |= end.may_have_run",
         "self._may_have_run |= False",
         held_by="not run is true",
@@ -181,7 +181,7 @@
     ),
     mutant_table.Mutant(
         "that an upstream says it leaves is not heeded",
-        "forwarding/race",
+        "forwarding/attempts",
         "if answer.signals.is_leaving:",
         "if False:",
         held_by="upstreams that say they leave",
