--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -43,7 +43,7 @@
         """Give an upstream no new work; tell whether it had work until now."""
 
 
-class Race:
+class Attempts:
     """
     The tries of one request; the first good head wins.
 
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -113,8 +113,8 @@
         finally:
             self._trials.leave(job)
 
-    def _race(self, job: jobs.Job) -> attempts.Race:
-        return attempts.Race(
+    def _race(self, job: jobs.Job) -> attempts.Attempts:
+        return attempts.Attempts(
             job=job,
             state=self.state,
             grants=self._grants,
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -258,7 +258,7 @@
         functions=(
             "decisions/retrying.is_allowed",
             "decisions/balancer.Balancer.retry",
-            "forwarding/attempts.Race._retry",
+            "forwarding/attempts.Attempts._retry",
         ),
         inputs="whether the failed try is known not to have run, whether the request"
         " may run twice, tries so far and how many of them reached nobody, deadline,"
