--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -93,7 +93,7 @@
             if refusal is not None:
                 self._grants.finish(job, verdict, upstreams.Result.CANCELLED, None)
                 return refusal
-            return await self._race(job).run(verdict)
+            return await self._attempts(job).run(verdict)
         finally:
             self._trials.leave(job)
 
@@ -106,14 +106,14 @@
         A request whose own body was streamed is not retried: its body is spent.
         """
         try:
-            grant = await self._race(job).next_grant(failed, known_not_run=False)
+            grant = await self._attempts(job).next_grant(failed, known_not_run=False)
             if grant is None:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-            return await self._race(job).run(grant)
+            return await self._attempts(job).run(grant)
         finally:
             self._trials.leave(job)
 
-    def _race(self, job: jobs.Job) -> attempts.Attempts:
+    def _attempts(self, job: jobs.Job) -> attempts.Attempts:
         return attempts.Attempts(
             job=job,
             state=self.state,
