--- a/features/steps/gateway_rests.py
+++ b/features/steps/gateway_rests.py
@@ -11,7 +11,7 @@
 from features.support import rate_pools
 from spindlenotch import ids, ports
 from spindlenotch.decisions import balancer, verdicts
-from spindlenotch.forwarding import jobs, judgement, sending
+from spindlenotch.forwarding import classification, jobs, sending
 from spindlenotch.kernel import backpressure, outcomes, upstreams
 from spindlenotch_platform import signal_headers
 
@@ -92,7 +92,7 @@
     taken(grant.upstream, backpressure.Signals(rest_s=REST_S))
     assert not request.may_send()
     # It has not run, and no fault of the upstream is seen in it.
-    end = judgement.end_of_fault(ports.UpstreamFault.WITHDRAWN)
+    end = classification.end_of_fault(ports.UpstreamFault.WITHDRAWN)
     assert end.result is upstreams.Result.SHED and not end.may_have_run
 
 
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -3,7 +3,7 @@
 
 Starts the first try, hedges one that is overdue, retries one that failed, and
 passes on the first good head. What the end of a try means is judged by
-``judgement``; whether another may follow is up to the balancer.
+``classification``; whether another may follow is up to the balancer.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
+    classification,
     crash_watch,
     exchanges,
     granting,
     jobs,
-    judgement,
     sending,
     signal_events,
     trials,
@@ -142,13 +142,13 @@
             return None
         if answer.draining:
             self._note_drain(grant, SAID_DRAINING)
-        end = judgement.end_of_answer(answer)
+        end = classification.end_of_answer(answer)
         self._take_signals(grant, answer, end)
-        if end is judgement.SHED:
+        if end is classification.SHED:
             await self._end_shed(grant, answer)
             return None
         exchange = exchanges.Exchange(self.grants, self.watch, self.job, grant, answer)
-        if end is judgement.FAILED_ANSWER and await self._is_replaced(exchange):
+        if end is classification.FAILED_ANSWER and await self._is_replaced(exchange):
             return None
         return exchange
 
@@ -173,7 +173,7 @@
             self._record_foreign(grant)
         if fault is ports.UpstreamFault.CONNECTION_LOST:
             self.watch.lost(self.job, grant)
-        end = judgement.end_of_fault(fault)
+        end = classification.end_of_fault(fault)
         self._keep(end)
         self.grants.finish(self.job, grant, end.result, None)
         await self._retry(grant, known_not_run=not end.may_have_run)
@@ -182,13 +182,13 @@
         self, grant: verdicts.Grant, answer: ports.UpstreamAnswer
     ) -> None:
         answer.abandon()
-        self._keep(judgement.SHED)
+        self._keep(classification.SHED)
         if answer.signals.rest_s is None:
             self._retry_after_s = answer.retry_after_s
-        self.grants.finish(self.job, grant, judgement.SHED.result, answer.report)
+        self.grants.finish(self.job, grant, classification.SHED.result, answer.report)
         await self._retry(grant, known_not_run=True)
 
-    def _keep(self, end: judgement.TryEnd) -> None:
+    def _keep(self, end: classification.TryEnd) -> None:
         """Keep what an ended try adds to the refusal that may follow."""
         self._may_have_run |= end.may_have_run
         if end.reason is not None:
@@ -234,8 +234,8 @@
         alone = not self._grant_by_task
         if alone and not await self._retry(exchange.grant, known_not_run=False):
             return False
-        self._keep(judgement.FAILED_ANSWER)
-        exchange.end(judgement.FAILED_ANSWER.result)
+        self._keep(classification.FAILED_ANSWER)
+        exchange.end(classification.FAILED_ANSWER.result)
         return True
 
     def _note_drain(self, grant: verdicts.Grant, reason: str) -> None:
@@ -248,13 +248,13 @@
         self,
         grant: verdicts.Grant,
         answer: ports.UpstreamAnswer,
-        end: judgement.TryEnd,
+        end: classification.TryEnd,
     ) -> None:
         """Take in what an answer says of how much its upstream will take."""
         news = grant.upstream.backpressure.take(
             answer.signals,
             sent_at=grant.sent_at,
-            is_whole=end is judgement.GOOD_ANSWER,
+            is_whole=end is classification.GOOD_ANSWER,
             now=self.state.clock.now(),
         )
         service = self.job.balancer.service.name
@@ -272,7 +272,7 @@
         )
 
     def _refusal(self, reason: outcomes.Reason) -> outcomes.Refusal:
-        return judgement.refusal(
+        return classification.refusal(
             reason,
             may_have_run=self._may_have_run,
             room_at=self._room_at(),
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import ports
 from spindlenotch.decisions import verdicts
-from spindlenotch.forwarding import crash_watch, granting, jobs, judgement
+from spindlenotch.forwarding import classification, crash_watch, granting, jobs
 from spindlenotch.kernel import upstreams
 
 
@@ -41,7 +41,7 @@
         elif not piece:
             self.watch.answered(self.job)
         if not piece or isinstance(piece, ports.UpstreamFault):
-            self.end(judgement.end_of_body(self.answer, piece))
+            self.end(classification.end_of_body(self.answer, piece))
         return piece
 
     def end(self, result: upstreams.Result) -> None:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -229,7 +229,7 @@
             "kernel/upstream_pool.Pool.usable_again_at",
             "gateway/serving/refusals.not_run",
             "gateway/serving/refusals.failure_status",
-            "forwarding/judgement.refusal",
+            "forwarding/classification.refusal",
             "entry/texts.status_of",
         ),
         inputs="whether the request may have run, the reason, queue length, typical"
@@ -352,8 +352,8 @@
     Rule(
         question="What counts as a whole answer, as 'not run', as unknown",
         functions=(
-            "forwarding/judgement.end_of_fault",
-            "forwarding/judgement.end_of_answer",
+            "forwarding/classification.end_of_fault",
+            "forwarding/classification.end_of_answer",
             "gateway/serving/answers.read",
             "gateway/serving/answers.falsely_says_not_run",
             "drivers/upstream_http.HttpUpstreamPort.send",
