--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -188,7 +188,7 @@
         self.grants.finish(self.job, grant, classification.SHED.result, answer.report)
         await self._retry(grant, known_not_run=True)
 
-    def _keep(self, end: classification.TryEnd) -> None:
+    def _keep(self, end: classification.AttemptOutcome) -> None:
         """Keep what an ended try adds to the refusal that may follow."""
         self._may_have_run |= end.may_have_run
         if end.reason is not None:
@@ -248,7 +248,7 @@
         self,
         grant: verdicts.Grant,
         answer: ports.UpstreamAnswer,
-        end: classification.TryEnd,
+        end: classification.AttemptOutcome,
     ) -> None:
         """Take in what an answer says of how much its upstream will take."""
         news = grant.upstream.backpressure.take(
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -12,7 +12,7 @@
 from spindlenotch.kernel import outcomes, upstreams
 
 
-class TryEnd(msgspec.Struct, frozen=True):
+class AttemptOutcome(msgspec.Struct, frozen=True):
     """
     The judgement of one try that has ended.
 
@@ -30,35 +30,35 @@
 #: A try that ended without the head of an answer, by the fault. Only three of
 #: the faults are found before the first byte of the request is sent.
 END_BY_FAULT = {
-    ports.UpstreamFault.CONNECT_FAILED: TryEnd(
+    ports.UpstreamFault.CONNECT_FAILED: AttemptOutcome(
         upstreams.Result.CONNECT_FAILED,
         may_have_run=False,
         reason=outcomes.Reason.CONNECT_FAILED,
     ),
     # The deadline passed before the request was written: no fault of the
     # upstream.
-    ports.UpstreamFault.TOO_LATE: TryEnd(
+    ports.UpstreamFault.TOO_LATE: AttemptOutcome(
         upstreams.Result.CANCELLED,
         may_have_run=False,
         reason=outcomes.Reason.DEADLINE_PASSED,
     ),
-    ports.UpstreamFault.WITHDRAWN: TryEnd(
+    ports.UpstreamFault.WITHDRAWN: AttemptOutcome(
         upstreams.Result.SHED,
         may_have_run=False,
         reason=outcomes.Reason.UPSTREAM_SHED,
     ),
-    ports.UpstreamFault.CONNECTION_LOST: TryEnd(
+    ports.UpstreamFault.CONNECTION_LOST: AttemptOutcome(
         upstreams.Result.FAILED,
         may_have_run=True,
         reason=outcomes.Reason.CONNECTION_LOST,
     ),
-    ports.UpstreamFault.FOREIGN_ANSWER: TryEnd(
+    ports.UpstreamFault.FOREIGN_ANSWER: AttemptOutcome(
         upstreams.Result.FAILED,
         may_have_run=True,
         reason=outcomes.Reason.FOREIGN_ANSWER,
     ),
     # Only probes end this way today; for a request it would promise nothing.
-    ports.UpstreamFault.DRAINING: TryEnd(
+    ports.UpstreamFault.DRAINING: AttemptOutcome(
         upstreams.Result.FAILED,
         may_have_run=True,
         reason=outcomes.Reason.UPSTREAM_SHED,
@@ -66,23 +66,23 @@
 }
 
 #: The upstream answered that it has not run the request.
-SHED = TryEnd(
+SHED = AttemptOutcome(
     upstreams.Result.SHED,
     may_have_run=False,
     reason=outcomes.Reason.UPSTREAM_SHED,
 )
 #: The upstream ran the request and answered with a server error.
-FAILED_ANSWER = TryEnd(upstreams.Result.FAILED, may_have_run=True, reason=None)
+FAILED_ANSWER = AttemptOutcome(upstreams.Result.FAILED, may_have_run=True, reason=None)
 #: The upstream ran the request and answered.
-GOOD_ANSWER = TryEnd(upstreams.Result.ANSWERED, may_have_run=True, reason=None)
+GOOD_ANSWER = AttemptOutcome(upstreams.Result.ANSWERED, may_have_run=True, reason=None)
 
 
-def end_of_fault(fault: ports.UpstreamFault) -> TryEnd:
+def end_of_fault(fault: ports.UpstreamFault) -> AttemptOutcome:
     """Judge a try that gave no head of an answer."""
     return END_BY_FAULT[fault]
 
 
-def end_of_answer(answer: ports.UpstreamAnswer) -> TryEnd:
+def end_of_answer(answer: ports.UpstreamAnswer) -> AttemptOutcome:
     """Judge a try by the head of its answer, as if its body were complete."""
     if answer.not_run:
         return SHED
