--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -29,7 +29,7 @@
 
 #: A try that ended without the head of an answer, by the fault. Only three of
 #: the faults are found before the first byte of the request is sent.
-END_BY_FAULT = {
+OUTCOME_BY_FAULT = {
     ports.UpstreamFault.CONNECT_FAILED: AttemptOutcome(
         upstreams.Result.CONNECT_FAILED,
         may_have_run=False,
@@ -79,7 +79,7 @@
 
 def end_of_fault(fault: ports.UpstreamFault) -> AttemptOutcome:
     """Judge a try that gave no head of an answer."""
-    return END_BY_FAULT[fault]
+    return OUTCOME_BY_FAULT[fault]
 
 
 def end_of_answer(answer: ports.UpstreamAnswer) -> AttemptOutcome:
