--- a/features/steps/gateway_rests.py
+++ b/features/steps/gateway_rests.py
@@ -92,7 +92,7 @@
     taken(grant.upstream, backpressure.Signals(rest_s=REST_S))
     assert not request.may_send()
     # It has not run, and no fault of the upstream is seen in it.
-    end = classification.end_of_fault(ports.UpstreamFault.WITHDRAWN)
+    end = classification.classify_fault(ports.UpstreamFault.WITHDRAWN)
     assert end.result is upstreams.Result.SHED and not end.may_have_run
 
 
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -173,7 +173,7 @@
             self._record_foreign(grant)
         if fault is ports.UpstreamFault.CONNECTION_LOST:
             self.watch.lost(self.job, grant)
-        end = classification.end_of_fault(fault)
+        end = classification.classify_fault(fault)
         self._keep(end)
         self.grants.finish(self.job, grant, end.result, None)
         await self._retry(grant, known_not_run=not end.may_have_run)
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -77,7 +77,7 @@
 GOOD_ANSWER = AttemptOutcome(upstreams.Result.ANSWERED, may_have_run=True, reason=None)
 
 
-def end_of_fault(fault: ports.UpstreamFault) -> AttemptOutcome:
+def classify_fault(fault: ports.UpstreamFault) -> AttemptOutcome:
     """Judge a try that gave no head of an answer."""
     return OUTCOME_BY_FAULT[fault]
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -352,7 +352,7 @@
     Rule(
         question="What counts as a whole answer, as 'not run', as unknown",
         functions=(
-            "forwarding/classification.end_of_fault",
+            "forwarding/classification.classify_fault",
             "forwarding/classification.end_of_answer",
             "gateway/serving/answers.read",
             "gateway/serving/answers.falsely_says_not_run",
