--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -142,7 +142,7 @@
             return None
         if answer.draining:
             self._note_drain(grant, SAID_DRAINING)
-        end = classification.end_of_answer(answer)
+        end = classification.classify_answer(answer)
         self._take_signals(grant, answer, end)
         if end is classification.SHED:
             await self._end_shed(grant, answer)
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -82,7 +82,7 @@
     return OUTCOME_BY_FAULT[fault]
 
 
-def end_of_answer(answer: ports.UpstreamAnswer) -> AttemptOutcome:
+def classify_answer(answer: ports.UpstreamAnswer) -> AttemptOutcome:
     """Judge a try by the head of its answer, as if its body were complete."""
     if answer.not_run:
         return SHED
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -353,7 +353,7 @@
         question="What counts as a whole answer, as 'not run', as unknown",
         functions=(
             "forwarding/classification.classify_fault",
-            "forwarding/classification.end_of_answer",
+            "forwarding/classification.classify_answer",
             "gateway/serving/answers.read",
             "gateway/serving/answers.falsely_says_not_run",
             "drivers/upstream_http.HttpUpstreamPort.send",
