--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -91,7 +91,7 @@
     return GOOD_ANSWER
 
 
-def end_of_body(
+def classify_body(
     answer: ports.UpstreamAnswer, last_piece: bytes | ports.UpstreamFault
 ) -> upstreams.Result:
     """
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -41,7 +41,7 @@
         elif not piece:
             self.watch.answered(self.job)
         if not piece or isinstance(piece, ports.UpstreamFault):
-            self.end(classification.end_of_body(self.answer, piece))
+            self.end(classification.classify_body(self.answer, piece))
         return piece
 
     def end(self, result: upstreams.Result) -> None:
