--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -14,7 +14,7 @@
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
     classification,
-    crash_watch,
+    crash_detection,
     exchanges,
     granting,
     jobs,
@@ -58,7 +58,7 @@
         state: UpstreamState,
         grants: granting.Grants,
         sender: sending.Sender,
-        watch: crash_watch.CrashWatch,
+        watch: crash_detection.CrashWatch,
         trials: trials.Trials,
         on_drain_notice: abc.Callable[[], None] | None,
     ) -> None:
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -14,7 +14,7 @@
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
     attempts,
-    crash_watch,
+    crash_detection,
     exchanges,
     granting,
     jobs,
@@ -25,7 +25,10 @@
 
 
 class PathState(
-    granting.GrantState, attempts.UpstreamState, crash_watch.WatchState, typing.Protocol
+    granting.GrantState,
+    attempts.UpstreamState,
+    crash_detection.WatchState,
+    typing.Protocol,
 ):
     """What the data path needs of the process that it runs in."""
 
@@ -55,7 +58,7 @@
         self.port = port
         self._on_drain_notice = on_drain_notice
         known = quarantine.Quarantine() if known is None else known
-        self.watch = crash_watch.CrashWatch(state, port, known)
+        self.watch = crash_detection.CrashWatch(state, port, known)
         self._trials = trials.Trials(state, self.watch)
         self._grants = granting.Grants(state, self.watch)
         self._sender = sending.Sender(state, port, label)
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import clock, ids
 from spindlenotch.decisions import balancer, verdicts
-from spindlenotch.forwarding import crash_watch, jobs
+from spindlenotch.forwarding import crash_detection, jobs
 from spindlenotch.kernel import outcomes, upstreams
 
 #: How often the queues are checked at least while calls wait, in seconds.
@@ -49,7 +49,7 @@
     arrives together with the cancellation of its request is finished here.
     """
 
-    def __init__(self, state: GrantState, watch: crash_watch.CrashWatch) -> None:
+    def __init__(self, state: GrantState, watch: crash_detection.CrashWatch) -> None:
         self.state = state
         self.watch = watch
         self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -14,7 +14,7 @@
 
 from spindlenotch import clock, ids
 from spindlenotch.decisions import quarantine
-from spindlenotch.forwarding import crash_watch, jobs
+from spindlenotch.forwarding import crash_detection, jobs
 from spindlenotch.kernel import outcomes
 
 #: Seconds after which the next call may be tried beside one that takes long: a request
@@ -52,7 +52,7 @@
     one before has left.
     """
 
-    def __init__(self, state: TrialState, watch: crash_watch.CrashWatch) -> None:
+    def __init__(self, state: TrialState, watch: crash_detection.CrashWatch) -> None:
         self.state = state
         self.watch = watch
         self.quarantine = watch.quarantine
