--- a/features/support/recorded_logs.py
+++ b/features/support/recorded_logs.py
@@ -124,7 +124,7 @@
     grant = verdicts.Grant(call, upstream, verdicts.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
     grants = typing.cast(granting.Grants, None)
-    watch = typing.cast(crash_detection.CrashWatch, None)
+    watch = typing.cast(crash_detection.CrashDetector, None)
     exchange = exchanges.Exchange(grants, watch, job, grant, answer)
     log = request_log.RequestLog(state)
     log.served(_sampled(), job, exchange)
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -58,7 +58,7 @@
         state: UpstreamState,
         grants: granting.Grants,
         sender: sending.Sender,
-        watch: crash_detection.CrashWatch,
+        watch: crash_detection.CrashDetector,
         trials: trials.Trials,
         on_drain_notice: abc.Callable[[], None] | None,
     ) -> None:
--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -67,7 +67,7 @@
         return () if self.answered_lately else self.prints.each()
 
 
-class CrashWatch:
+class CrashDetector:
     """
     The upstreams that were lost under requests of one process.
 
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -58,7 +58,7 @@
         self.port = port
         self._on_drain_notice = on_drain_notice
         known = quarantine.Quarantine() if known is None else known
-        self.watch = crash_detection.CrashWatch(state, port, known)
+        self.watch = crash_detection.CrashDetector(state, port, known)
         self._trials = trials.Trials(state, self.watch)
         self._grants = granting.Grants(state, self.watch)
         self._sender = sending.Sender(state, port, label)
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -23,7 +23,7 @@
     """
 
     grants: granting.Grants
-    watch: crash_detection.CrashWatch
+    watch: crash_detection.CrashDetector
     job: jobs.Job
     grant: verdicts.Grant
     answer: ports.UpstreamAnswer
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -49,7 +49,7 @@
     arrives together with the cancellation of its request is finished here.
     """
 
-    def __init__(self, state: GrantState, watch: crash_detection.CrashWatch) -> None:
+    def __init__(self, state: GrantState, watch: crash_detection.CrashDetector) -> None:
         self.state = state
         self.watch = watch
         self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -52,7 +52,7 @@
     one before has left.
     """
 
-    def __init__(self, state: TrialState, watch: crash_detection.CrashWatch) -> None:
+    def __init__(self, state: TrialState, watch: crash_detection.CrashDetector) -> None:
         self.state = state
         self.watch = watch
         self.quarantine = watch.quarantine
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -35,7 +35,7 @@
         gateway_state: state.GatewayState,
         gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
-        watch: crash_detection.CrashWatch,
+        watch: crash_detection.CrashDetector,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
