--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -35,7 +35,7 @@
 NoteListener = abc.Callable[[crash_notes.CrashNote], None]
 
 
-class WatchState(typing.Protocol):
+class DetectorState(typing.Protocol):
     """What the watch needs of the process that it runs in."""
 
     clock: clock.Clock
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        state: WatchState,
+        state: DetectorState,
         port: ports.UpstreamPort,
         known: quarantine.Quarantine,
     ) -> None:
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -27,7 +27,7 @@
 class PathState(
     granting.GrantState,
     attempts.UpstreamState,
-    crash_detection.WatchState,
+    crash_detection.DetectorState,
     typing.Protocol,
 ):
     """What the data path needs of the process that it runs in."""
