--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -58,7 +58,7 @@
         state: UpstreamState,
         grants: granting.Grants,
         sender: sending.Sender,
-        watch: crash_detection.CrashDetector,
+        crash_detector: crash_detection.CrashDetector,
         trials: trials.Trials,
         on_drain_notice: abc.Callable[[], None] | None,
     ) -> None:
@@ -66,7 +66,7 @@
         self.state = state
         self.grants = grants
         self.sender = sender
-        self.watch = watch
+        self.crash_detector = crash_detector
         self.trials = trials
         self.on_drain_notice = on_drain_notice
         self._grant_by_task: dict[sending.TryTask, verdicts.Grant] = {}
@@ -101,7 +101,7 @@
             self._cancel_rest()
 
     def _start(self, grant: verdicts.Grant) -> None:
-        self.watch.marks.sent(self.job, grant)
+        self.crash_detector.marks.sent(self.job, grant)
         task = self.sender.start(self.job, grant, self._reason)
         self._grant_by_task[task] = grant
 
@@ -120,7 +120,7 @@
         if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
             return
         self._ask_at = ids.later(now, ASK_AGAIN_S)
-        self.watch.lost(self.job, grant)
+        self.crash_detector.lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
@@ -147,7 +147,9 @@
         if end is classification.SHED:
             await self._end_shed(grant, answer)
             return None
-        exchange = exchanges.Exchange(self.grants, self.watch, self.job, grant, answer)
+        exchange = exchanges.Exchange(
+            self.grants, self.crash_detector, self.job, grant, answer
+        )
         if end is classification.FAILED_ANSWER and await self._is_replaced(exchange):
             return None
         return exchange
@@ -172,7 +174,7 @@
         if fault is ports.UpstreamFault.FOREIGN_ANSWER:
             self._record_foreign(grant)
         if fault is ports.UpstreamFault.CONNECTION_LOST:
-            self.watch.lost(self.job, grant)
+            self.crash_detector.lost(self.job, grant)
         end = classification.classify_fault(fault)
         self._keep(end)
         self.grants.finish(self.job, grant, end.result, None)
@@ -219,7 +221,9 @@
         """Tell whether a request that may end what runs it gets another upstream."""
         if self.trials.standing(self.job) is quarantine.Standing.CLEAR:
             return True
-        if self._grant_by_task or not self.watch.marks.may_retry(self.job.call.id):
+        if self._grant_by_task or not self.crash_detector.marks.may_retry(
+            self.job.call.id
+        ):
             return False
         return await self.trials.admit(self.job) is None
 
@@ -230,7 +234,7 @@
         That is a try under way or, without one, a retry. Returns False where the
         error is the request's answer.
         """
-        self.watch.answered(self.job)
+        self.crash_detector.answered(self.job)
         alone = not self._grant_by_task
         if alone and not await self._retry(exchange.grant, known_not_run=False):
             return False
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -58,9 +58,9 @@
         self.port = port
         self._on_drain_notice = on_drain_notice
         known = quarantine.Quarantine() if known is None else known
-        self.watch = crash_detection.CrashDetector(state, port, known)
-        self._trials = trials.Trials(state, self.watch)
-        self._grants = granting.Grants(state, self.watch)
+        self.crash_detector = crash_detection.CrashDetector(state, port, known)
+        self._trials = trials.Trials(state, self.crash_detector)
+        self._grants = granting.Grants(state, self.crash_detector)
         self._sender = sending.Sender(state, port, label)
 
     async def dispatch(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
@@ -73,7 +73,7 @@
     def forget(self, job: jobs.Job) -> None:
         """Drop what was kept to place further tries of a request."""
         job.balancer.forget(job.call.id)
-        self.watch.marks.forget(job.call.id)
+        self.crash_detector.marks.forget(job.call.id)
 
     async def begin(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """
@@ -122,7 +122,7 @@
             state=self.state,
             grants=self._grants,
             sender=self._sender,
-            watch=self.watch,
+            crash_detector=self.crash_detector,
             trials=self._trials,
             on_drain_notice=self._on_drain_notice,
         )
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -23,7 +23,7 @@
     """
 
     grants: granting.Grants
-    watch: crash_detection.CrashDetector
+    crash_detector: crash_detection.CrashDetector
     job: jobs.Job
     grant: verdicts.Grant
     answer: ports.UpstreamAnswer
@@ -37,9 +37,9 @@
             self.end(upstreams.Result.CANCELLED)
             raise
         if isinstance(piece, ports.UpstreamFault):
-            self.watch.lost(self.job, self.grant)
+            self.crash_detector.lost(self.job, self.grant)
         elif not piece:
-            self.watch.answered(self.job)
+            self.crash_detector.answered(self.job)
         if not piece or isinstance(piece, ports.UpstreamFault):
             self.end(classification.classify_body(self.answer, piece))
         return piece
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -49,9 +49,11 @@
     arrives together with the cancellation of its request is finished here.
     """
 
-    def __init__(self, state: GrantState, watch: crash_detection.CrashDetector) -> None:
+    def __init__(
+        self, state: GrantState, crash_detector: crash_detection.CrashDetector
+    ) -> None:
         self.state = state
-        self.watch = watch
+        self.crash_detector = crash_detector
         self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
         self._queue_check: asyncio.TimerHandle | None = None
 
@@ -71,7 +73,7 @@
     ) -> None:
         """Give a grant back, with how its try ended; the slot may go to a call here."""
         now = self.state.clock.now()
-        self.watch.marks.finished(grant)
+        self.crash_detector.marks.finished(grant)
         self._settle(job.balancer.finish(grant, result, report, now))
 
     def _settle(self, settlements: list[verdicts.Settlement]) -> None:
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -52,10 +52,12 @@
     one before has left.
     """
 
-    def __init__(self, state: TrialState, watch: crash_detection.CrashDetector) -> None:
+    def __init__(
+        self, state: TrialState, crash_detector: crash_detection.CrashDetector
+    ) -> None:
         self.state = state
-        self.watch = watch
-        self.quarantine = watch.quarantine
+        self.crash_detector = crash_detector
+        self.quarantine = crash_detector.quarantine
         self._trial_by_content: dict[ids.Fingerprint, Trial] = {}
         self._content_by_call: dict[ids.CallId, ids.Fingerprint] = {}
 
@@ -98,7 +100,7 @@
     ) -> outcomes.Refusal | None:
         prints = job.fingerprints()
         if self.quarantine.take_retrial(prints, now):
-            self.watch.tell(prints)
+            self.crash_detector.tell(prints)
             self._begin(job, now, is_retrial=True)
         return self.refusal(job)
 
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -93,7 +93,7 @@
         )
         self.rollout = rollout_loop.RolloutLoop(gateway_state, self.fleet, link, source)
         self.quarantine_sharing = sharing.QuarantineSharing(
-            gateway_state, self.fleet, link, path.watch
+            gateway_state, self.fleet, link, path.crash_detector
         )
         self.quarantine_writer = writer.QuarantineWriter(
             gateway_state, source, self.relay.is_reader
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -35,18 +35,18 @@
         gateway_state: state.GatewayState,
         gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
-        watch: crash_detection.CrashDetector,
+        crash_detector: crash_detection.CrashDetector,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.link = link
-        self.watch = watch
+        self.crash_detector = crash_detector
         self._news: dict[ids.Fingerprint, crash_notes.CrashNote] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
         self._turn = 0
-        watch.add_listener(self._add_news)
+        crash_detector.add_listener(self._add_news)
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -63,7 +63,7 @@
         """Let go of old notes, log changes, and choose what gossip carries now."""
         now = self.state.clock.now()
         self.known.expire(now)
-        self.watch.check_ended()
+        self.crash_detector.check_ended()
         self._take_changes(now)
         for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
             del self._recent_until[fingerprint]
