--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -15,7 +15,7 @@
 
 from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import balancer, quarantine, verdicts
-from spindlenotch.forwarding import jobs, recent_answers, try_marks
+from spindlenotch.forwarding import attempt_marks, jobs, recent_answers
 from spindlenotch.kernel import crash_notes, fingerprints, upstreams
 
 #: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
@@ -50,7 +50,7 @@
     """
 
     prints: fingerprints.Fingerprints
-    marks: try_marks.Marks
+    marks: attempt_marks.Marks
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
     kind: verdicts.Kind
@@ -83,7 +83,7 @@
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = try_marks.TryMarks(known)
+        self.marks = attempt_marks.TryMarks(known)
         self._losses_by_upstream: dict[ids.UpstreamId, list[Loss]] = {}
         #: Losses whose upstream seems to have ended, the oldest first.
         self._ended: collections.deque[Loss] = collections.deque()
