--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -16,7 +16,7 @@
 NO_MARKS: Marks = (quarantine.UNMARKED, quarantine.UNMARKED)
 
 
-class TryMarks:
+class AttemptMarks:
     """The marks of the tries under way, and the calls that have used up theirs."""
 
     def __init__(self, known: quarantine.Quarantine) -> None:
--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -83,7 +83,7 @@
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = attempt_marks.TryMarks(known)
+        self.marks = attempt_marks.AttemptMarks(known)
         self._losses_by_upstream: dict[ids.UpstreamId, list[Loss]] = {}
         #: Losses whose upstream seems to have ended, the oldest first.
         self._ended: collections.deque[Loss] = collections.deque()
