--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -11,7 +11,7 @@
 
 #: Marks of a try, in the order of ``Fingerprints.each``.
 Marks = tuple[quarantine.Mark, quarantine.Mark]
-TryKey = tuple[ids.CallId, ids.UpstreamId]
+AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
 NO_MARKS: Marks = (quarantine.UNMARKED, quarantine.UNMARKED)
 
@@ -21,7 +21,7 @@
 
     def __init__(self, known: quarantine.Quarantine) -> None:
         self.quarantine = known
-        self._marks_by_try: dict[TryKey, Marks] = {}
+        self._marks_by_try: dict[AttemptKey, Marks] = {}
         #: Calls that were lost with an upstream while they were suspect already.
         self._spent_calls: set[ids.CallId] = set()
 
@@ -57,5 +57,5 @@
         self._spent_calls.discard(call_id)
 
 
-def _key(grant: verdicts.Grant) -> TryKey:
+def _key(grant: verdicts.Grant) -> AttemptKey:
     return grant.call.id, grant.upstream.spec.id
