--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -21,7 +21,7 @@
 
     def __init__(self, known: quarantine.Quarantine) -> None:
         self.quarantine = known
-        self._marks_by_try: dict[AttemptKey, Marks] = {}
+        self._marks_by_attempt: dict[AttemptKey, Marks] = {}
         #: Calls that were lost with an upstream while they were suspect already.
         self._spent_calls: set[ids.CallId] = set()
 
@@ -30,11 +30,11 @@
         if self.quarantine.knows_target(job.target):
             content, from_caller = job.fingerprints().each()
             marks = (self.quarantine.mark(content), self.quarantine.mark(from_caller))
-            self._marks_by_try[_key(grant)] = marks
+            self._marks_by_attempt[_key(grant)] = marks
 
     def lost(self, grant: verdicts.Grant) -> Marks:
         """Return the marks of a try that broke off."""
-        marks = self._marks_by_try.get(_key(grant), NO_MARKS)
+        marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
         if any(mark.depth for mark in marks):
             self._spent_calls.add(grant.call.id)
         return marks
@@ -50,7 +50,7 @@
 
     def finished(self, grant: verdicts.Grant) -> None:
         """Drop what was kept of a try."""
-        self._marks_by_try.pop(_key(grant), None)
+        self._marks_by_attempt.pop(_key(grant), None)
 
     def forget(self, call_id: ids.CallId) -> None:
         """Drop what was kept of a call."""
