--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -23,7 +23,7 @@
         self.quarantine = known
         self._marks_by_attempt: dict[AttemptKey, Marks] = {}
         #: Calls that were lost with an upstream while they were suspect already.
-        self._spent_calls: set[ids.CallId] = set()
+        self._calls_without_retry: set[ids.CallId] = set()
 
     def sent(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Keep what is known of a request as a try of it is sent."""
@@ -36,7 +36,7 @@
         """Return the marks of a try that broke off."""
         marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
         if any(mark.depth for mark in marks):
-            self._spent_calls.add(grant.call.id)
+            self._calls_without_retry.add(grant.call.id)
         return marks
 
     def may_retry(self, call_id: ids.CallId) -> bool:
@@ -46,7 +46,7 @@
         Not where upstreams had ended under its request before it was sent: each retry
         of a request that ends what runs it costs one more.
         """
-        return call_id not in self._spent_calls
+        return call_id not in self._calls_without_retry
 
     def finished(self, grant: verdicts.Grant) -> None:
         """Drop what was kept of a try."""
@@ -54,7 +54,7 @@
 
     def forget(self, call_id: ids.CallId) -> None:
         """Drop what was kept of a call."""
-        self._spent_calls.discard(call_id)
+        self._calls_without_retry.discard(call_id)
 
 
 def _key(grant: verdicts.Grant) -> AttemptKey:
