--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -13,13 +13,13 @@
 from spindlenotch import clock, events, ids, metrics, ports
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
+    backpressure_events,
     classification,
     crash_detection,
     exchanges,
     granting,
     jobs,
     sending,
-    signal_events,
     trials,
 )
 from spindlenotch.kernel import outcomes, upstream_set, upstreams
@@ -262,7 +262,7 @@
             now=self.state.clock.now(),
         )
         service = self.job.balancer.service.name
-        signal_events.report(service, grant.upstream.spec.id, news)
+        backpressure_events.report(service, grant.upstream.spec.id, news)
         if answer.signals.is_leaving:
             self._note_drain(grant, upstream_set.SAID_LEAVING)
 
--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import events, ids
 from spindlenotch.decisions import balancer
-from spindlenotch.forwarding import signal_events
+from spindlenotch.forwarding import backpressure_events
 from spindlenotch.kernel import named_limit, upstreams
 
 
@@ -58,7 +58,7 @@
                 service=service,
                 upstream=upstream.spec.id,
                 count=limit.sent - told.sent,
-                limit_per_s=round(limit.per_s or 0.0, signal_events.RATE_DIGITS),
+                limit_per_s=round(limit.per_s or 0.0, backpressure_events.RATE_DIGITS),
                 window_s=named_limit.WINDOW.seconds,
             )
         told.sent = limit.sent
