--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -69,7 +69,7 @@
         self.crash_detector = crash_detector
         self.trials = trials
         self.on_drain_notice = on_drain_notice
-        self._grant_by_task: dict[sending.TryTask, verdicts.Grant] = {}
+        self._grant_by_task: dict[sending.AttemptTask, verdicts.Grant] = {}
         self._may_have_run = False
         self._ask_at = ids.Instant(0.0)
         self._reason = outcomes.Reason.NO_UPSTREAM
@@ -133,7 +133,7 @@
         self._start(hedge)
         return hedge
 
-    async def _end_try(self, task: sending.TryTask) -> exchanges.Exchange | None:
+    async def _end_try(self, task: sending.AttemptTask) -> exchanges.Exchange | None:
         """Judge a try that ended; return its answer if that is the request's."""
         grant = self._grant_by_task.pop(task)
         answer = task.result()
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -23,7 +23,7 @@
 CAUSE_BAD_ANSWER = "bad-answer"
 
 #: A try that is under way.
-TryTask = asyncio.Task[ports.UpstreamAnswer | ports.UpstreamFault]
+AttemptTask = asyncio.Task[ports.UpstreamAnswer | ports.UpstreamFault]
 
 
 class SendState(typing.Protocol):
@@ -45,7 +45,7 @@
 
     def start(
         self, job: jobs.Job, grant: verdicts.Grant, last_reason: outcomes.Reason
-    ) -> TryTask:
+    ) -> AttemptTask:
         """
         Start the try that ``grant`` allows.
 
