--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -42,7 +42,7 @@
     metrics: metrics.Metrics
 
 
-class Loss(msgspec.Struct, frozen=True):
+class LostRequest(msgspec.Struct, frozen=True):
     """
     A request whose connection to an upstream broke while it ran there.
 
@@ -84,9 +84,9 @@
         self.port = port
         self.quarantine = known
         self.marks = attempt_marks.AttemptMarks(known)
-        self._losses_by_upstream: dict[ids.UpstreamId, list[Loss]] = {}
+        self._losses_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Losses whose upstream seems to have ended, the oldest first.
-        self._ended: collections.deque[Loss] = collections.deque()
+        self._ended: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
         self._asking: set[asyncio.Task[None]] = set()
         self._listeners: list[NoteListener] = []
@@ -104,7 +104,7 @@
 
     def lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Take in that a try broke off after it was sent."""
-        loss = Loss(
+        loss = LostRequest(
             job.fingerprints(),
             self.marks.lost(grant),
             job.balancer,
@@ -159,7 +159,7 @@
         if liveness is ports.Liveness.GONE:
             self._take_end(losses)
 
-    def _take_end(self, losses: list[Loss]) -> None:
+    def _take_end(self, losses: list[LostRequest]) -> None:
         self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
         self._eject(losses[0])
         for loss in losses:
@@ -176,7 +176,7 @@
                 depth=self.quarantine.note(loss.prints.from_caller).depth,
             )
 
-    def _eject(self, loss: Loss) -> None:
+    def _eject(self, loss: LostRequest) -> None:
         """Take an upstream that has ended out of use, as its entry may stay."""
         now = self.state.clock.now()
         if loss.upstream.state not in (
@@ -185,7 +185,7 @@
         ):
             loss.balancer.pool.eject(loss.upstream, GONE, now)
 
-    def _strike(self, loss: Loss) -> None:
+    def _strike(self, loss: LostRequest) -> None:
         now = self.state.clock.now()
         for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
             upstream_id = loss.upstream.spec.id
@@ -204,5 +204,5 @@
             listener(note)
 
 
-def _has_reported_since(loss: Loss) -> bool:
+def _has_reported_since(loss: LostRequest) -> bool:
     return loss.upstream.report_at > loss.at + REPORT_ERROR_S
