--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -32,7 +32,7 @@
             marks = (self.quarantine.mark(content), self.quarantine.mark(from_caller))
             self._marks_by_attempt[_key(grant)] = marks
 
-    def lost(self, grant: verdicts.Grant) -> Marks:
+    def record_lost(self, grant: verdicts.Grant) -> Marks:
         """Return the marks of a try that broke off."""
         marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
         if any(mark.depth for mark in marks):
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -120,7 +120,7 @@
         if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
             return
         self._ask_at = ids.later(now, ASK_AGAIN_S)
-        self.crash_detector.lost(self.job, grant)
+        self.crash_detector.record_lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
         """Send a second copy if the newest try is overdue; return the newest."""
@@ -174,7 +174,7 @@
         if fault is ports.UpstreamFault.FOREIGN_ANSWER:
             self._record_foreign(grant)
         if fault is ports.UpstreamFault.CONNECTION_LOST:
-            self.crash_detector.lost(self.job, grant)
+            self.crash_detector.record_lost(self.job, grant)
         end = classification.classify_fault(fault)
         self._keep(end)
         self.grants.finish(self.job, grant, end.result, None)
--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -102,11 +102,11 @@
 
     # How a try ends
 
-    def lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
+    def record_lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Take in that a try broke off after it was sent."""
         loss = LostRequest(
             job.fingerprints(),
-            self.marks.lost(grant),
+            self.marks.record_lost(grant),
             job.balancer,
             grant.upstream,
             grant.kind,
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -37,7 +37,7 @@
             self.end(upstreams.Result.CANCELLED)
             raise
         if isinstance(piece, ports.UpstreamFault):
-            self.crash_detector.lost(self.job, self.grant)
+            self.crash_detector.record_lost(self.job, self.grant)
         elif not piece:
             self.crash_detector.answered(self.job)
         if not piece or isinstance(piece, ports.UpstreamFault):
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -18,7 +18,7 @@
             "decisions/quarantine.Quarantine.take_retrial",
             "kernel/fingerprints.of",
             "kernel/crash_notes.CrashNote.merged",
-            "forwarding/crash_detection.CrashDetector.lost",
+            "forwarding/crash_detection.CrashDetector.record_lost",
             "decisions/silence.seems_ended",
             "forwarding/recent_answers.RecentAnswers.holds",
             "forwarding/trials.Trials.admit",
