--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -234,7 +234,7 @@
         That is a try under way or, without one, a retry. Returns False where the
         error is the request's answer.
         """
-        self.crash_detector.answered(self.job)
+        self.crash_detector.record_answer(self.job)
         alone = not self._grant_by_task
         if alone and not await self._retry(exchange.grant, known_not_run=False):
             return False
--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -120,7 +120,7 @@
         if len(losses) == 1:
             self._begin_asking(grant.upstream.spec)
 
-    def answered(self, job: jobs.Job) -> None:
+    def record_answer(self, job: jobs.Job) -> None:
         """Take in that an upstream has answered a request: it did not end."""
         self._answers.add(job, self.state.clock.now())
         if self.quarantine.knows_target(job.target):
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -39,7 +39,7 @@
         if isinstance(piece, ports.UpstreamFault):
             self.crash_detector.record_lost(self.job, self.grant)
         elif not piece:
-            self.crash_detector.answered(self.job)
+            self.crash_detector.record_answer(self.job)
         if not piece or isinstance(piece, ports.UpstreamFault):
             self.end(classification.classify_body(self.answer, piece))
         return piece
