--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -25,7 +25,7 @@
         #: Calls that were lost with an upstream while they were suspect already.
         self._calls_without_retry: set[ids.CallId] = set()
 
-    def sent(self, job: jobs.Job, grant: verdicts.Grant) -> None:
+    def record_sent(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Keep what is known of a request as a try of it is sent."""
         if self.quarantine.knows_target(job.target):
             content, from_caller = job.fingerprints().each()
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -101,7 +101,7 @@
             self._cancel_rest()
 
     def _start(self, grant: verdicts.Grant) -> None:
-        self.crash_detector.marks.sent(self.job, grant)
+        self.crash_detector.marks.record_sent(self.job, grant)
         task = self.sender.start(self.job, grant, self._reason)
         self._grant_by_task[task] = grant
 
