--- a/spindlenotch/forwarding/attempt_marks.py
+++ b/spindlenotch/forwarding/attempt_marks.py
@@ -48,7 +48,7 @@
         """
         return call_id not in self._calls_without_retry
 
-    def finished(self, grant: verdicts.Grant) -> None:
+    def drop(self, grant: verdicts.Grant) -> None:
         """Drop what was kept of a try."""
         self._marks_by_attempt.pop(_key(grant), None)
 
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -73,7 +73,7 @@
     ) -> None:
         """Give a grant back, with how its try ended; the slot may go to a call here."""
         now = self.state.clock.now()
-        self.crash_detector.marks.finished(grant)
+        self.crash_detector.marks.drop(grant)
         self._settle(job.balancer.finish(grant, result, report, now))
 
     def _settle(self, settlements: list[verdicts.Settlement]) -> None:
