--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -128,7 +128,7 @@
 
     # What became of its upstream
 
-    def check_ended(self) -> None:
+    def clear_false_alarms(self) -> None:
         """
         Clear requests whose upstream has turned out to live; called now and then.
 
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -63,7 +63,7 @@
         """Let go of old notes, log changes, and choose what gossip carries now."""
         now = self.state.clock.now()
         self.known.expire(now)
-        self.crash_detector.check_ended()
+        self.crash_detector.clear_false_alarms()
         self._take_changes(now)
         for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
             del self._recent_until[fingerprint]
