--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -20,7 +20,7 @@
 
 #: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
 #: each, and a probe's work, 6 ms.
-ANSWER_LIMIT_S = 0.1
+LIVENESS_TIMEOUT_S = 0.1
 #: Seconds for which an upstream that seems to have ended may prove the contrary: its
 #: load reports come several times a second.
 PROOF_S = 2.0
@@ -150,7 +150,7 @@
     async def _ask(self, spec: upstreams.UpstreamSpec) -> None:
         liveness = ports.Liveness.SILENT
         try:
-            liveness = await self.port.liveness(spec.address, ANSWER_LIMIT_S)
+            liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
         finally:
             losses = self._losses_by_upstream.pop(spec.id)
             for loss in losses:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -40,7 +40,7 @@
             "decisions/quarantine.ANSWERED_S",
             "decisions/quarantine.MOST_KEPT",
             "forwarding/recent_answers.GENERATION_S",
-            "forwarding/crash_detection.ANSWER_LIMIT_S",
+            "forwarding/crash_detection.LIVENESS_TIMEOUT_S",
             "forwarding/attempts.ASK_AGAIN_S",
             "forwarding/crash_detection.PROOF_S",
             "forwarding/trials.TRIAL_S",
