--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -23,7 +23,7 @@
 LIVENESS_TIMEOUT_S = 0.1
 #: Seconds for which an upstream that seems to have ended may prove the contrary: its
 #: load reports come several times a second.
-PROOF_S = 2.0
+FALSE_ALARM_WINDOW_S = 2.0
 #: Seconds by which a later report's age may be off: what messages between gateways
 #: take.
 REPORT_ERROR_S = 0.05
@@ -135,7 +135,7 @@
         One that is overloaded may refuse connections for a moment, and still report.
         """
         now = self.state.clock.now()
-        while self._ended and self._ended[0].at <= now - PROOF_S:
+        while self._ended and self._ended[0].at <= now - FALSE_ALARM_WINDOW_S:
             self._ended.popleft()
         for loss in [one for one in self._ended if _has_reported_since(one)]:
             self._ended.remove(loss)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -42,7 +42,7 @@
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_detection.LIVENESS_TIMEOUT_S",
             "forwarding/attempts.ASK_AGAIN_S",
-            "forwarding/crash_detection.PROOF_S",
+            "forwarding/crash_detection.FALSE_ALARM_WINDOW_S",
             "forwarding/trials.TRIAL_S",
             "forwarding/trials.MOST_RETRY_AFTER_S",
             "gateway/quarantine/sharing.RECENT_S",
