--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -26,7 +26,7 @@
 FALSE_ALARM_WINDOW_S = 2.0
 #: Seconds by which a later report's age may be off: what messages between gateways
 #: take.
-REPORT_ERROR_S = 0.05
+REPORT_AGE_ERROR_S = 0.05
 
 #: Why an upstream that has ended is out of use.
 GONE = "gone"
@@ -205,4 +205,4 @@
 
 
 def _has_reported_since(loss: LostRequest) -> bool:
-    return loss.upstream.report_at > loss.at + REPORT_ERROR_S
+    return loss.upstream.report_at > loss.at + REPORT_AGE_ERROR_S
