--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -29,7 +29,7 @@
 REPORT_AGE_ERROR_S = 0.05
 
 #: Why an upstream that has ended is out of use.
-GONE = "gone"
+EJECTION_REASON = "gone"
 
 #: Called with each note that peers need to know.
 NoteListener = abc.Callable[[crash_notes.CrashNote], None]
@@ -183,7 +183,7 @@
             upstreams.State.EJECTED,
             upstreams.State.LEAVING,
         ):
-            loss.balancer.pool.eject(loss.upstream, GONE, now)
+            loss.balancer.pool.eject(loss.upstream, EJECTION_REASON, now)
 
     def _strike(self, loss: LostRequest) -> None:
         now = self.state.clock.now()
