--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -86,7 +86,7 @@
         self.marks = attempt_marks.AttemptMarks(known)
         self._losses_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Losses whose upstream seems to have ended, the oldest first.
-        self._ended: collections.deque[LostRequest] = collections.deque()
+        self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
         self._asking: set[asyncio.Task[None]] = set()
         self._listeners: list[NoteListener] = []
@@ -135,10 +135,13 @@
         One that is overloaded may refuse connections for a moment, and still report.
         """
         now = self.state.clock.now()
-        while self._ended and self._ended[0].at <= now - FALSE_ALARM_WINDOW_S:
-            self._ended.popleft()
-        for loss in [one for one in self._ended if _has_reported_since(one)]:
-            self._ended.remove(loss)
+        while (
+            self._recent_crashes
+            and self._recent_crashes[0].at <= now - FALSE_ALARM_WINDOW_S
+        ):
+            self._recent_crashes.popleft()
+        for loss in [one for one in self._recent_crashes if _has_reported_since(one)]:
+            self._recent_crashes.remove(loss)
             self._clear(loss.prints)
 
     def _begin_asking(self, spec: upstreams.UpstreamSpec) -> None:
@@ -163,7 +166,7 @@
         self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
         self._eject(losses[0])
         for loss in losses:
-            self._ended.append(loss)
+            self._recent_crashes.append(loss)
             self._strike(loss)
             events.emit(
                 events.Event.UPSTREAM_ENDED_UNDER_REQUEST,
