--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -88,7 +88,7 @@
         #: Losses whose upstream seems to have ended, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
-        self._asking: set[asyncio.Task[None]] = set()
+        self._liveness_checks: set[asyncio.Task[None]] = set()
         self._listeners: list[NoteListener] = []
 
     def add_listener(self, listener: NoteListener) -> None:
@@ -147,8 +147,8 @@
     def _begin_asking(self, spec: upstreams.UpstreamSpec) -> None:
         task = asyncio.ensure_future(self._ask(spec))
         # Kept, or asyncio might collect it before it has ended.
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._liveness_checks.add(task)
+        task.add_done_callback(self._liveness_checks.discard)
 
     async def _ask(self, spec: upstreams.UpstreamSpec) -> None:
         liveness = ports.Liveness.SILENT
