--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -118,7 +118,7 @@
         losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
         losses.append(loss)
         if len(losses) == 1:
-            self._begin_asking(grant.upstream.spec)
+            self._start_liveness_check(grant.upstream.spec)
 
     def record_answer(self, job: jobs.Job) -> None:
         """Take in that an upstream has answered a request: it did not end."""
@@ -144,7 +144,7 @@
             self._recent_crashes.remove(loss)
             self._clear(loss.prints)
 
-    def _begin_asking(self, spec: upstreams.UpstreamSpec) -> None:
+    def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
         task = asyncio.ensure_future(self._ask(spec))
         # Kept, or asyncio might collect it before it has ended.
         self._liveness_checks.add(task)
