--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -145,12 +145,12 @@
             self._clear(loss.prints)
 
     def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
-        task = asyncio.ensure_future(self._ask(spec))
+        task = asyncio.ensure_future(self._check_liveness(spec))
         # Kept, or asyncio might collect it before it has ended.
         self._liveness_checks.add(task)
         task.add_done_callback(self._liveness_checks.discard)
 
-    async def _ask(self, spec: upstreams.UpstreamSpec) -> None:
+    async def _check_liveness(self, spec: upstreams.UpstreamSpec) -> None:
         liveness = ports.Liveness.SILENT
         try:
             liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
