--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -160,9 +160,9 @@
                 for fingerprint in loss.suspects():
                     self.quarantine.settle(fingerprint)
         if liveness is ports.Liveness.GONE:
-            self._take_end(losses)
+            self._handle_crash(losses)
 
-    def _take_end(self, losses: list[LostRequest]) -> None:
+    def _handle_crash(self, losses: list[LostRequest]) -> None:
         self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
         self._eject(losses[0])
         for loss in losses:
