--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -167,7 +167,7 @@
         self._eject(losses[0])
         for loss in losses:
             self._recent_crashes.append(loss)
-            self._strike(loss)
+            self._record_crash(loss)
             events.emit(
                 events.Event.UPSTREAM_ENDED_UNDER_REQUEST,
                 service=loss.service,
@@ -188,7 +188,7 @@
         ):
             loss.balancer.pool.eject(loss.upstream, EJECTION_REASON, now)
 
-    def _strike(self, loss: LostRequest) -> None:
+    def _record_crash(self, loss: LostRequest) -> None:
         now = self.state.clock.now()
         for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
             upstream_id = loss.upstream.spec.id
