--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -62,7 +62,7 @@
         """Return the name of the upstream's service."""
         return self.balancer.service.name
 
-    def suspects(self) -> tuple[ids.Fingerprint, ...]:
+    def suspect_fingerprints(self) -> tuple[ids.Fingerprint, ...]:
         """Return the fingerprints that may be those of the cause."""
         return () if self.answered_lately else self.prints.each()
 
@@ -113,7 +113,7 @@
             self.state.clock.now(),
             self._answers.holds(job, self.state.clock.now()),
         )
-        for fingerprint in loss.suspects():
+        for fingerprint in loss.suspect_fingerprints():
             self.quarantine.doubt(fingerprint)
         losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
         losses.append(loss)
@@ -157,7 +157,7 @@
         finally:
             losses = self._losses_by_upstream.pop(spec.id)
             for loss in losses:
-                for fingerprint in loss.suspects():
+                for fingerprint in loss.suspect_fingerprints():
                     self.quarantine.settle(fingerprint)
         if liveness is ports.Liveness.GONE:
             self._handle_crash(losses)
@@ -190,7 +190,9 @@
 
     def _record_crash(self, loss: LostRequest) -> None:
         now = self.state.clock.now()
-        for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
+        for fingerprint, mark in zip(
+            loss.suspect_fingerprints(), loss.marks, strict=False
+        ):
             upstream_id = loss.upstream.spec.id
             if self.quarantine.strike(fingerprint, mark, upstream_id, now):
                 self._tell(fingerprint)
