--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -95,7 +95,7 @@
         """Call ``listener`` with each note that is news from here."""
         self._listeners.append(listener)
 
-    def tell(self, prints: fingerprints.Fingerprints) -> None:
+    def publish_notes(self, prints: fingerprints.Fingerprints) -> None:
         """Pass on what is known of a request."""
         for fingerprint in prints.each():
             self._tell(fingerprint)
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -100,7 +100,7 @@
     ) -> outcomes.Refusal | None:
         prints = job.fingerprints()
         if self.quarantine.take_retrial(prints, now):
-            self.crash_detector.tell(prints)
+            self.crash_detector.publish_notes(prints)
             self._begin(job, now, is_retrial=True)
         return self.refusal(job)
 
