--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -98,7 +98,7 @@
     def publish_notes(self, prints: fingerprints.Fingerprints) -> None:
         """Pass on what is known of a request."""
         for fingerprint in prints.each():
-            self._tell(fingerprint)
+            self._publish_note(fingerprint)
 
     # How a try ends
 
@@ -195,15 +195,15 @@
         ):
             upstream_id = loss.upstream.spec.id
             if self.quarantine.strike(fingerprint, mark, upstream_id, now):
-                self._tell(fingerprint)
+                self._publish_note(fingerprint)
 
     def _clear(self, prints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
         for fingerprint in prints.each():
             if self.quarantine.clear(fingerprint, now):
-                self._tell(fingerprint)
+                self._publish_note(fingerprint)
 
-    def _tell(self, fingerprint: ids.Fingerprint) -> None:
+    def _publish_note(self, fingerprint: ids.Fingerprint) -> None:
         note = self.quarantine.note(fingerprint)
         for listener in self._listeners:
             listener(note)
