--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -49,7 +49,7 @@
     Where it was answered lately it is not what ended the upstream.
     """
 
-    prints: fingerprints.Fingerprints
+    request_fingerprints: fingerprints.Fingerprints
     marks: attempt_marks.Marks
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
@@ -64,7 +64,7 @@
 
     def suspect_fingerprints(self) -> tuple[ids.Fingerprint, ...]:
         """Return the fingerprints that may be those of the cause."""
-        return () if self.answered_lately else self.prints.each()
+        return () if self.answered_lately else self.request_fingerprints.each()
 
 
 class CrashDetector:
@@ -95,9 +95,9 @@
         """Call ``listener`` with each note that is news from here."""
         self._listeners.append(listener)
 
-    def publish_notes(self, prints: fingerprints.Fingerprints) -> None:
+    def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         """Pass on what is known of a request."""
-        for fingerprint in prints.each():
+        for fingerprint in request_fingerprints.each():
             self._publish_note(fingerprint)
 
     # How a try ends
@@ -142,7 +142,7 @@
             self._recent_crashes.popleft()
         for loss in [one for one in self._recent_crashes if _has_reported_since(one)]:
             self._recent_crashes.remove(loss)
-            self._clear(loss.prints)
+            self._clear(loss.request_fingerprints)
 
     def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
         task = asyncio.ensure_future(self._check_liveness(spec))
@@ -172,11 +172,11 @@
                 events.Event.UPSTREAM_ENDED_UNDER_REQUEST,
                 service=loss.service,
                 upstream=loss.upstream.spec.id,
-                fingerprint=loss.prints.content,
-                from_caller=loss.prints.from_caller,
+                fingerprint=loss.request_fingerprints.content,
+                from_caller=loss.request_fingerprints.from_caller,
                 kind=loss.kind.value,
                 answered_lately=int(loss.answered_lately),
-                depth=self.quarantine.note(loss.prints.from_caller).depth,
+                depth=self.quarantine.note(loss.request_fingerprints.from_caller).depth,
             )
 
     def _eject(self, loss: LostRequest) -> None:
@@ -197,9 +197,9 @@
             if self.quarantine.strike(fingerprint, mark, upstream_id, now):
                 self._publish_note(fingerprint)
 
-    def _clear(self, prints: fingerprints.Fingerprints) -> None:
+    def _clear(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
-        for fingerprint in prints.each():
+        for fingerprint in request_fingerprints.each():
             if self.quarantine.clear(fingerprint, now):
                 self._publish_note(fingerprint)
 
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -87,20 +87,20 @@
         """Return the refusal of a request that is quarantined; None where it is not."""
         if self.standing(job) is not quarantine.Standing.QUARANTINED:
             return None
-        prints = job.fingerprints()
-        trial = self._trial_by_content.get(prints.content)
+        request_fingerprints = job.fingerprints()
+        trial = self._trial_by_content.get(request_fingerprints.content)
         if trial is not None and trial.is_retrial and trial.call == job.call.id:
             return None
         latest = ids.later(self.state.clock.now(), MOST_RETRY_AFTER_S)
-        until = min(latest, self.quarantine.until(prints))
+        until = min(latest, self.quarantine.until(request_fingerprints))
         return outcomes.not_run(outcomes.Reason.QUARANTINED, until)
 
     def _retry_or_refuse(
         self, job: jobs.Job, now: ids.Instant
     ) -> outcomes.Refusal | None:
-        prints = job.fingerprints()
-        if self.quarantine.take_retrial(prints, now):
-            self.crash_detector.publish_notes(prints)
+        request_fingerprints = job.fingerprints()
+        if self.quarantine.take_retrial(request_fingerprints, now):
+            self.crash_detector.publish_notes(request_fingerprints)
             self._begin(job, now, is_retrial=True)
         return self.refusal(job)
 
