--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -26,7 +26,7 @@
 
 #: Seconds after which an upstream that is not heard of is asked again whether it is
 #: there, as it may run a request long before it ends, and ends without a reset.
-ASK_AGAIN_S = 0.5
+LIVENESS_RECHECK_S = 0.5
 #: Why an upstream gets no new work that turned a request away since it is draining.
 SAID_DRAINING = "said it is draining"
 
@@ -119,7 +119,7 @@
         now = self.state.clock.now()
         if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
             return
-        self._ask_at = ids.later(now, ASK_AGAIN_S)
+        self._ask_at = ids.later(now, LIVENESS_RECHECK_S)
         self.crash_detector.record_lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -41,7 +41,7 @@
             "decisions/quarantine.MOST_KEPT",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_detection.LIVENESS_TIMEOUT_S",
-            "forwarding/attempts.ASK_AGAIN_S",
+            "forwarding/attempts.LIVENESS_RECHECK_S",
             "forwarding/crash_detection.FALSE_ALARM_WINDOW_S",
             "forwarding/trials.TRIAL_S",
             "forwarding/trials.MOST_RETRY_AFTER_S",
