--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -71,7 +71,7 @@
         self.on_drain_notice = on_drain_notice
         self._grant_by_task: dict[sending.AttemptTask, verdicts.Grant] = {}
         self._may_have_run = False
-        self._ask_at = ids.Instant(0.0)
+        self._next_liveness_check_at = ids.Instant(0.0)
         self._reason = outcomes.Reason.NO_UPSTREAM
         self._retry_after_s: float | None = None
 
@@ -117,9 +117,11 @@
     def _ask_after(self, grant: verdicts.Grant) -> None:
         """Find out, now and then, whether an upstream has ended without a sign."""
         now = self.state.clock.now()
-        if now < self._ask_at or not self.job.balancer.seems_ended(grant, now):
+        if now < self._next_liveness_check_at or not self.job.balancer.seems_ended(
+            grant, now
+        ):
             return
-        self._ask_at = ids.later(now, LIVENESS_RECHECK_S)
+        self._next_liveness_check_at = ids.later(now, LIVENESS_RECHECK_S)
         self.crash_detector.record_lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
