--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -90,7 +90,7 @@
                     self._may_have_run = True
                     return self._refusal(outcomes.Reason.DEADLINE_PASSED)
                 if not done:
-                    self._ask_after(newest)
+                    self._check_liveness(newest)
                     newest = self._hedge(newest)
                 for task in done:
                     exchange = await self._end_try(task)
@@ -114,7 +114,7 @@
     def _deadline_passed(self) -> bool:
         return self.state.clock.now() >= self.job.call.deadline
 
-    def _ask_after(self, grant: verdicts.Grant) -> None:
+    def _check_liveness(self, grant: verdicts.Grant) -> None:
         """Find out, now and then, whether an upstream has ended without a sign."""
         now = self.state.clock.now()
         if now < self._next_liveness_check_at or not self.job.balancer.seems_ended(
