--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -140,7 +140,7 @@
         grant = self._grant_by_task.pop(task)
         answer = task.result()
         if isinstance(answer, ports.UpstreamFault):
-            await self._end_with_fault(grant, self._told_apart(answer))
+            await self._end_with_fault(grant, self._refine_fault(answer))
             return None
         if answer.draining:
             self._note_drain(grant, SAID_DRAINING)
@@ -164,7 +164,7 @@
             exchange.end(upstreams.Result.CANCELLED)
             raise
 
-    def _told_apart(self, fault: ports.UpstreamFault) -> ports.UpstreamFault:
+    def _refine_fault(self, fault: ports.UpstreamFault) -> ports.UpstreamFault:
         """Tell what was not sent too late from what its upstream wants no more."""
         if fault is ports.UpstreamFault.TOO_LATE and not self._deadline_passed():
             return ports.UpstreamFault.WITHDRAWN
