--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -178,7 +178,7 @@
         if fault is ports.UpstreamFault.CONNECTION_LOST:
             self.crash_detector.record_lost(self.job, grant)
         end = classification.classify_fault(fault)
-        self._keep(end)
+        self._record_outcome(end)
         self.grants.finish(self.job, grant, end.result, None)
         await self._retry(grant, known_not_run=not end.may_have_run)
 
@@ -186,13 +186,13 @@
         self, grant: verdicts.Grant, answer: ports.UpstreamAnswer
     ) -> None:
         answer.abandon()
-        self._keep(classification.SHED)
+        self._record_outcome(classification.SHED)
         if answer.signals.rest_s is None:
             self._retry_after_s = answer.retry_after_s
         self.grants.finish(self.job, grant, classification.SHED.result, answer.report)
         await self._retry(grant, known_not_run=True)
 
-    def _keep(self, end: classification.AttemptOutcome) -> None:
+    def _record_outcome(self, end: classification.AttemptOutcome) -> None:
         """Keep what an ended try adds to the refusal that may follow."""
         self._may_have_run |= end.may_have_run
         if end.reason is not None:
@@ -240,7 +240,7 @@
         alone = not self._grant_by_task
         if alone and not await self._retry(exchange.grant, known_not_run=False):
             return False
-        self._keep(classification.FAILED_ANSWER)
+        self._record_outcome(classification.FAILED_ANSWER)
         exchange.end(classification.FAILED_ANSWER.result)
         return True
 
