--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -93,7 +93,7 @@
                     self._check_liveness(newest)
                     newest = self._hedge(newest)
                 for task in done:
-                    exchange = await self._end_try(task)
+                    exchange = await self._finish_attempt(task)
                     if exchange is not None:
                         return exchange
             return self._refusal(self._reason)
@@ -135,7 +135,9 @@
         self._start(hedge)
         return hedge
 
-    async def _end_try(self, task: sending.AttemptTask) -> exchanges.Exchange | None:
+    async def _finish_attempt(
+        self, task: sending.AttemptTask
+    ) -> exchanges.Exchange | None:
         """Judge a try that ended; return its answer if that is the request's."""
         grant = self._grant_by_task.pop(task)
         answer = task.result()
