--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -142,7 +142,7 @@
         grant = self._grant_by_task.pop(task)
         answer = task.result()
         if isinstance(answer, ports.UpstreamFault):
-            await self._end_with_fault(grant, self._refine_fault(answer))
+            await self._finish_with_fault(grant, self._refine_fault(answer))
             return None
         if answer.draining:
             self._note_drain(grant, SAID_DRAINING)
@@ -172,7 +172,7 @@
             return ports.UpstreamFault.WITHDRAWN
         return fault
 
-    async def _end_with_fault(
+    async def _finish_with_fault(
         self, grant: verdicts.Grant, fault: ports.UpstreamFault
     ) -> None:
         if fault is ports.UpstreamFault.FOREIGN_ANSWER:
