--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -149,7 +149,7 @@
         end = classification.classify_answer(answer)
         self._take_signals(grant, answer, end)
         if end is classification.SHED:
-            await self._end_shed(grant, answer)
+            await self._finish_shed(grant, answer)
             return None
         exchange = exchanges.Exchange(
             self.grants, self.crash_detector, self.job, grant, answer
@@ -184,7 +184,7 @@
         self.grants.finish(self.job, grant, end.result, None)
         await self._retry(grant, known_not_run=not end.may_have_run)
 
-    async def _end_shed(
+    async def _finish_shed(
         self, grant: verdicts.Grant, answer: ports.UpstreamAnswer
     ) -> None:
         answer.abandon()
