--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -214,14 +214,14 @@
         """Return the grant of a retry if the body, the balancer and trials allow it."""
         if not self.job.body_is_whole:
             return None
-        if not known_not_run and not await self._may_risk_another():
+        if not known_not_run and not await self._may_retry_suspect():
             return None
         if self.trials.refusal(self.job) is not None:
             return None
         now = self.state.clock.now()
         return self.job.balancer.retry(failed, now, known_not_run=known_not_run)
 
-    async def _may_risk_another(self) -> bool:
+    async def _may_retry_suspect(self) -> bool:
         """Tell whether a request that may end what runs it gets another upstream."""
         if self.trials.standing(self.job) is quarantine.Standing.CLEAR:
             return True
