--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -145,7 +145,7 @@
             await self._finish_with_fault(grant, self._refine_fault(answer))
             return None
         if answer.draining:
-            self._note_drain(grant, SAID_DRAINING)
+            self._mark_draining(grant, SAID_DRAINING)
         end = classification.classify_answer(answer)
         self._take_signals(grant, answer, end)
         if end is classification.SHED:
@@ -246,7 +246,7 @@
         exchange.end(classification.FAILED_ANSWER.result)
         return True
 
-    def _note_drain(self, grant: verdicts.Grant, reason: str) -> None:
+    def _mark_draining(self, grant: verdicts.Grant, reason: str) -> None:
         service = self.job.balancer.service.name
         left_now = self.state.leave_upstream(service, grant.upstream.spec, reason)
         if left_now and self.on_drain_notice is not None:
@@ -268,7 +268,7 @@
         service = self.job.balancer.service.name
         backpressure_events.report(service, grant.upstream.spec.id, news)
         if answer.signals.is_leaving:
-            self._note_drain(grant, upstream_set.SAID_LEAVING)
+            self._mark_draining(grant, upstream_set.SAID_LEAVING)
 
     def _record_foreign(self, grant: verdicts.Grant) -> None:
         service = self.job.balancer.service.name
