--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -147,7 +147,7 @@
         if answer.draining:
             self._mark_draining(grant, SAID_DRAINING)
         end = classification.classify_answer(answer)
-        self._take_signals(grant, answer, end)
+        self._apply_signals(grant, answer, end)
         if end is classification.SHED:
             await self._finish_shed(grant, answer)
             return None
@@ -252,7 +252,7 @@
         if left_now and self.on_drain_notice is not None:
             self.on_drain_notice()
 
-    def _take_signals(
+    def _apply_signals(
         self,
         grant: verdicts.Grant,
         answer: ports.UpstreamAnswer,
