--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -98,7 +98,7 @@
                         return exchange
             return self._refusal(self._reason)
         finally:
-            self._cancel_rest()
+            self._cancel_remaining()
 
     def _start(self, grant: verdicts.Grant) -> None:
         self.crash_detector.marks.record_sent(self.job, grant)
@@ -297,7 +297,7 @@
         room_at = self.job.balancer.room_at(self.job.call, now)
         return max(room_at, ids.later(now, self._retry_after_s or 0.0))
 
-    def _cancel_rest(self) -> None:
+    def _cancel_remaining(self) -> None:
         for task, grant in self._grant_by_task.items():
             if task.done() and not task.cancelled():
                 answer = task.result()
