--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -83,7 +83,7 @@
             while self._grant_by_task:
                 done, _ = await asyncio.wait(
                     self._grant_by_task,
-                    timeout=self._check_in_s(newest),
+                    timeout=self._check_delay_s(newest),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if self._deadline_passed():
@@ -105,7 +105,7 @@
         task = self.sender.start(self.job, grant, self._reason)
         self._grant_by_task[task] = grant
 
-    def _check_in_s(self, newest: verdicts.Grant) -> float:
+    def _check_delay_s(self, newest: verdicts.Grant) -> float:
         """Return the seconds until the newest try is looked at again."""
         now = self.state.clock.now()
         check = self.job.balancer.next_check(newest, now)
