--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -69,7 +69,7 @@
         settled = self.decider.settle(now)
         settled += self.decider.give_up(now)
         self._take(settled)
-        due_in_s = granting.check_in_s([self.decider], now)
+        due_in_s = granting.queue_check_delay_s([self.decider], now)
         self._check_at = ids.later(now, due_in_s + self._rng.random() * TIMER_LATE_S)
 
     def _end(self, now: ids.Instant) -> None:
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -22,7 +22,9 @@
 Verdict = verdicts.Grant | outcomes.Refusal
 
 
-def check_in_s(deciders: abc.Iterable[balancer.Balancer], now: ids.Instant) -> float:
+def queue_check_delay_s(
+    deciders: abc.Iterable[balancer.Balancer], now: ids.Instant
+) -> float:
     """
     Return in how many seconds the queues are to be checked again.
 
@@ -108,7 +110,7 @@
         if self._queue_check is None:
             loop = asyncio.get_running_loop()
             deciders = self.state.balancer_by_service.values()
-            delay_s = check_in_s(deciders, self.state.clock.now())
+            delay_s = queue_check_delay_s(deciders, self.state.clock.now())
             self._queue_check = loop.call_later(delay_s, self._check_queues)
 
     def _check_queues(self) -> None:
