--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -187,7 +187,7 @@
             "decisions/queueing.LEAST_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
             "kernel/waiting.OLDEST_FIRST_EVERY",
-            "forwarding/granting.QUEUE_CHECK_S",
+            "forwarding/granting.MAX_QUEUE_CHECK_S",
             "forwarding/granting.LEAST_CHECK_S",
         ),
         events=("REQUEST_REFUSED",),
