--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -17,7 +17,7 @@
 #: How often the queues are checked at least while calls wait, in seconds.
 MAX_QUEUE_CHECK_S = 0.02
 #: Least seconds between two checks of the queues.
-LEAST_CHECK_S = 0.001
+MIN_QUEUE_CHECK_S = 0.001
 
 Verdict = verdicts.Grant | outcomes.Refusal
 
@@ -33,7 +33,7 @@
     """
     turns = [decider.next_turn(now) for decider in deciders]
     due_in_s = [turn - now for turn in turns if turn > now]
-    return max(LEAST_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
+    return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
 
 class GrantState(typing.Protocol):
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -188,7 +188,7 @@
             "decisions/queueing.TURN_RESERVE_S",
             "kernel/waiting.OLDEST_FIRST_EVERY",
             "forwarding/granting.MAX_QUEUE_CHECK_S",
-            "forwarding/granting.LEAST_CHECK_S",
+            "forwarding/granting.MIN_QUEUE_CHECK_S",
         ),
         events=("REQUEST_REFUSED",),
         tests=(
