--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -23,7 +23,7 @@
 
 
 def queue_check_delay_s(
-    deciders: abc.Iterable[balancer.Balancer], now: ids.Instant
+    balancers: abc.Iterable[balancer.Balancer], now: ids.Instant
 ) -> float:
     """
     Return in how many seconds the queues are to be checked again.
@@ -31,7 +31,7 @@
     A turn that is taken late makes all later ones late: calls that were let wait for
     theirs would be refused after all.
     """
-    turns = [decider.next_turn(now) for decider in deciders]
+    turns = [decider.next_turn(now) for decider in balancers]
     due_in_s = [turn - now for turn in turns if turn > now]
     return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
@@ -109,8 +109,8 @@
     def _schedule_queue_check(self) -> None:
         if self._queue_check is None:
             loop = asyncio.get_running_loop()
-            deciders = self.state.balancer_by_service.values()
-            delay_s = queue_check_delay_s(deciders, self.state.clock.now())
+            balancers = self.state.balancer_by_service.values()
+            delay_s = queue_check_delay_s(balancers, self.state.clock.now())
             self._queue_check = loop.call_later(delay_s, self._check_queues)
 
     def _check_queues(self) -> None:
