--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -31,7 +31,7 @@
     A turn that is taken late makes all later ones late: calls that were let wait for
     theirs would be refused after all.
     """
-    turns = [decider.next_turn(now) for decider in balancers]
+    turns = [service_balancer.next_turn(now) for service_balancer in balancers]
     due_in_s = [turn - now for turn in turns if turn > now]
     return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
@@ -116,9 +116,9 @@
     def _check_queues(self) -> None:
         self._queue_check = None
         now = self.state.clock.now()
-        for decider in self.state.balancer_by_service.values():
-            if len(decider.queue):
-                self._settle(decider.settle(now))
-                self._settle(decider.give_up(now))
+        for service_balancer in self.state.balancer_by_service.values():
+            if len(service_balancer.queue):
+                self._settle(service_balancer.settle(now))
+                self._settle(service_balancer.give_up(now))
         if self._future_by_call:
             self._schedule_queue_check()
