--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -19,7 +19,7 @@
 
 #: Seconds after which the next call may be tried beside one that takes long: a request
 #: that ended upstreams did so within 0.15 s, and a slow one must not hold up others.
-TRIAL_S = 0.5
+EXCLUSIVE_TRIAL_S = 0.5
 #: Most seconds after which callers of a quarantined request are told to come back: it
 #: may be released at any time, and a refusal costs little.
 MOST_RETRY_AFTER_S = 60.0
@@ -48,8 +48,8 @@
     """
     The trials of one process, by the content of the request.
 
-    Invariant: of a suspect request one call in ``TRIAL_S`` is admitted, or one when the
-    one before has left.
+    Invariant: of a suspect request one call per ``EXCLUSIVE_TRIAL_S`` is admitted, or
+    one when the call before it has ended.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
     def _begin(
         self, job: jobs.Job, now: ids.Instant, *, is_retrial: bool = False
     ) -> None:
-        until = ids.later(now, TRIAL_S)
+        until = ids.later(now, EXCLUSIVE_TRIAL_S)
         content = job.fingerprints().content
         trial = Trial(job.call.id, until, asyncio.Event(), is_retrial)
         self._trial_by_content[content] = trial
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -43,7 +43,7 @@
             "forwarding/crash_detection.LIVENESS_TIMEOUT_S",
             "forwarding/attempts.LIVENESS_RECHECK_S",
             "forwarding/crash_detection.FALSE_ALARM_WINDOW_S",
-            "forwarding/trials.TRIAL_S",
+            "forwarding/trials.EXCLUSIVE_TRIAL_S",
             "forwarding/trials.MOST_RETRY_AFTER_S",
             "gateway/quarantine/sharing.RECENT_S",
             "gateway/quarantine/writer.MOST_WAIT_S",
