--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -22,7 +22,7 @@
 EXCLUSIVE_TRIAL_S = 0.5
 #: Most seconds after which callers of a quarantined request are told to come back: it
 #: may be released at any time, and a refusal costs little.
-MOST_RETRY_AFTER_S = 60.0
+MAX_RETRY_AFTER_S = 60.0
 #: Seconds between two looks of a call that waits: an upstream that was asked whether it
 #: is there answers within some milliseconds, and ends the wait.
 CHECK_S = 0.02
@@ -91,7 +91,7 @@
         trial = self._trial_by_content.get(request_fingerprints.content)
         if trial is not None and trial.is_retrial and trial.call == job.call.id:
             return None
-        latest = ids.later(self.state.clock.now(), MOST_RETRY_AFTER_S)
+        latest = ids.later(self.state.clock.now(), MAX_RETRY_AFTER_S)
         until = min(latest, self.quarantine.until(request_fingerprints))
         return outcomes.not_run(outcomes.Reason.QUARANTINED, until)
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -44,7 +44,7 @@
             "forwarding/attempts.LIVENESS_RECHECK_S",
             "forwarding/crash_detection.FALSE_ALARM_WINDOW_S",
             "forwarding/trials.EXCLUSIVE_TRIAL_S",
-            "forwarding/trials.MOST_RETRY_AFTER_S",
+            "forwarding/trials.MAX_RETRY_AFTER_S",
             "gateway/quarantine/sharing.RECENT_S",
             "gateway/quarantine/writer.MOST_WAIT_S",
         ),
