--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -25,7 +25,7 @@
 MAX_RETRY_AFTER_S = 60.0
 #: Seconds between two looks of a call that waits: an upstream that was asked whether it
 #: is there answers within some milliseconds, and ends the wait.
-CHECK_S = 0.02
+TRIAL_CHECK_INTERVAL_S = 0.02
 
 
 class TrialState(typing.Protocol):
@@ -80,7 +80,7 @@
             wait_until = min(job.call.wait_until, job.call.deadline)
             if wait_until <= now:
                 return outcomes.not_run(outcomes.Reason.ON_TRIAL, trial.until)
-            await _wait(trial, min(CHECK_S, wait_until - now))
+            await _wait(trial, min(TRIAL_CHECK_INTERVAL_S, wait_until - now))
         return None
 
     def refusal(self, job: jobs.Job) -> outcomes.Refusal | None:
