--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -98,7 +98,7 @@
                 return refusal
             return await self._attempts(job).run(verdict)
         finally:
-            self._trials.leave(job)
+            self._trials.end_trial(job)
 
     async def again(
         self, job: jobs.Job, failed: verdicts.Grant
@@ -114,7 +114,7 @@
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
             return await self._attempts(job).run(grant)
         finally:
-            self._trials.leave(job)
+            self._trials.end_trial(job)
 
     def _attempts(self, job: jobs.Job) -> attempts.Attempts:
         return attempts.Attempts(
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -113,7 +113,7 @@
         self._trial_by_content[content] = trial
         self._content_by_call[job.call.id] = content
 
-    def leave(self, job: jobs.Job) -> None:
+    def end_trial(self, job: jobs.Job) -> None:
         """End a call's trial, if it is on one: others may follow."""
         content = self._content_by_call.pop(job.call.id, None)
         if content is None:
