--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -75,7 +75,7 @@
                 return self._retry_or_refuse(job, now)
             trial = self._trial_by_content.get(job.fingerprints().content)
             if trial is None or trial.until <= now or trial.call == job.call.id:
-                self._begin(job, now)
+                self._start_trial(job, now)
                 return None
             wait_until = min(job.call.wait_until, job.call.deadline)
             if wait_until <= now:
@@ -101,10 +101,10 @@
         request_fingerprints = job.fingerprints()
         if self.quarantine.take_retrial(request_fingerprints, now):
             self.crash_detector.publish_notes(request_fingerprints)
-            self._begin(job, now, is_retrial=True)
+            self._start_trial(job, now, is_retrial=True)
         return self.refusal(job)
 
-    def _begin(
+    def _start_trial(
         self, job: jobs.Job, now: ids.Instant, *, is_retrial: bool = False
     ) -> None:
         until = ids.later(now, EXCLUSIVE_TRIAL_S)
