--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -35,11 +35,11 @@
 
 
 class Trial(msgspec.Struct):
-    """The call that tries a request; ``over`` is set when it has ended."""
+    """The call that tries a request; ``ended`` is set when it has ended."""
 
     call: ids.CallId
     until: ids.Instant
-    over: asyncio.Event
+    ended: asyncio.Event
     #: The one more try that a quarantined request gets.
     is_retrial: bool = False
 
@@ -121,13 +121,13 @@
         trial = self._trial_by_content.get(content)
         if trial is not None and trial.call == job.call.id:
             del self._trial_by_content[content]
-            trial.over.set()
+            trial.ended.set()
 
 
 async def _wait(trial: Trial, limit_s: float) -> None:
     try:
         async with asyncio.timeout(limit_s):
-            await trial.over.wait()
+            await trial.ended.wait()
     except TimeoutError:
         # The caller looks at how things stand then.
         return
