--- a/spindlenotch/forwarding/crash_detection.py
+++ b/spindlenotch/forwarding/crash_detection.py
@@ -111,7 +111,7 @@
             grant.upstream,
             grant.kind,
             self.state.clock.now(),
-            self._answers.holds(job, self.state.clock.now()),
+            self._answers.contains(job, self.state.clock.now()),
         )
         for fingerprint in loss.suspect_fingerprints():
             self.quarantine.doubt(fingerprint)
--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -31,7 +31,7 @@
             self._turn(now)
         self._new.add(_key(job))
 
-    def holds(self, job: jobs.Job, now: ids.Instant) -> bool:
+    def contains(self, job: jobs.Job, now: ids.Instant) -> bool:
         """Tell whether the same request was answered lately."""
         if now >= self._turns_at:
             self._turn(now)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -20,7 +20,7 @@
             "kernel/crash_notes.CrashNote.merged",
             "forwarding/crash_detection.CrashDetector.record_lost",
             "decisions/silence.seems_ended",
-            "forwarding/recent_answers.RecentAnswers.holds",
+            "forwarding/recent_answers.RecentAnswers.contains",
             "forwarding/trials.Trials.admit",
             "gateway/quarantine/writer.QuarantineWriter.look",
         ),
