--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -28,17 +28,17 @@
     def add(self, job: jobs.Job, now: ids.Instant) -> None:
         """Take in that a request was answered."""
         if now >= self._turns_at:
-            self._turn(now)
+            self._rotate(now)
         self._new.add(_key(job))
 
     def contains(self, job: jobs.Job, now: ids.Instant) -> bool:
         """Tell whether the same request was answered lately."""
         if now >= self._turns_at:
-            self._turn(now)
+            self._rotate(now)
         key = _key(job)
         return key in self._new or key in self._old
 
-    def _turn(self, now: ids.Instant) -> None:
+    def _rotate(self, now: ids.Instant) -> None:
         is_long_ago = now >= self._turns_at + GENERATION_S
         self._old = set() if is_long_ago else self._new
         self._new = set()
