--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -23,26 +23,26 @@
     def __init__(self) -> None:
         self._new: set[int] = set()
         self._old: set[int] = set()
-        self._turns_at = ids.Instant(float("-inf"))
+        self._rotate_at = ids.Instant(float("-inf"))
 
     def add(self, job: jobs.Job, now: ids.Instant) -> None:
         """Take in that a request was answered."""
-        if now >= self._turns_at:
+        if now >= self._rotate_at:
             self._rotate(now)
         self._new.add(_key(job))
 
     def contains(self, job: jobs.Job, now: ids.Instant) -> bool:
         """Tell whether the same request was answered lately."""
-        if now >= self._turns_at:
+        if now >= self._rotate_at:
             self._rotate(now)
         key = _key(job)
         return key in self._new or key in self._old
 
     def _rotate(self, now: ids.Instant) -> None:
-        is_long_ago = now >= self._turns_at + GENERATION_S
+        is_long_ago = now >= self._rotate_at + GENERATION_S
         self._old = set() if is_long_ago else self._new
         self._new = set()
-        self._turns_at = ids.later(now, GENERATION_S)
+        self._rotate_at = ids.later(now, GENERATION_S)
 
 
 def _key(job: jobs.Job) -> int:
