--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -14,7 +14,7 @@
 #: harmless for ten more at most.
 GENERATION_S = 5.0
 #: Bytes of a body that tell it apart here; hashing them takes some 10 microseconds.
-BODY_BYTES = 16 * 1024
+HASHED_BODY_BYTES = 16 * 1024
 
 
 class RecentAnswers:
@@ -49,4 +49,4 @@
     """Return what tells requests apart in this process; cheaper than a fingerprint."""
     body = job.body if isinstance(job.body, bytes) else b""
     size = len(body) + job.streamed_bytes
-    return hash((job.method, job.target, job.caller, size, body[:BODY_BYTES]))
+    return hash((job.method, job.target, job.caller, size, body[:HASHED_BODY_BYTES]))
