--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -14,7 +14,7 @@
 
 #: Taken off the time that the upstream is given, so that its answer can still get back
 #: before the deadline, in seconds.
-RETURN_TIME_S = 0.002
+RESPONSE_TRANSIT_S = 0.002
 #: Least time that an upstream is given, in seconds: the header that carries it
 #: counts whole milliseconds.
 LEAST_TIME_S = 0.001
@@ -62,7 +62,7 @@
         """Return what goes to the upstream of ``grant``."""
         steady_clock = self.state.clock
         deadline = job.call.deadline
-        left_s = max(LEAST_TIME_S, deadline - steady_clock.now() - RETURN_TIME_S)
+        left_s = max(LEAST_TIME_S, deadline - steady_clock.now() - RESPONSE_TRANSIT_S)
         labels = self.label(job, grant, left_s)
         return ports.UpstreamRequest(
             address=grant.upstream.spec.address,
