--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -17,7 +17,7 @@
 RESPONSE_TRANSIT_S = 0.002
 #: Least time that an upstream is given, in seconds: the header that carries it
 #: counts whole milliseconds.
-LEAST_TIME_S = 0.001
+MIN_TIMEOUT_S = 0.001
 #: Causes of another try that are no reason of a refusal.
 CAUSE_OVERDUE = "overdue"
 CAUSE_BAD_ANSWER = "bad-answer"
@@ -62,7 +62,7 @@
         """Return what goes to the upstream of ``grant``."""
         steady_clock = self.state.clock
         deadline = job.call.deadline
-        left_s = max(LEAST_TIME_S, deadline - steady_clock.now() - RESPONSE_TRANSIT_S)
+        left_s = max(MIN_TIMEOUT_S, deadline - steady_clock.now() - RESPONSE_TRANSIT_S)
         labels = self.label(job, grant, left_s)
         return ports.UpstreamRequest(
             address=grant.upstream.spec.address,
