--- a/spindlenotch/entry/once_runs.py
+++ b/spindlenotch/entry/once_runs.py
@@ -37,7 +37,7 @@
         task: asyncio.Task[Result] = asyncio.ensure_future(self._carry_out(job, key))
         self._task_by_key[key] = task
         task.add_done_callback(lambda _: self._task_by_key.pop(key, None))
-        if not job.body_is_whole:
+        if not job.is_body_buffered:
             # A body that still streams in dies with its connection, so only a
             # request that is here in full can outlive its caller.
             return await task
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -212,7 +212,7 @@
         self, failed: verdicts.Grant, *, known_not_run: bool
     ) -> verdicts.Grant | None:
         """Return the grant of a retry if the body, the balancer and trials allow it."""
-        if not self.job.body_is_whole:
+        if not self.job.is_body_buffered:
             return None
         if not known_not_run and not await self._may_retry_suspect():
             return None
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -63,7 +63,7 @@
         return fingerprints.of(content, self.caller)
 
     @property
-    def body_is_whole(self) -> bool:
+    def is_body_buffered(self) -> bool:
         """Tell whether the body is here in full, so that it can be sent again."""
         return self.body is None or isinstance(self.body, bytes)
 
