--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -15,7 +15,7 @@
 from spindlenotch.kernel import fingerprints, waiting
 
 
-class Labels(msgspec.Struct, frozen=True):
+class AttemptHeaders(msgspec.Struct, frozen=True):
     """
     The headers that are set anew for one try, and the id it goes by.
 
@@ -73,10 +73,10 @@
 
 
 #: Names one try of a job, given the seconds that are left for its answer.
-Labeller = abc.Callable[[Job, verdicts.Grant, float], Labels]
+Labeller = abc.Callable[[Job, verdicts.Grant, float], AttemptHeaders]
 
 
-def own_labels(job: Job, grant: verdicts.Grant, left_s: float) -> Labels:
+def own_labels(job: Job, grant: verdicts.Grant, left_s: float) -> AttemptHeaders:
     """Name a try as the product's own protocol does; ``left_s`` is in seconds."""
     request_id = f"{job.call.id}.{grant.kind.value}"
     own_headers = [
@@ -86,4 +86,4 @@
     ]
     if grant.kind is not verdicts.Kind.FIRST or not job.call.repeatable:
         own_headers.append((headers.NO_RETRY, "1"))
-    return Labels(request_id, own_headers)
+    return AttemptHeaders(request_id, own_headers)
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -204,15 +204,17 @@
 
 def labels(
     gateway_dialect: dialect.Dialect,
-) -> abc.Callable[[jobs.Job, verdicts.Grant, float], jobs.Labels]:
+) -> abc.Callable[[jobs.Job, verdicts.Grant, float], jobs.AttemptHeaders]:
     """Return the function that sets the headers of each try in that dialect."""
 
-    def label(job: jobs.Job, grant: verdicts.Grant, left_s: float) -> jobs.Labels:
+    def label(
+        job: jobs.Job, grant: verdicts.Grant, left_s: float
+    ) -> jobs.AttemptHeaders:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
         left_ms = max(LEAST_TIME_LEFT_MS, int(left_s * 1000))
         extra = [(gateway_dialect.deadline_ms, str(left_ms))]
         if gateway_dialect.expect_upstream is not None:
             extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
-        return jobs.Labels(request_id, extra)
+        return jobs.AttemptHeaders(request_id, extra)
 
     return label
