--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -50,7 +50,7 @@
         self,
         state: PathState,
         port: ports.UpstreamPort,
-        label: jobs.Labeller = jobs.own_labels,
+        label: jobs.AttemptHeadersFactory = jobs.own_labels,
         on_drain_notice: abc.Callable[[], None] | None = None,
         known: quarantine.Quarantine | None = None,
     ) -> None:
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -73,7 +73,7 @@
 
 
 #: Names one try of a job, given the seconds that are left for its answer.
-Labeller = abc.Callable[[Job, verdicts.Grant, float], AttemptHeaders]
+AttemptHeadersFactory = abc.Callable[[Job, verdicts.Grant, float], AttemptHeaders]
 
 
 def own_labels(job: Job, grant: verdicts.Grant, left_s: float) -> AttemptHeaders:
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -37,7 +37,10 @@
     """Sends tries through one upstream port."""
 
     def __init__(
-        self, state: SendState, port: ports.UpstreamPort, label: jobs.Labeller
+        self,
+        state: SendState,
+        port: ports.UpstreamPort,
+        label: jobs.AttemptHeadersFactory,
     ) -> None:
         self.state = state
         self.port = port
