--- a/features/steps/gateway_rests.py
+++ b/features/steps/gateway_rests.py
@@ -87,7 +87,9 @@
     )
     state = typing.cast(typing.Any, types.SimpleNamespace(clock=Clock()))
     port = typing.cast(typing.Any, None)
-    request = sending.Sender(state, port, jobs.own_labels).request(job, grant)
+    request = sending.Sender(state, port, jobs.native_attempt_headers).request(
+        job, grant
+    )
     assert request.may_send()
     taken(grant.upstream, backpressure.Signals(rest_s=REST_S))
     assert not request.may_send()
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -50,7 +50,7 @@
         self,
         state: PathState,
         port: ports.UpstreamPort,
-        label: jobs.AttemptHeadersFactory = jobs.own_labels,
+        label: jobs.AttemptHeadersFactory = jobs.native_attempt_headers,
         on_drain_notice: abc.Callable[[], None] | None = None,
         known: quarantine.Quarantine | None = None,
     ) -> None:
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -76,7 +76,9 @@
 AttemptHeadersFactory = abc.Callable[[Job, verdicts.Grant, float], AttemptHeaders]
 
 
-def own_labels(job: Job, grant: verdicts.Grant, left_s: float) -> AttemptHeaders:
+def native_attempt_headers(
+    job: Job, grant: verdicts.Grant, left_s: float
+) -> AttemptHeaders:
     """Name a try as the product's own protocol does; ``left_s`` is in seconds."""
     request_id = f"{job.call.id}.{grant.kind.value}"
     own_headers = [
