--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -88,7 +88,7 @@
             refusal = await self._trials.admit(job)
             if refusal is not None:
                 return refusal
-            verdict = await self._grants.take(job)
+            verdict = await self._grants.acquire(job)
             if isinstance(verdict, outcomes.Refusal):
                 return verdict
             # It may have become known while the request waited for its grant.
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -59,7 +59,7 @@
         self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
         self._queue_check: asyncio.TimerHandle | None = None
 
-    async def take(self, job: jobs.Job) -> Verdict:
+    async def acquire(self, job: jobs.Job) -> Verdict:
         """Get a new request its first grant, waiting in the queue if need be."""
         offered = job.balancer.offer(job.call, self.state.clock.now())
         if isinstance(offered, verdicts.Waiting):
