--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -77,7 +77,7 @@
 
     async def begin(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """
-        Do the same for a request that may go on with ``again``.
+        Do the same for a request that may go on with ``retry``.
 
         The caller ends it with ``forget``: until then the tries of the call count
         together.
@@ -100,7 +100,7 @@
         finally:
             self._trials.end_trial(job)
 
-    async def again(
+    async def retry(
         self, job: jobs.Job, failed: verdicts.Grant
     ) -> exchanges.Exchange | outcomes.Refusal:
         """
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -125,7 +125,7 @@
                 return self._pass_on(request, exchange, answer)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-            exchange = await self.path.again(job, exchange.grant)
+            exchange = await self.path.retry(job, exchange.grant)
         return exchange
 
     def _pass_on(
