--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -239,8 +239,10 @@
         error is the request's answer.
         """
         self.crash_detector.record_answer(self.job)
-        alone = not self._grant_by_task
-        if alone and not await self._retry(exchange.grant, known_not_run=False):
+        no_other_attempt = not self._grant_by_task
+        if no_other_attempt and not await self._retry(
+            exchange.grant, known_not_run=False
+        ):
             return False
         self._record_outcome(classification.FAILED_ANSWER)
         exchange.end(classification.FAILED_ANSWER.result)
