--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -261,14 +261,14 @@
         end: classification.AttemptOutcome,
     ) -> None:
         """Take in what an answer says of how much its upstream will take."""
-        news = grant.upstream.backpressure.take(
+        changes = grant.upstream.backpressure.take(
             answer.signals,
             sent_at=grant.sent_at,
             is_whole=end is classification.GOOD_ANSWER,
             now=self.state.clock.now(),
         )
         service = self.job.balancer.service.name
-        backpressure_events.report(service, grant.upstream.spec.id, news)
+        backpressure_events.report(service, grant.upstream.spec.id, changes)
         if answer.signals.is_leaving:
             self._mark_draining(grant, upstream_set.SAID_LEAVING)
 
--- a/spindlenotch/forwarding/backpressure_events.py
+++ b/spindlenotch/forwarding/backpressure_events.py
@@ -16,10 +16,10 @@
 def report(
     service: ids.ServiceName,
     upstream: ids.UpstreamId,
-    news: abc.Iterable[backpressure.News],
+    changes: abc.Iterable[backpressure.News],
 ) -> None:
     """Log what an answer of an upstream has changed."""
-    for one in news:
+    for one in changes:
         match one.change:
             case backpressure.Change.LIMITED:
                 events.emit(
