--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -37,7 +37,7 @@
     """
     Carries the requests of one process.
 
-    ``label`` names each try in the upstreams' protocol. ``on_drain_notice`` is
+    ``make_headers`` names each try in the upstreams' protocol. ``on_drain_notice`` is
     called when an answer shows that an upstream is draining and this process
     did not know; None where the process announces that by itself. ``known`` are the
     requests that end upstreams; those that this path meets where none are passed in.
@@ -50,7 +50,7 @@
         self,
         state: PathState,
         port: ports.UpstreamPort,
-        label: jobs.AttemptHeadersFactory = jobs.native_attempt_headers,
+        make_headers: jobs.AttemptHeadersFactory = jobs.native_attempt_headers,
         on_drain_notice: abc.Callable[[], None] | None = None,
         known: quarantine.Quarantine | None = None,
     ) -> None:
@@ -61,7 +61,7 @@
         self.crash_detector = crash_detection.CrashDetector(state, port, known)
         self._trials = trials.Trials(state, self.crash_detector)
         self._grants = granting.Grants(state, self.crash_detector)
-        self._sender = sending.Sender(state, port, label)
+        self._sender = sending.Sender(state, port, make_headers)
 
     async def dispatch(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """Get a request its answer's head, or a final refusal."""
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -40,11 +40,11 @@
         self,
         state: SendState,
         port: ports.UpstreamPort,
-        label: jobs.AttemptHeadersFactory,
+        make_headers: jobs.AttemptHeadersFactory,
     ) -> None:
         self.state = state
         self.port = port
-        self.label = label
+        self.make_headers = make_headers
 
     def start(
         self, job: jobs.Job, grant: verdicts.Grant, last_reason: outcomes.Reason
@@ -66,7 +66,7 @@
         steady_clock = self.state.clock
         deadline = job.call.deadline
         left_s = max(MIN_TIMEOUT_S, deadline - steady_clock.now() - RESPONSE_TRANSIT_S)
-        labels = self.label(job, grant, left_s)
+        labels = self.make_headers(job, grant, left_s)
         return ports.UpstreamRequest(
             address=grant.upstream.spec.address,
             method=job.method,
