--- a/features/support/recorded_logs.py
+++ b/features/support/recorded_logs.py
@@ -20,7 +20,7 @@
 from features.support import recorded_gateway
 from spindlenotch import events, ids, ports
 from spindlenotch.decisions import verdicts
-from spindlenotch.forwarding import crash_detection, exchanges, granting, jobs
+from spindlenotch.forwarding import crash_watch, exchanges, granting, jobs
 from spindlenotch.gateway import log_sink
 from spindlenotch.gateway.serving import request_log
 from spindlenotch.kernel import outcomes, waiting
@@ -124,7 +124,7 @@
     grant = verdicts.Grant(call, upstream, verdicts.Kind.RETRY, now, 2.5)
     answer = typing.cast(ports.UpstreamAnswer, types.SimpleNamespace(status=503))
     grants = typing.cast(granting.Grants, None)
-    crash_detector = typing.cast(crash_detection.CrashDetector, None)
+    crash_detector = typing.cast(crash_watch.CrashDetector, None)
     exchange = exchanges.Exchange(grants, crash_detector, job, grant, answer)
     log = request_log.RequestLog(state)
     log.served(_sampled(), job, exchange)
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -15,7 +15,7 @@
 from spindlenotch.forwarding import (
     backpressure_events,
     classification,
-    crash_detection,
+    crash_watch,
     exchanges,
     granting,
     jobs,
@@ -58,7 +58,7 @@
         state: UpstreamState,
         grants: granting.Grants,
         sender: sending.Sender,
-        crash_detector: crash_detection.CrashDetector,
+        crash_detector: crash_watch.CrashDetector,
         trials: trials.Trials,
         on_drain_notice: abc.Callable[[], None] | None,
     ) -> None:
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -14,7 +14,7 @@
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import (
     attempts,
-    crash_detection,
+    crash_watch,
     exchanges,
     granting,
     jobs,
@@ -27,7 +27,7 @@
 class PathState(
     granting.GrantState,
     attempts.UpstreamState,
-    crash_detection.DetectorState,
+    crash_watch.DetectorState,
     typing.Protocol,
 ):
     """What the data path needs of the process that it runs in."""
@@ -58,7 +58,7 @@
         self.port = port
         self._on_drain_notice = on_drain_notice
         known = quarantine.Quarantine() if known is None else known
-        self.crash_detector = crash_detection.CrashDetector(state, port, known)
+        self.crash_detector = crash_watch.CrashDetector(state, port, known)
         self._trials = trials.Trials(state, self.crash_detector)
         self._grants = granting.Grants(state, self.crash_detector)
         self._sender = sending.Sender(state, port, make_headers)
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import ports
 from spindlenotch.decisions import verdicts
-from spindlenotch.forwarding import classification, crash_detection, granting, jobs
+from spindlenotch.forwarding import classification, crash_watch, granting, jobs
 from spindlenotch.kernel import upstreams
 
 
@@ -23,7 +23,7 @@
     """
 
     grants: granting.Grants
-    crash_detector: crash_detection.CrashDetector
+    crash_detector: crash_watch.CrashDetector
     job: jobs.Job
     grant: verdicts.Grant
     answer: ports.UpstreamAnswer
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import clock, ids
 from spindlenotch.decisions import balancer, verdicts
-from spindlenotch.forwarding import crash_detection, jobs
+from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes, upstreams
 
 #: How often the queues are checked at least while calls wait, in seconds.
@@ -52,7 +52,7 @@
     """
 
     def __init__(
-        self, state: GrantState, crash_detector: crash_detection.CrashDetector
+        self, state: GrantState, crash_detector: crash_watch.CrashDetector
     ) -> None:
         self.state = state
         self.crash_detector = crash_detector
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -14,7 +14,7 @@
 
 from spindlenotch import clock, ids
 from spindlenotch.decisions import quarantine
-from spindlenotch.forwarding import crash_detection, jobs
+from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes
 
 #: Seconds after which the next call may be tried beside one that takes long: a request
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, state: TrialState, crash_detector: crash_detection.CrashDetector
+        self, state: TrialState, crash_detector: crash_watch.CrashDetector
     ) -> None:
         self.state = state
         self.crash_detector = crash_detector
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -4,7 +4,7 @@
 Each news goes at once to the gateways that get callers, of other regions too, and for
 some seconds with all gossip; that a request is quarantined goes to everyone, from those
 that found it out. After that one note goes with each message in turn, so that who was
-cut off or has started learns all of them. Relies on ``forwarding.crash_detection``
+cut off or has started learns all of them. Relies on ``forwarding.crash_watch``
 for what this gateway sees itself.
 """
 
@@ -12,7 +12,7 @@
 
 from spindlenotch import events, ids
 from spindlenotch.decisions import quarantine
-from spindlenotch.forwarding import crash_detection
+from spindlenotch.forwarding import crash_watch
 from spindlenotch.gateway import state
 from spindlenotch.gateway.cluster import fleet
 from spindlenotch.kernel import crash_notes
@@ -35,7 +35,7 @@
         gateway_state: state.GatewayState,
         gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
-        crash_detector: crash_detection.CrashDetector,
+        crash_detector: crash_watch.CrashDetector,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
