--- a/spindlenotch/forwarding/__init__.py
+++ b/spindlenotch/forwarding/__init__.py
@@ -1,3 +1,3 @@
 """
-Carrying out one request: tries at upstreams over a port, under the kernel.
+Forwards requests to upstreams: attempts, retries, hedging and crash detection.
 """
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -1,9 +1,9 @@
 """
-The tries of one request, from its first grant to an answer or a refusal.
+The attempts of one request, from its first grant to an answer or a refusal.
 
-Starts the first try, hedges one that is overdue, retries one that failed, and
-passes on the first good head. What the end of a try means is judged by
-``classification``; whether another may follow is up to the balancer.
+Starts the first attempt, hedges an overdue one, retries a failed one, and returns the
+first answer whose head is good. ``classification`` classifies the result of an attempt;
+the balancer decides whether another attempt may follow.
 """
 
 import asyncio
@@ -24,15 +24,16 @@
 )
 from spindlenotch.kernel import outcomes, upstream_set, upstreams
 
-#: Seconds after which an upstream that is not heard of is asked again whether it is
-#: there, as it may run a request long before it ends, and ends without a reset.
+#: Seconds between two liveness checks of an upstream that has gone silent, as it may
+#: crash long after the request was sent, and without a connection reset.
 LIVENESS_RECHECK_S = 0.5
-#: Why an upstream gets no new work that turned a request away since it is draining.
+#: Logged reason for sending no new requests to an upstream whose answer said that it is
+#: draining.
 SAID_DRAINING = "said it is draining"
 
 
 class UpstreamState(typing.Protocol):
-    """What a race needs of the process that it runs in."""
+    """The process state that the attempts of a request use."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
@@ -40,15 +41,15 @@
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Give an upstream no new work; tell whether it had work until now."""
+        """Stop sending an upstream new requests; tell whether it got any before."""
 
 
 class Attempts:
     """
-    The tries of one request; the first good head wins.
+    The attempts of one request; the first answer whose head is good is used.
 
-    Invariants: ``_grant_by_task`` holds the tries under way; the grant of
-    every other try is finished, or held by the exchange that was returned.
+    Invariants: ``_grant_by_task`` holds the attempts in flight; the grant of
+    every other attempt is finished, or held by the exchange that was returned.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self._retry_after_s: float | None = None
 
     async def run(self, first: verdicts.Grant) -> exchanges.Exchange | outcomes.Refusal:
-        """Send the first try and those that follow from it."""
+        """Send the first attempt, and the hedges and retries that follow."""
         newest = first
         self._start(first)
         try:
@@ -106,7 +107,7 @@
         self._grant_by_task[task] = grant
 
     def _check_delay_s(self, newest: verdicts.Grant) -> float:
-        """Return the seconds until the newest try is looked at again."""
+        """Return the seconds until the newest attempt is checked again."""
         now = self.state.clock.now()
         check = self.job.balancer.next_check(newest, now)
         return max(0.0, min(check, self.job.call.deadline) - now)
@@ -115,7 +116,7 @@
         return self.state.clock.now() >= self.job.call.deadline
 
     def _check_liveness(self, grant: verdicts.Grant) -> None:
-        """Find out, now and then, whether an upstream has ended without a sign."""
+        """Start a periodic check whether a silent upstream has crashed."""
         now = self.state.clock.now()
         if now < self._next_liveness_check_at or not self.job.balancer.seems_ended(
             grant, now
@@ -125,9 +126,9 @@
         self.crash_detector.record_lost(self.job, grant)
 
     def _hedge(self, newest: verdicts.Grant) -> verdicts.Grant:
-        """Send a second copy if the newest try is overdue; return the newest."""
+        """Send a hedge if the newest attempt is overdue; return the newest grant."""
         if self.trials.standing(self.job) is not quarantine.Standing.CLEAR:
-            # Of a request that ends what runs it each copy costs an upstream.
+            # If the request crashes upstreams, each copy costs one more.
             return newest
         hedge = self.job.balancer.hedge(newest, self.state.clock.now())
         if hedge is None:
@@ -138,7 +139,7 @@
     async def _finish_attempt(
         self, task: sending.AttemptTask
     ) -> exchanges.Exchange | None:
-        """Judge a try that ended; return its answer if that is the request's."""
+        """Process the result of an attempt; return its answer if it is final."""
         grant = self._grant_by_task.pop(task)
         answer = task.result()
         if isinstance(answer, ports.UpstreamFault):
@@ -159,7 +160,7 @@
         return exchange
 
     async def _is_replaced(self, exchange: exchanges.Exchange) -> bool:
-        """Do as ``_replace``; end the exchange where the caller leaves meanwhile."""
+        """Call ``_replace``; end the exchange if the caller disconnects meanwhile."""
         try:
             return await self._replace(exchange)
         except asyncio.CancelledError:
@@ -167,7 +168,7 @@
             raise
 
     def _refine_fault(self, fault: ports.UpstreamFault) -> ports.UpstreamFault:
-        """Tell what was not sent too late from what its upstream wants no more."""
+        """Distinguish a passed deadline from an upstream that takes no requests now."""
         if fault is ports.UpstreamFault.TOO_LATE and not self._deadline_passed():
             return ports.UpstreamFault.WITHDRAWN
         return fault
@@ -195,13 +196,13 @@
         await self._retry(grant, known_not_run=True)
 
     def _record_outcome(self, end: classification.AttemptOutcome) -> None:
-        """Keep what an ended try adds to the refusal that may follow."""
+        """Record what an attempt adds to the refusal that may follow."""
         self._may_have_run |= end.may_have_run
         if end.reason is not None:
             self._reason = end.reason
 
     async def _retry(self, grant: verdicts.Grant, *, known_not_run: bool) -> bool:
-        """Send a failed try again if that is allowed; tell whether it was."""
+        """Retry a failed attempt if that is allowed; tell whether it was."""
         retry = await self.next_grant(grant, known_not_run=known_not_run)
         if retry is None:
             return False
@@ -211,7 +212,7 @@
     async def next_grant(
         self, failed: verdicts.Grant, *, known_not_run: bool
     ) -> verdicts.Grant | None:
-        """Return the grant of a retry if the body, the balancer and trials allow it."""
+        """Return the grant of a retry if body, balancer and trials allow one."""
         if not self.job.is_body_buffered:
             return None
         if not known_not_run and not await self._may_retry_suspect():
@@ -222,7 +223,7 @@
         return self.job.balancer.retry(failed, now, known_not_run=known_not_run)
 
     async def _may_retry_suspect(self) -> bool:
-        """Tell whether a request that may end what runs it gets another upstream."""
+        """Tell whether a retry is allowed if the request may crash its upstream."""
         if self.trials.standing(self.job) is quarantine.Standing.CLEAR:
             return True
         if self._grant_by_task or not self.crash_detector.marks.may_retry(
@@ -233,10 +234,10 @@
 
     async def _replace(self, exchange: exchanges.Exchange) -> bool:
         """
-        Drop a server error if another try may still do better.
+        Drop a server error if another attempt may still succeed.
 
-        That is a try under way or, without one, a retry. Returns False where the
-        error is the request's answer.
+        That is an attempt in flight or, if there is none, a retry. Returns False if the
+        error is the request's final answer.
         """
         self.crash_detector.record_answer(self.job)
         no_other_attempt = not self._grant_by_task
@@ -260,7 +261,7 @@
         answer: ports.UpstreamAnswer,
         end: classification.AttemptOutcome,
     ) -> None:
-        """Take in what an answer says of how much its upstream will take."""
+        """Apply the backpressure signals of an answer to its upstream."""
         changes = grant.upstream.backpressure.take(
             answer.signals,
             sent_at=grant.sent_at,
@@ -290,10 +291,10 @@
 
     def _room_at(self) -> ids.Instant:
         """
-        Return when the caller may come back.
+        Return when the caller may send the request again.
 
-        What one upstream asked of this process says nothing of the others: as long as
-        they have room, the caller need not wait for that one.
+        A retry delay that one upstream asked of this process does not apply to the
+        others: while they have capacity, the caller need not wait for that one.
         """
         now = self.state.clock.now()
         room_at = self.job.balancer.room_at(self.job.call, now)
--- a/spindlenotch/forwarding/backpressure_events.py
+++ b/spindlenotch/forwarding/backpressure_events.py
@@ -1,7 +1,7 @@
 """
-Log events for what upstreams say with their answers of how much they will take.
+Logs the backpressure signals that upstreams send with their answers.
 
-Relies on ``kernel.backpressure`` for which of it is news.
+Relies on ``kernel.backpressure`` to tell which signals are a change.
 """
 
 from collections import abc
@@ -9,7 +9,7 @@
 from spindlenotch import events, ids
 from spindlenotch.kernel import backpressure
 
-#: Digits behind the point of what is told: a rate, seconds.
+#: Decimal places of logged rates and seconds.
 RATE_DIGITS = 2
 
 
@@ -18,7 +18,7 @@
     upstream: ids.UpstreamId,
     changes: abc.Iterable[backpressure.News],
 ) -> None:
-    """Log what an answer of an upstream has changed."""
+    """Log the changes that an answer of an upstream has made."""
     for one in changes:
         match one.change:
             case backpressure.Change.LIMITED:
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -1,9 +1,9 @@
 """
-What the end of one try says of its request.
+Classifies the results of attempts.
 
-The one place that decides whether a try was answered, positively did not run
-or may have run, which reason a refusal then gives, and what the balancer
-learns of the upstream. Pure: no input or output, no clock.
+The only place that decides whether an attempt was answered, definitely did not run or
+may have run, which reason a refusal then gives, and which result the balancer records
+for the upstream. Pure: no input or output, no clock.
 """
 
 import msgspec
@@ -14,12 +14,12 @@
 
 class AttemptOutcome(msgspec.Struct, frozen=True):
     """
-    The judgement of one try that has ended.
+    The classified result of one attempt.
 
-    ``result`` is what the balancer learns. ``may_have_run`` is false only
-    where it is positively known that the try did not run and never will.
-    ``reason`` is what the request is refused with if no other try does
-    better; None leaves the reason of the try before.
+    ``result`` is what the balancer records. ``may_have_run`` is false only if
+    it is certain that the attempt did not run and never will. ``reason`` is
+    what the request is refused with if no other attempt succeeds; None leaves
+    the reason of the attempt before.
     """
 
     result: upstreams.Result
@@ -27,16 +27,16 @@
     reason: outcomes.Reason | None
 
 
-#: A try that ended without the head of an answer, by the fault. Only three of
-#: the faults are found before the first byte of the request is sent.
+#: Outcome of an attempt that got no answer head, by its fault. Only three of
+#: the faults occur before the first byte of the request is sent.
 OUTCOME_BY_FAULT = {
     ports.UpstreamFault.CONNECT_FAILED: AttemptOutcome(
         upstreams.Result.CONNECT_FAILED,
         may_have_run=False,
         reason=outcomes.Reason.CONNECT_FAILED,
     ),
-    # The deadline passed before the request was written: no fault of the
-    # upstream.
+    # The deadline passed before the request was written, which is not the
+    # upstream's fault.
     ports.UpstreamFault.TOO_LATE: AttemptOutcome(
         upstreams.Result.CANCELLED,
         may_have_run=False,
@@ -57,7 +57,7 @@
         may_have_run=True,
         reason=outcomes.Reason.FOREIGN_ANSWER,
     ),
-    # Only probes end this way today; for a request it would promise nothing.
+    # Only probes get this fault today; a request that got it may have run.
     ports.UpstreamFault.DRAINING: AttemptOutcome(
         upstreams.Result.FAILED,
         may_have_run=True,
@@ -65,7 +65,7 @@
     ),
 }
 
-#: The upstream answered that it has not run the request.
+#: The upstream answered that it did not run the request.
 SHED = AttemptOutcome(
     upstreams.Result.SHED,
     may_have_run=False,
@@ -78,12 +78,12 @@
 
 
 def classify_fault(fault: ports.UpstreamFault) -> AttemptOutcome:
-    """Judge a try that gave no head of an answer."""
+    """Classify an attempt that got no answer head."""
     return OUTCOME_BY_FAULT[fault]
 
 
 def classify_answer(answer: ports.UpstreamAnswer) -> AttemptOutcome:
-    """Judge a try by the head of its answer, as if its body were complete."""
+    """Classify an attempt by its answer head, as if the body were complete."""
     if answer.not_run:
         return SHED
     if answer.status >= outcomes.FIRST_FAILED_STATUS:
@@ -95,9 +95,9 @@
     answer: ports.UpstreamAnswer, last_piece: bytes | ports.UpstreamFault
 ) -> upstreams.Result:
     """
-    Judge a try by the end of its answer's body.
+    Classify an attempt by the end of its answer's body.
 
-    An answer counts as whole only with the empty piece that ends its body.
+    An answer is complete only with the empty chunk that ends its body.
     """
     if isinstance(last_piece, ports.UpstreamFault):
         return upstreams.Result.FAILED
@@ -113,10 +113,10 @@
     room_at: ids.Instant,
 ) -> outcomes.Refusal:
     """
-    Refuse a request none of whose tries was answered.
+    Return the refusal of a request none of whose attempts was answered.
 
-    ``room_at`` is when another may find room. A request whose deadline passed gets
-    no instant to ask again: the same request would be too late again.
+    ``room_at`` is when there may be capacity for a request. A request whose deadline
+    has passed gets no retry time: it would be too late again.
     """
     retry_at = None
     if reason is not outcomes.Reason.DEADLINE_PASSED:
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -1,9 +1,10 @@
 """
-Finds out whether an upstream ended while it ran a request, and what that tells of it.
+Detects upstreams that crash while running a request.
 
-A connection that breaks tells nothing of the process behind it. So the upstream is
-asked at once over a new connection, once for all requests that broke off there; until
-that is settled they are in doubt. What follows is decided in ``decisions.quarantine``.
+A broken connection does not tell whether the process behind it has crashed. The
+upstream's liveness is therefore checked at once over a new connection, with one check
+for all requests that lost their connection to it. Until the check ends, these requests
+are suspect. ``decisions.quarantine`` decides what follows from a crash.
 """
 
 import asyncio
@@ -18,25 +19,25 @@
 from spindlenotch.forwarding import jobs, recent_answers, try_marks
 from spindlenotch.kernel import crash_notes, fingerprints, upstreams
 
-#: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
-#: each, and a probe's work, 6 ms.
+#: Timeout of a liveness check, in seconds: several round trips between regions, 16 ms
+#: each, and the 6 ms that an upstream needs to answer a probe.
 LIVENESS_TIMEOUT_S = 0.1
-#: Seconds for which an upstream that seems to have ended may prove the contrary: its
-#: load reports come several times a second.
+#: Seconds after an apparent crash in which a load report from the upstream revokes it:
+#: a live upstream sends several load reports per second.
 FALSE_ALARM_WINDOW_S = 2.0
-#: Seconds by which a later report's age may be off: what messages between gateways
-#: take.
+#: Error of a later load report's age, in seconds: the delay of messages between
+#: gateways.
 REPORT_AGE_ERROR_S = 0.05
 
-#: Why an upstream that has ended is out of use.
+#: Logged reason for ejecting a crashed upstream.
 EJECTION_REASON = "gone"
 
-#: Called with each note that peers need to know.
+#: Called with each crash note that must be sent to peers.
 NoteListener = abc.Callable[[crash_notes.CrashNote], None]
 
 
 class DetectorState(typing.Protocol):
-    """What the watch needs of the process that it runs in."""
+    """The process state that the crash detector uses."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
@@ -46,7 +47,7 @@
     """
     A request whose connection to an upstream broke while it ran there.
 
-    Where it was answered lately it is not what ended the upstream.
+    A request that was ``answered_lately`` is not suspected of causing the crash.
     """
 
     request_fingerprints: fingerprints.Fingerprints
@@ -63,15 +64,16 @@
         return self.balancer.service.name
 
     def suspect_fingerprints(self) -> tuple[ids.Fingerprint, ...]:
-        """Return the fingerprints that may be those of the cause."""
+        """Return the fingerprints of this request if it may have caused the crash."""
         return () if self.answered_lately else self.request_fingerprints.each()
 
 
 class CrashDetector:
     """
-    The upstreams that were lost under requests of one process.
+    Tracks requests of one process that lost their upstream while running.
 
-    Invariant: each request that broke off is in doubt until its upstream was asked.
+    Invariant: a request that lost its connection stays suspect until the liveness check
+    of its upstream has ended.
     """
 
     def __init__(
@@ -85,25 +87,25 @@
         self.quarantine = known
         self.marks = try_marks.AttemptMarks(known)
         self._losses_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
-        #: Losses whose upstream seems to have ended, the oldest first.
+        #: Lost requests whose upstream appears to have crashed, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
         self._liveness_checks: set[asyncio.Task[None]] = set()
         self._listeners: list[NoteListener] = []
 
     def add_listener(self, listener: NoteListener) -> None:
-        """Call ``listener`` with each note that is news from here."""
+        """Call ``listener`` with each note that is changed by this process."""
         self._listeners.append(listener)
 
     def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
-        """Pass on what is known of a request."""
+        """Pass the crash notes of a request to the listeners."""
         for fingerprint in request_fingerprints.each():
             self._publish_note(fingerprint)
 
-    # How a try ends
+    # Results of attempts
 
     def record_lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
-        """Take in that a try broke off after it was sent."""
+        """Record that an attempt lost its connection after it was sent."""
         loss = LostRequest(
             job.fingerprints(),
             self.marks.record_lost(grant),
@@ -121,18 +123,19 @@
             self._start_liveness_check(grant.upstream.spec)
 
     def record_answer(self, job: jobs.Job) -> None:
-        """Take in that an upstream has answered a request: it did not end."""
+        """Record that an upstream answered a request, so it did not crash."""
         self._answers.add(job, self.state.clock.now())
         if self.quarantine.knows_target(job.target):
             self._clear(job.fingerprints())
 
-    # What became of its upstream
+    # Liveness of the upstream
 
     def clear_false_alarms(self) -> None:
         """
-        Clear requests whose upstream has turned out to live; called now and then.
+        Clear requests whose upstream turns out to be alive; called periodically.
 
-        One that is overloaded may refuse connections for a moment, and still report.
+        An overloaded upstream may refuse connections for a moment and still send load
+        reports.
         """
         now = self.state.clock.now()
         while (
@@ -146,7 +149,8 @@
 
     def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
         task = asyncio.ensure_future(self._check_liveness(spec))
-        # Kept, or asyncio might collect it before it has ended.
+        # asyncio holds only weak references to tasks; without this one the task may be
+        # garbage-collected before it ends.
         self._liveness_checks.add(task)
         task.add_done_callback(self._liveness_checks.discard)
 
@@ -180,7 +184,7 @@
             )
 
     def _eject(self, loss: LostRequest) -> None:
-        """Take an upstream that has ended out of use, as its entry may stay."""
+        """Eject a crashed upstream, as service discovery may go on listing it."""
         now = self.state.clock.now()
         if loss.upstream.state not in (
             upstreams.State.EJECTED,
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -1,10 +1,10 @@
 """
-The way of one request from the balancer to an upstream and back.
+The data path of a request from the balancer to an upstream and back.
 
-The front of the package: gets a request its grant, then its tries, and says
-of every failure whether the request ran. Used by the callers' ports of both
-daemons; relies on the balancer for decisions and on the upstream port for
-sending.
+The entry point of the package: acquires a grant for a request, makes its
+attempts, and tells for every failure whether the request may have run. Used by
+the callers' ports of both daemons; relies on the balancer for decisions and on
+the upstream port for sending.
 """
 
 import typing
@@ -30,20 +30,21 @@
     crash_watch.DetectorState,
     typing.Protocol,
 ):
-    """What the data path needs of the process that it runs in."""
+    """The process state that the data path uses."""
 
 
 class DataPath:
     """
-    Carries the requests of one process.
+    Forwards the requests of one process to upstreams.
 
-    ``make_headers`` names each try in the upstreams' protocol. ``on_drain_notice`` is
-    called when an answer shows that an upstream is draining and this process
-    did not know; None where the process announces that by itself. ``known`` are the
-    requests that end upstreams; those that this path meets where none are passed in.
+    ``make_headers`` builds the headers of each attempt in the upstreams' protocol.
+    ``on_drain_notice`` is called when an answer shows that an upstream is draining and
+    this process did not know; None if the process announces that itself. ``known``
+    holds the requests that are suspected of crashing upstreams; without it, this data
+    path keeps a set of its own.
 
-    Invariant: every grant that is taken from a balancer is finished exactly
-    once, whatever ends the request.
+    Invariant: every grant that is acquired from a balancer is finished exactly
+    once, however the request ends.
     """
 
     def __init__(
@@ -64,34 +65,34 @@
         self._sender = sending.Sender(state, port, make_headers)
 
     async def dispatch(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
-        """Get a request its answer's head, or a final refusal."""
+        """Return the answer of a request once its head is read, or a final refusal."""
         try:
             return await self.begin(job)
         finally:
             self.forget(job)
 
     def forget(self, job: jobs.Job) -> None:
-        """Drop what was kept to place further tries of a request."""
+        """Drop the state that is kept for further attempts of a request."""
         job.balancer.forget(job.call.id)
         self.crash_detector.marks.forget(job.call.id)
 
     async def begin(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """
-        Do the same for a request that may go on with ``retry``.
+        Dispatch a request that may be continued with ``retry``.
 
-        The caller ends it with ``forget``: until then the tries of the call count
-        together.
+        The caller must call ``forget`` at the end; until then all attempts of the call
+        are counted together.
         """
         try:
-            # First tries too: what ends an upstream each time comes again under a new
-            # id, and no budget of retries bounds it.
+            # Applies to first attempts too: a request that crashes its upstream each
+            # time is sent again under a new id, which no retry budget limits.
             refusal = await self._trials.admit(job)
             if refusal is not None:
                 return refusal
             verdict = await self._grants.acquire(job)
             if isinstance(verdict, outcomes.Refusal):
                 return verdict
-            # It may have become known while the request waited for its grant.
+            # The request may have been quarantined while it waited for its grant.
             refusal = self._trials.refusal(job)
             if refusal is not None:
                 self._grants.finish(job, verdict, upstreams.Result.CANCELLED, None)
@@ -104,9 +105,10 @@
         self, job: jobs.Job, failed: verdicts.Grant
     ) -> exchanges.Exchange | outcomes.Refusal:
         """
-        Retry a request whose answer was no good once its body was read.
+        Retry a request whose answer turned out to be bad when its body was read.
 
-        A request whose own body was streamed is not retried: its body is spent.
+        A request with a streamed body is not retried, as its body can be read only
+        once.
         """
         try:
             grant = await self._attempts(job).next_grant(failed, known_not_run=False)
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -1,8 +1,8 @@
 """
 An upstream's answer while its body is being read.
 
-Holds the slot of its try until the body has ended, whichever way, and then
-gives it back with the judgement of that end.
+Holds the upstream slot of its attempt until the body has ended in any way, and
+then releases it with the result.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 class Exchange(msgspec.Struct):
     """
-    An answer whose head is good; the slot is held until ``end``.
+    An answer whose head is good; its upstream slot is held until ``end``.
 
     Invariant: its grant is finished exactly once.
     """
@@ -30,7 +30,7 @@
     ended: bool = False
 
     async def chunk(self) -> bytes | ports.UpstreamFault:
-        """Return the next piece of the body, and end with the last."""
+        """Return the next chunk of the body; the last one ends the exchange."""
         try:
             piece = await self.answer.chunk()
         except asyncio.CancelledError:
@@ -45,7 +45,7 @@
         return piece
 
     def end(self, result: upstreams.Result) -> None:
-        """Give the slot back; only the first call counts."""
+        """Release the slot; calls after the first do nothing."""
         if self.ended:
             return
         self.ended = True
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -1,8 +1,8 @@
 """
-Takes grants from the balancers for requests, and gives them back.
+Acquires grants from the balancers for requests, and returns them.
 
-A request that finds no room waits here for its grant. While any waits, the
-queues are checked by a timer, since no answer may end for a long time.
+A request that gets no upstream slot waits here for its grant. While any request waits,
+a timer checks the queues, since it may take long until the next answer ends.
 """
 
 import asyncio
@@ -14,9 +14,9 @@
 from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes, upstreams
 
-#: How often the queues are checked at least while calls wait, in seconds.
+#: Longest interval between two checks of the queues while calls wait, in seconds.
 MAX_QUEUE_CHECK_S = 0.02
-#: Least seconds between two checks of the queues.
+#: Shortest interval between two checks of the queues, in seconds.
 MIN_QUEUE_CHECK_S = 0.001
 
 Verdict = verdicts.Grant | outcomes.Refusal
@@ -26,10 +26,10 @@
     balancers: abc.Iterable[balancer.Balancer], now: ids.Instant
 ) -> float:
     """
-    Return in how many seconds the queues are to be checked again.
+    Return the seconds until the queues must be checked again.
 
-    A turn that is taken late makes all later ones late: calls that were let wait for
-    theirs would be refused after all.
+    A call that is sent later than scheduled delays all calls behind it: those that were
+    queued because their turn would come in time would then be refused.
     """
     turns = [service_balancer.next_turn(now) for service_balancer in balancers]
     due_in_s = [turn - now for turn in turns if turn > now]
@@ -37,7 +37,7 @@
 
 
 class GrantState(typing.Protocol):
-    """What grants need of the process that they run in."""
+    """The process state that grants use."""
 
     clock: clock.Clock
     balancer_by_service: dict[ids.ServiceName, balancer.Balancer]
@@ -47,8 +47,8 @@
     """
     The grants of one process.
 
-    Invariants: a request that waits gets exactly one verdict; a grant that
-    arrives together with the cancellation of its request is finished here.
+    Invariants: a waiting request gets exactly one verdict; a grant that arrives
+    together with the cancellation of its request is finished here.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._queue_check: asyncio.TimerHandle | None = None
 
     async def acquire(self, job: jobs.Job) -> Verdict:
-        """Get a new request its first grant, waiting in the queue if need be."""
+        """Acquire the first grant of a new request, which may wait in the queue."""
         offered = job.balancer.offer(job.call, self.state.clock.now())
         if isinstance(offered, verdicts.Waiting):
             return await self._wait(job, offered)
@@ -73,7 +73,7 @@
         result: upstreams.Result,
         report: upstreams.LoadReport | None,
     ) -> None:
-        """Give a grant back, with how its try ended; the slot may go to a call here."""
+        """Return a grant with its result; the slot may go to a waiting call."""
         now = self.state.clock.now()
         self.crash_detector.marks.drop(grant)
         self._settle(job.balancer.finish(grant, result, report, now))
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -1,9 +1,9 @@
 """
-A request on its way to an upstream, and how each of its tries is labelled.
+A request to be forwarded to an upstream, and the headers of each of its attempts.
 
-A job outlives its tries: it is built once by the port that read the request
-and never changes. A label is made anew for every try, since a try has its own
-remaining time and, where upstreams echo an id, its own id.
+A job is immutable: the port that read the request builds it once for all attempts.
+Each attempt has headers of its own, since it has its own remaining time and, if
+upstreams echo a request id, its own id.
 """
 
 from collections import abc
@@ -17,9 +17,9 @@
 
 class AttemptHeaders(msgspec.Struct, frozen=True):
     """
-    The headers that are set anew for one try, and the id it goes by.
+    The headers that are specific to one attempt, and its request id.
 
-    An answer that bears another id is foreign.
+    An answer with another request id belongs to another request.
     """
 
     request_id: str
@@ -28,15 +28,15 @@
 
 class Job(msgspec.Struct, frozen=True):
     """
-    A request on its way to an upstream.
-
-    ``headers`` and ``body`` are those of the caller; a body that is not bytes
-    streams in and can be read only once. With ``needs_new_connection`` it goes
-    over one on which nothing was sent before. ``hop_count`` counts the hops of
-    the chain of calls, the one to the upstream included; it stays 0 where the
-    upstreams' protocol does not count them. ``caller`` is who sends the request, as
-    far as this process can tell, empty where it can't; ``streamed_bytes`` is the
-    declared length of a body that streams.
+    A request to be forwarded to an upstream.
+
+    ``headers`` and ``body`` are those of the caller; a body that is not bytes is
+    streamed and can be read only once. With ``needs_new_connection`` it is sent over a
+    connection that has not been used before. ``hop_count`` counts the hops of the call
+    chain, including the one to the upstream; it stays 0 if the upstreams' protocol does
+    not count them. ``caller`` identifies the sender as far as this process knows it,
+    and is empty otherwise; ``streamed_bytes`` is the declared length of a streamed
+    body.
     """
 
     balancer: balancer.Balancer
@@ -51,7 +51,7 @@
     streamed_bytes: int = 0
 
     def fingerprints(self) -> fingerprints.Fingerprints:
-        """Return what tells whether this request was here before."""
+        """Return the fingerprints by which identical requests are recognised."""
         body = self.body if isinstance(self.body, bytes) else None
         content = fingerprints.Content(
             method=self.method,
@@ -64,7 +64,7 @@
 
     @property
     def is_body_buffered(self) -> bool:
-        """Tell whether the body is here in full, so that it can be sent again."""
+        """Tell whether the whole body is in memory, so that it can be sent again."""
         return self.body is None or isinstance(self.body, bytes)
 
 
@@ -72,14 +72,14 @@
     return next((value for name, value in pairs if name.lower() == "host"), "")
 
 
-#: Names one try of a job, given the seconds that are left for its answer.
+#: Builds the headers of one attempt; the float is its remaining time in seconds.
 AttemptHeadersFactory = abc.Callable[[Job, verdicts.Grant, float], AttemptHeaders]
 
 
 def native_attempt_headers(
     job: Job, grant: verdicts.Grant, left_s: float
 ) -> AttemptHeaders:
-    """Name a try as the product's own protocol does; ``left_s`` is in seconds."""
+    """Build the headers of the native protocol; ``left_s`` is in seconds."""
     request_id = f"{job.call.id}.{grant.kind.value}"
     own_headers = [
         (headers.TIMEOUT_MS, str(int(left_s * 1000))),
--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -1,24 +1,25 @@
 """
-Which requests were answered lately: the loss of one with its upstream says little then.
+Requests that were answered recently, which are not suspected of crashing upstreams.
 
-A request that ends what runs it is never answered. One that was, a moment ago, is not
-such a request: beside one that is, popular requests are lost with the same upstreams.
-Kept in two generations, of which the older is dropped. Pure.
+A request that crashes its upstreams is never answered. One that was answered a moment
+ago is therefore not the cause of a crash: frequent requests are often in flight at an
+upstream that another request crashes. Entries are held in two generations; the older
+one is dropped periodically. Pure.
 """
 
 from spindlenotch import ids
 from spindlenotch.forwarding import jobs
 
-#: Seconds for which an answer counts at least; twice that at most. A request that comes
-#: once in five seconds is known to be harmless; one that turns harmful is held to be
-#: harmless for ten more at most.
+#: Seconds for which an answer is remembered at least; twice that at most. A request
+#: sent once every five seconds stays known as harmless; one that becomes harmful passes
+#: for harmless for at most ten seconds more.
 GENERATION_S = 5.0
-#: Bytes of a body that tell it apart here; hashing them takes some 10 microseconds.
+#: Bytes at the start of a body that are hashed; this takes about 10 microseconds.
 HASHED_BODY_BYTES = 16 * 1024
 
 
 class RecentAnswers:
-    """The requests that this process had answered lately."""
+    """The requests of this process that were answered recently."""
 
     def __init__(self) -> None:
         self._new: set[int] = set()
@@ -26,13 +27,13 @@
         self._rotate_at = ids.Instant(float("-inf"))
 
     def add(self, job: jobs.Job, now: ids.Instant) -> None:
-        """Take in that a request was answered."""
+        """Record that a request was answered."""
         if now >= self._rotate_at:
             self._rotate(now)
         self._new.add(_key(job))
 
     def contains(self, job: jobs.Job, now: ids.Instant) -> bool:
-        """Tell whether the same request was answered lately."""
+        """Tell whether an identical request was answered recently."""
         if now >= self._rotate_at:
             self._rotate(now)
         key = _key(job)
@@ -46,7 +47,7 @@
 
 
 def _key(job: jobs.Job) -> int:
-    """Return what tells requests apart in this process; cheaper than a fingerprint."""
+    """Return a hash for use in this process only; cheaper than a fingerprint."""
     body = job.body if isinstance(job.body, bytes) else b""
     size = len(body) + job.streamed_bytes
     return hash((job.method, job.target, job.caller, size, body[:HASHED_BODY_BYTES]))
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -1,7 +1,7 @@
 """
-Sends one try of a request: labels, remaining time, connection.
+Sends one attempt of a request with its own headers and remaining time.
 
-A try that is not the first is counted and logged with its cause.
+Retries and hedges are counted and logged with their cause.
 """
 
 import asyncio
@@ -12,29 +12,29 @@
 from spindlenotch.forwarding import jobs
 from spindlenotch.kernel import outcomes
 
-#: Taken off the time that the upstream is given, so that its answer can still get back
-#: before the deadline, in seconds.
+#: Subtracted from the timeout that the upstream is given, so that its answer still
+#: arrives before the deadline, in seconds.
 RESPONSE_TRANSIT_S = 0.002
-#: Least time that an upstream is given, in seconds: the header that carries it
-#: counts whole milliseconds.
+#: Shortest timeout that an upstream is given, in seconds: its header is in whole
+#: milliseconds.
 MIN_TIMEOUT_S = 0.001
-#: Causes of another try that are no reason of a refusal.
+#: Causes of a retry or hedge that are not refusal reasons.
 CAUSE_OVERDUE = "overdue"
 CAUSE_BAD_ANSWER = "bad-answer"
 
-#: A try that is under way.
+#: An attempt in flight.
 AttemptTask = asyncio.Task[ports.UpstreamAnswer | ports.UpstreamFault]
 
 
 class SendState(typing.Protocol):
-    """What sending needs of the process that it runs in."""
+    """The process state that sending uses."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
 
 
 class Sender:
-    """Sends tries through one upstream port."""
+    """Sends attempts through one upstream port."""
 
     def __init__(
         self,
@@ -50,10 +50,10 @@
         self, job: jobs.Job, grant: verdicts.Grant, last_reason: outcomes.Reason
     ) -> AttemptTask:
         """
-        Start the try that ``grant`` allows.
+        Start the attempt that ``grant`` allows.
 
-        ``last_reason`` is why the try before failed; for a first try, and
-        where none failed on the way, it is ``NO_UPSTREAM``.
+        ``last_reason`` is why the attempt before failed; it is ``NO_UPSTREAM`` for
+        a first attempt, and if none before got a fault or was shed.
         """
         request = self.request(job, grant)
         task = asyncio.ensure_future(self.port.send(request))
@@ -62,22 +62,22 @@
         return task
 
     def request(self, job: jobs.Job, grant: verdicts.Grant) -> ports.UpstreamRequest:
-        """Return what goes to the upstream of ``grant``."""
+        """Build the request that is sent to the upstream of ``grant``."""
         steady_clock = self.state.clock
         deadline = job.call.deadline
         left_s = max(MIN_TIMEOUT_S, deadline - steady_clock.now() - RESPONSE_TRANSIT_S)
-        labels = self.make_headers(job, grant, left_s)
+        attempt_headers = self.make_headers(job, grant, left_s)
         return ports.UpstreamRequest(
             address=grant.upstream.spec.address,
             method=job.method,
             target=job.target,
-            headers=[*job.headers, *labels.headers],
+            headers=[*job.headers, *attempt_headers.headers],
             body=job.body,
-            request_id=labels.request_id,
+            request_id=attempt_headers.request_id,
             needs_new_connection=job.needs_new_connection,
             may_send=lambda: (
                 steady_clock.now() < deadline
-                # It may have asked for rest while the connection came up.
+                # The upstream may have asked for a pause while connecting.
                 and not grant.upstream.backpressure.rests(steady_clock.now())
             ),
         )
@@ -110,11 +110,11 @@
 
 
 def _cause(kind: verdicts.Kind, last_reason: outcomes.Reason) -> str:
-    """Say in the log why a request is sent again."""
+    """Return the logged cause of a retry or hedge."""
     if kind is verdicts.Kind.HEDGE:
         return CAUSE_OVERDUE
     if last_reason is outcomes.Reason.NO_UPSTREAM:
-        # Nothing failed on the way: the answer itself was bad.
+        # No attempt got a fault or was shed: the answer itself was bad.
         return CAUSE_BAD_ANSWER
     cause: str = last_reason.value
     return cause
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -1,10 +1,10 @@
 """
-Lets a request that may end its upstream be tried by one call at a time.
+Admits suspect requests, which may crash their upstream, one call at a time.
 
-While a request is suspect, one call of it in this process is on trial and the others
-wait for how that ends: mostly with an answer, which clears them all, as after an
-upstream that ended by itself. One that is quarantined is refused at once. What is held
-of a request is decided in ``decisions.quarantine``.
+While a request is suspect, one call of it in this process is on trial and identical
+calls wait for the result. Mostly the upstream has crashed for another reason; the trial
+is then answered, which clears all of them. A quarantined request is refused at once.
+``decisions.quarantine`` decides which requests are suspect or quarantined.
 """
 
 import asyncio
@@ -17,39 +17,40 @@
 from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes
 
-#: Seconds after which the next call may be tried beside one that takes long: a request
-#: that ended upstreams did so within 0.15 s, and a slow one must not hold up others.
+#: Seconds for which a trial holds up identical calls; after that the next one is
+#: admitted beside it. Requests that crashed upstreams did so within 0.15 s, and a slow
+#: trial must not delay the others.
 EXCLUSIVE_TRIAL_S = 0.5
-#: Most seconds after which callers of a quarantined request are told to come back: it
-#: may be released at any time, and a refusal costs little.
+#: Upper bound of the retry delay given to callers of a quarantined request, in seconds:
+#: it may be released at any time, and a refusal costs little.
 MAX_RETRY_AFTER_S = 60.0
-#: Seconds between two looks of a call that waits: an upstream that was asked whether it
-#: is there answers within some milliseconds, and ends the wait.
+#: Interval at which a waiting call checks its state again, in seconds: a liveness check
+#: is answered within a few milliseconds, which may end the wait.
 TRIAL_CHECK_INTERVAL_S = 0.02
 
 
 class TrialState(typing.Protocol):
-    """What trials need of the process that they run in."""
+    """The process state that trials use."""
 
     clock: clock.Clock
 
 
 class Trial(msgspec.Struct):
-    """The call that tries a request; ``ended`` is set when it has ended."""
+    """The call on trial; ``ended`` is set when the trial has ended."""
 
     call: ids.CallId
     until: ids.Instant
     ended: asyncio.Event
-    #: The one more try that a quarantined request gets.
+    #: Whether this is the single further trial that a quarantined request gets.
     is_retrial: bool = False
 
 
 class Trials:
     """
-    The trials of one process, by the content of the request.
+    The trials of one process, by the content fingerprint of the request.
 
-    Invariant: of a suspect request one call per ``EXCLUSIVE_TRIAL_S`` is admitted, or
-    one when the call before it has ended.
+    Invariant: the next call of a suspect request is admitted only once the trial before
+    it has ended or ``EXCLUSIVE_TRIAL_S`` has passed.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self._content_by_call: dict[ids.CallId, ids.Fingerprint] = {}
 
     def standing(self, job: jobs.Job) -> quarantine.Standing:
-        """Return what is held of a request."""
+        """Return whether a request is clear, suspect or quarantined."""
         if not self.quarantine.knows_target(job.target):
             return quarantine.Standing.CLEAR
         return self.quarantine.standing(job.fingerprints())
@@ -84,7 +85,7 @@
         return None
 
     def refusal(self, job: jobs.Job) -> outcomes.Refusal | None:
-        """Return the refusal of a request that is quarantined; None where it is not."""
+        """Return the refusal of a quarantined request, or None if it may be sent."""
         if self.standing(job) is not quarantine.Standing.QUARANTINED:
             return None
         request_fingerprints = job.fingerprints()
@@ -114,7 +115,7 @@
         self._content_by_call[job.call.id] = content
 
     def end_trial(self, job: jobs.Job) -> None:
-        """End a call's trial, if it is on one: others may follow."""
+        """End the trial of a call, if it is on one, so that the next may start."""
         content = self._content_by_call.pop(job.call.id, None)
         if content is None:
             return
@@ -129,5 +130,5 @@
         async with asyncio.timeout(limit_s):
             await trial.ended.wait()
     except TimeoutError:
-        # The caller looks at how things stand then.
+        # The caller of this function checks the request's state again.
         return
--- a/spindlenotch/forwarding/upstream_events.py
+++ b/spindlenotch/forwarding/upstream_events.py
@@ -1,10 +1,10 @@
 """
-Log events for the state changes of upstreams.
+Logs the state changes of upstreams.
 
-Both daemons report what their pools decided through this module, so that an
-ejection reads the same in either log. Owns the map from an upstream's state
+Both daemons log the decisions of their pools through this module, so that an
+ejection has the same form in both logs. Owns the map from an upstream's state
 to its event; relies on the kernel's pools, which keep their changes until
-they are taken.
+they are collected.
 """
 
 from spindlenotch import events, ids
