--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -106,7 +106,7 @@
 
     def record_lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
         """Record that an attempt lost its connection after it was sent."""
-        loss = LostRequest(
+        lost_request = LostRequest(
             job.fingerprints(),
             self.marks.record_lost(grant),
             job.balancer,
@@ -115,10 +115,10 @@
             self.state.clock.now(),
             self._answers.contains(job, self.state.clock.now()),
         )
-        for fingerprint in loss.suspect_fingerprints():
+        for fingerprint in lost_request.suspect_fingerprints():
             self.quarantine.doubt(fingerprint)
         losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
-        losses.append(loss)
+        losses.append(lost_request)
         if len(losses) == 1:
             self._start_liveness_check(grant.upstream.spec)
 
@@ -143,9 +143,11 @@
             and self._recent_crashes[0].at <= now - FALSE_ALARM_WINDOW_S
         ):
             self._recent_crashes.popleft()
-        for loss in [one for one in self._recent_crashes if _has_reported_since(one)]:
-            self._recent_crashes.remove(loss)
-            self._clear(loss.request_fingerprints)
+        for lost_request in [
+            one for one in self._recent_crashes if _has_reported_since(one)
+        ]:
+            self._recent_crashes.remove(lost_request)
+            self._clear(lost_request.request_fingerprints)
 
     def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
         task = asyncio.ensure_future(self._check_liveness(spec))
@@ -160,8 +162,8 @@
             liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
         finally:
             losses = self._losses_by_upstream.pop(spec.id)
-            for loss in losses:
-                for fingerprint in loss.suspect_fingerprints():
+            for lost_request in losses:
+                for fingerprint in lost_request.suspect_fingerprints():
                     self.quarantine.settle(fingerprint)
         if liveness is ports.Liveness.GONE:
             self._handle_crash(losses)
@@ -169,35 +171,39 @@
     def _handle_crash(self, losses: list[LostRequest]) -> None:
         self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
         self._eject(losses[0])
-        for loss in losses:
-            self._recent_crashes.append(loss)
-            self._record_crash(loss)
+        for lost_request in losses:
+            self._recent_crashes.append(lost_request)
+            self._record_crash(lost_request)
             events.emit(
                 events.Event.UPSTREAM_ENDED_UNDER_REQUEST,
-                service=loss.service,
-                upstream=loss.upstream.spec.id,
-                fingerprint=loss.request_fingerprints.content,
-                from_caller=loss.request_fingerprints.from_caller,
-                kind=loss.kind.value,
-                answered_lately=int(loss.answered_lately),
-                depth=self.quarantine.note(loss.request_fingerprints.from_caller).depth,
+                service=lost_request.service,
+                upstream=lost_request.upstream.spec.id,
+                fingerprint=lost_request.request_fingerprints.content,
+                from_caller=lost_request.request_fingerprints.from_caller,
+                kind=lost_request.kind.value,
+                answered_lately=int(lost_request.answered_lately),
+                depth=self.quarantine.note(
+                    lost_request.request_fingerprints.from_caller
+                ).depth,
             )
 
-    def _eject(self, loss: LostRequest) -> None:
+    def _eject(self, lost_request: LostRequest) -> None:
         """Eject a crashed upstream, as service discovery may go on listing it."""
         now = self.state.clock.now()
-        if loss.upstream.state not in (
+        if lost_request.upstream.state not in (
             upstreams.State.EJECTED,
             upstreams.State.LEAVING,
         ):
-            loss.balancer.pool.eject(loss.upstream, EJECTION_REASON, now)
+            lost_request.balancer.pool.eject(
+                lost_request.upstream, EJECTION_REASON, now
+            )
 
-    def _record_crash(self, loss: LostRequest) -> None:
+    def _record_crash(self, lost_request: LostRequest) -> None:
         now = self.state.clock.now()
         for fingerprint, mark in zip(
-            loss.suspect_fingerprints(), loss.marks, strict=False
+            lost_request.suspect_fingerprints(), lost_request.marks, strict=False
         ):
-            upstream_id = loss.upstream.spec.id
+            upstream_id = lost_request.upstream.spec.id
             if self.quarantine.strike(fingerprint, mark, upstream_id, now):
                 self._publish_note(fingerprint)
 
@@ -213,5 +219,5 @@
             listener(note)
 
 
-def _has_reported_since(loss: LostRequest) -> bool:
-    return loss.upstream.report_at > loss.at + REPORT_AGE_ERROR_S
+def _has_reported_since(lost_request: LostRequest) -> bool:
+    return lost_request.upstream.report_at > lost_request.at + REPORT_AGE_ERROR_S
