--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -117,9 +117,9 @@
         )
         for fingerprint in lost_request.suspect_fingerprints():
             self.quarantine.doubt(fingerprint)
-        losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
-        losses.append(lost_request)
-        if len(losses) == 1:
+        lost_requests = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
+        lost_requests.append(lost_request)
+        if len(lost_requests) == 1:
             self._start_liveness_check(grant.upstream.spec)
 
     def record_answer(self, job: jobs.Job) -> None:
@@ -161,17 +161,17 @@
         try:
             liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
         finally:
-            losses = self._losses_by_upstream.pop(spec.id)
-            for lost_request in losses:
+            lost_requests = self._losses_by_upstream.pop(spec.id)
+            for lost_request in lost_requests:
                 for fingerprint in lost_request.suspect_fingerprints():
                     self.quarantine.settle(fingerprint)
         if liveness is ports.Liveness.GONE:
-            self._handle_crash(losses)
+            self._handle_crash(lost_requests)
 
-    def _handle_crash(self, losses: list[LostRequest]) -> None:
-        self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
-        self._eject(losses[0])
-        for lost_request in losses:
+    def _handle_crash(self, lost_requests: list[LostRequest]) -> None:
+        self.state.metrics.upstreams_ended.labels(lost_requests[0].service).inc()
+        self._eject(lost_requests[0])
+        for lost_request in lost_requests:
             self._recent_crashes.append(lost_request)
             self._record_crash(lost_request)
             events.emit(
