--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -86,7 +86,7 @@
         self.port = port
         self.quarantine = known
         self.marks = try_marks.AttemptMarks(known)
-        self._losses_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
+        self._lost_requests_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Lost requests whose upstream appears to have crashed, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
@@ -117,7 +117,9 @@
         )
         for fingerprint in lost_request.suspect_fingerprints():
             self.quarantine.doubt(fingerprint)
-        lost_requests = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
+        lost_requests = self._lost_requests_by_upstream.setdefault(
+            grant.upstream.spec.id, []
+        )
         lost_requests.append(lost_request)
         if len(lost_requests) == 1:
             self._start_liveness_check(grant.upstream.spec)
@@ -161,7 +163,7 @@
         try:
             liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
         finally:
-            lost_requests = self._losses_by_upstream.pop(spec.id)
+            lost_requests = self._lost_requests_by_upstream.pop(spec.id)
             for lost_request in lost_requests:
                 for fingerprint in lost_request.suspect_fingerprints():
                     self.quarantine.settle(fingerprint)
