--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -32,17 +32,17 @@
     async def chunk(self) -> bytes | ports.UpstreamFault:
         """Return the next chunk of the body; the last one ends the exchange."""
         try:
-            piece = await self.answer.chunk()
+            body_chunk = await self.answer.chunk()
         except asyncio.CancelledError:
             self.end(upstreams.Result.CANCELLED)
             raise
-        if isinstance(piece, ports.UpstreamFault):
+        if isinstance(body_chunk, ports.UpstreamFault):
             self.crash_detector.record_lost(self.job, self.grant)
-        elif not piece:
+        elif not body_chunk:
             self.crash_detector.record_answer(self.job)
-        if not piece or isinstance(piece, ports.UpstreamFault):
-            self.end(classification.classify_body(self.answer, piece))
-        return piece
+        if not body_chunk or isinstance(body_chunk, ports.UpstreamFault):
+            self.end(classification.classify_body(self.answer, body_chunk))
+        return body_chunk
 
     def end(self, result: upstreams.Result) -> None:
         """Release the slot; calls after the first do nothing."""
