--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -92,14 +92,14 @@
 
 
 def classify_body(
-    answer: ports.UpstreamAnswer, last_piece: bytes | ports.UpstreamFault
+    answer: ports.UpstreamAnswer, last_chunk: bytes | ports.UpstreamFault
 ) -> upstreams.Result:
     """
     Classify an attempt by the end of its answer's body.
 
     An answer is complete only with the empty chunk that ends its body.
     """
-    if isinstance(last_piece, ports.UpstreamFault):
+    if isinstance(last_chunk, ports.UpstreamFault):
         return upstreams.Result.FAILED
     if answer.status >= outcomes.FIRST_FAILED_STATUS:
         return upstreams.Result.FAILED
