--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -251,8 +251,8 @@
 
     def _mark_draining(self, grant: verdicts.Grant, reason: str) -> None:
         service = self.job.balancer.service.name
-        left_now = self.state.leave_upstream(service, grant.upstream.spec, reason)
-        if left_now and self.on_drain_notice is not None:
+        newly_draining = self.state.leave_upstream(service, grant.upstream.spec, reason)
+        if newly_draining and self.on_drain_notice is not None:
             self.on_drain_notice()
 
     def _apply_signals(
