--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -94,7 +94,7 @@
         self._listeners: list[NoteListener] = []
 
     def add_listener(self, listener: NoteListener) -> None:
-        """Call ``listener`` with each note that is changed by this process."""
+        """Call ``listener`` with each note that this process changes."""
         self._listeners.append(listener)
 
     def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -33,7 +33,7 @@
             self._marks_by_attempt[_key(grant)] = marks
 
     def record_lost(self, grant: verdicts.Grant) -> Marks:
-        """Return the marks of an attempt that lost its connection."""
+        """Record that an attempt lost its connection; return its marks."""
         marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
         if any(mark.depth for mark in marks):
             self._calls_without_retry.add(grant.call.id)
