--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -1,9 +1,10 @@
 """
-Finds out whether an upstream ended while it ran a request, and what that tells of it.
+Detects upstreams that crash while running a request.
 
-A connection that breaks tells nothing of the process behind it. So the upstream is
-asked at once over a new connection, once for all requests that broke off there; until
-that is settled they are in doubt. What follows is decided in ``decisions.quarantine``.
+A broken connection does not tell whether the process behind it has crashed. The
+upstream's liveness is therefore checked at once over a new connection, with one check
+for all requests that lost their connection to it. Until the check ends, these requests
+are suspect. ``decisions.quarantine`` decides what follows from a crash.
 """
 
 import asyncio
@@ -18,38 +19,38 @@
 from spindlenotch.forwarding import jobs, recent_answers, try_marks
 from spindlenotch.kernel import crash_records, fingerprints, upstreams
 
-#: Longest wait for the answer, in seconds: several round trips between regions, 16 ms
-#: each, and a probe's work, 6 ms.
-ANSWER_LIMIT_S = 0.1
-#: Seconds for which an upstream that seems to have ended may prove the contrary: its
-#: load reports come several times a second.
-PROOF_S = 2.0
-#: Seconds by which a later report's age may be off: what messages between gateways
-#: take.
-REPORT_ERROR_S = 0.05
+#: Timeout of a liveness check, in seconds: several round trips between regions, 16 ms
+#: each, and the 6 ms that an upstream needs to answer a probe.
+LIVENESS_TIMEOUT_S = 0.1
+#: Seconds after an apparent crash in which a load report from the upstream revokes it:
+#: a live upstream sends several load reports per second.
+FALSE_ALARM_WINDOW_S = 2.0
+#: Error of a later load report's age, in seconds: the delay of messages between
+#: gateways.
+REPORT_AGE_ERROR_S = 0.05
 
-#: Why an upstream that has ended is out of use.
-GONE = "gone"
+#: Logged reason for ejecting a crashed upstream.
+EJECTION_REASON = "gone"
 
-#: Called with each note that peers need to know.
+#: Called with each crash note that must be sent to peers.
 NoteListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
-class WatchState(typing.Protocol):
-    """What the watch needs of the process that it runs in."""
+class DetectorState(typing.Protocol):
+    """The process state that the crash detector uses."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
 
 
-class Loss(msgspec.Struct, frozen=True):
+class LostRequest(msgspec.Struct, frozen=True):
     """
     A request whose connection to an upstream broke while it ran there.
 
-    Where it was answered lately it is not what ended the upstream.
+    A request that was ``answered_lately`` is not suspected of causing the crash.
     """
 
-    prints: fingerprints.Fingerprints
+    request_fingerprints: fingerprints.Fingerprints
     marks: try_marks.Marks
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
@@ -62,147 +63,163 @@
         """Return the name of the upstream's service."""
         return self.balancer.service.name
 
-    def suspects(self) -> tuple[ids.Fingerprint, ...]:
-        """Return the fingerprints that may be those of the cause."""
-        return () if self.answered_lately else self.prints.as_tuple()
+    def suspect_fingerprints(self) -> tuple[ids.Fingerprint, ...]:
+        """Return the fingerprints of this request if it may have caused the crash."""
+        return () if self.answered_lately else self.request_fingerprints.as_tuple()
 
 
-class CrashWatch:
+class CrashDetector:
     """
-    The upstreams that were lost under requests of one process.
+    Tracks requests of one process that lost their upstream while running.
 
-    Invariant: each request that broke off is in doubt until its upstream was asked.
+    Invariant: a request that lost its connection stays suspect until the liveness check
+    of its upstream has ended.
     """
 
     def __init__(
         self,
-        state: WatchState,
+        state: DetectorState,
         port: ports.UpstreamPort,
         known: quarantine.Quarantine,
     ) -> None:
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = try_marks.TryMarks(known)
-        self._losses_by_upstream: dict[ids.UpstreamId, list[Loss]] = {}
-        #: Losses whose upstream seems to have ended, the oldest first.
-        self._ended: collections.deque[Loss] = collections.deque()
+        self.marks = try_marks.AttemptMarks(known)
+        self._lost_requests_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
+        #: Lost requests whose upstream appears to have crashed, the oldest first.
+        self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
-        self._asking: set[asyncio.Task[None]] = set()
+        self._liveness_checks: set[asyncio.Task[None]] = set()
         self._listeners: list[NoteListener] = []
 
     def add_listener(self, listener: NoteListener) -> None:
-        """Call ``listener`` with each note that is news from here."""
+        """Call ``listener`` with each note that this process changes."""
         self._listeners.append(listener)
 
-    def tell(self, prints: fingerprints.Fingerprints) -> None:
-        """Pass on what is known of a request."""
-        for fingerprint in prints.as_tuple():
-            self._tell(fingerprint)
+    def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
+        """Pass the crash notes of a request to the listeners."""
+        for fingerprint in request_fingerprints.as_tuple():
+            self._publish_note(fingerprint)
 
-    # How a try ends
+    # Results of attempts
 
-    def lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
-        """Take in that a try broke off after it was sent."""
-        loss = Loss(
+    def record_lost(self, job: jobs.Job, grant: verdicts.Grant) -> None:
+        """Record that an attempt lost its connection after it was sent."""
+        lost_request = LostRequest(
             job.fingerprints(),
-            self.marks.lost(grant),
+            self.marks.record_lost(grant),
             job.balancer,
             grant.upstream,
             grant.kind,
             self.state.clock.now(),
-            self._answers.holds(job, self.state.clock.now()),
+            self._answers.contains(job, self.state.clock.now()),
         )
-        for fingerprint in loss.suspects():
+        for fingerprint in lost_request.suspect_fingerprints():
             self.quarantine.begin_check(fingerprint)
-        losses = self._losses_by_upstream.setdefault(grant.upstream.spec.id, [])
-        losses.append(loss)
-        if len(losses) == 1:
-            self._begin_asking(grant.upstream.spec)
+        lost_requests = self._lost_requests_by_upstream.setdefault(
+            grant.upstream.spec.id, []
+        )
+        lost_requests.append(lost_request)
+        if len(lost_requests) == 1:
+            self._start_liveness_check(grant.upstream.spec)
 
-    def answered(self, job: jobs.Job) -> None:
-        """Take in that an upstream has answered a request: it did not end."""
+    def record_answer(self, job: jobs.Job) -> None:
+        """Record that an upstream answered a request, so it did not crash."""
         self._answers.add(job, self.state.clock.now())
         if self.quarantine.knows_target(job.target):
             self._clear(job.fingerprints())
 
-    # What became of its upstream
+    # Liveness of the upstream
 
-    def check_ended(self) -> None:
+    def clear_false_alarms(self) -> None:
         """
-        Clear requests whose upstream has turned out to live; called now and then.
+        Clear requests whose upstream turns out to be alive; called periodically.
 
-        One that is overloaded may refuse connections for a moment, and still report.
+        An overloaded upstream may refuse connections for a moment and still send load
+        reports.
         """
         now = self.state.clock.now()
-        while self._ended and self._ended[0].at <= now - PROOF_S:
-            self._ended.popleft()
-        for loss in [one for one in self._ended if _has_reported_since(one)]:
-            self._ended.remove(loss)
-            self._clear(loss.prints)
-
-    def _begin_asking(self, spec: upstreams.UpstreamSpec) -> None:
-        task = asyncio.ensure_future(self._ask(spec))
-        # Kept, or asyncio might collect it before it has ended.
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
-
-    async def _ask(self, spec: upstreams.UpstreamSpec) -> None:
+        while (
+            self._recent_crashes
+            and self._recent_crashes[0].at <= now - FALSE_ALARM_WINDOW_S
+        ):
+            self._recent_crashes.popleft()
+        for lost_request in [
+            one for one in self._recent_crashes if _has_reported_since(one)
+        ]:
+            self._recent_crashes.remove(lost_request)
+            self._clear(lost_request.request_fingerprints)
+
+    def _start_liveness_check(self, spec: upstreams.UpstreamSpec) -> None:
+        task = asyncio.ensure_future(self._check_liveness(spec))
+        # asyncio holds only weak references to tasks; without this one the task may be
+        # garbage-collected before it ends.
+        self._liveness_checks.add(task)
+        task.add_done_callback(self._liveness_checks.discard)
+
+    async def _check_liveness(self, spec: upstreams.UpstreamSpec) -> None:
         liveness = ports.Liveness.SILENT
         try:
-            liveness = await self.port.liveness(spec.address, ANSWER_LIMIT_S)
+            liveness = await self.port.liveness(spec.address, LIVENESS_TIMEOUT_S)
         finally:
-            losses = self._losses_by_upstream.pop(spec.id)
-            for loss in losses:
-                for fingerprint in loss.suspects():
+            lost_requests = self._lost_requests_by_upstream.pop(spec.id)
+            for lost_request in lost_requests:
+                for fingerprint in lost_request.suspect_fingerprints():
                     self.quarantine.end_check(fingerprint)
         if liveness is ports.Liveness.GONE:
-            self._take_end(losses)
-
-    def _take_end(self, losses: list[Loss]) -> None:
-        self.state.metrics.upstreams_ended.labels(losses[0].service).inc()
-        self._eject(losses[0])
-        for loss in losses:
-            self._ended.append(loss)
-            self._strike(loss)
+            self._handle_crash(lost_requests)
+
+    def _handle_crash(self, lost_requests: list[LostRequest]) -> None:
+        self.state.metrics.upstreams_ended.labels(lost_requests[0].service).inc()
+        self._eject(lost_requests[0])
+        for lost_request in lost_requests:
+            self._recent_crashes.append(lost_request)
+            self._record_crash(lost_request)
             events.emit(
                 events.Event.UPSTREAM_ENDED_UNDER_REQUEST,
-                service=loss.service,
-                upstream=loss.upstream.spec.id,
-                fingerprint=loss.prints.content,
-                from_caller=loss.prints.from_caller,
-                kind=loss.kind.value,
-                answered_lately=int(loss.answered_lately),
-                depth=self.quarantine.note(loss.prints.from_caller).depth,
+                service=lost_request.service,
+                upstream=lost_request.upstream.spec.id,
+                fingerprint=lost_request.request_fingerprints.content,
+                from_caller=lost_request.request_fingerprints.from_caller,
+                kind=lost_request.kind.value,
+                answered_lately=int(lost_request.answered_lately),
+                depth=self.quarantine.note(
+                    lost_request.request_fingerprints.from_caller
+                ).depth,
             )
 
-    def _eject(self, loss: Loss) -> None:
-        """Take an upstream that has ended out of use, as its entry may stay."""
+    def _eject(self, lost_request: LostRequest) -> None:
+        """Eject a crashed upstream, as service discovery may go on listing it."""
         now = self.state.clock.now()
-        if loss.upstream.state not in (
+        if lost_request.upstream.state not in (
             upstreams.State.EJECTED,
             upstreams.State.LEAVING,
         ):
-            loss.balancer.pool.eject(loss.upstream, GONE, now)
+            lost_request.balancer.pool.eject(
+                lost_request.upstream, EJECTION_REASON, now
+            )
 
-    def _strike(self, loss: Loss) -> None:
+    def _record_crash(self, lost_request: LostRequest) -> None:
         now = self.state.clock.now()
-        for fingerprint, mark in zip(loss.suspects(), loss.marks, strict=False):
-            upstream_id = loss.upstream.spec.id
+        for fingerprint, mark in zip(
+            lost_request.suspect_fingerprints(), lost_request.marks, strict=False
+        ):
+            upstream_id = lost_request.upstream.spec.id
             if self.quarantine.record_crash(fingerprint, mark, upstream_id, now):
-                self._tell(fingerprint)
+                self._publish_note(fingerprint)
 
-    def _clear(self, prints: fingerprints.Fingerprints) -> None:
+    def _clear(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
-        for fingerprint in prints.as_tuple():
+        for fingerprint in request_fingerprints.as_tuple():
             if self.quarantine.clear(fingerprint, now):
-                self._tell(fingerprint)
+                self._publish_note(fingerprint)
 
-    def _tell(self, fingerprint: ids.Fingerprint) -> None:
+    def _publish_note(self, fingerprint: ids.Fingerprint) -> None:
         note = self.quarantine.note(fingerprint)
         for listener in self._listeners:
             listener(note)
 
 
-def _has_reported_since(loss: Loss) -> bool:
-    return loss.upstream.report_at > loss.at + REPORT_ERROR_S
+def _has_reported_since(lost_request: LostRequest) -> bool:
+    return lost_request.upstream.report_at > lost_request.at + REPORT_AGE_ERROR_S
--- a/spindlenotch/forwarding/exchanges.py
+++ b/spindlenotch/forwarding/exchanges.py
@@ -1,8 +1,8 @@
 """
 An upstream's answer while its body is being read.
 
-Holds the slot of its try until the body has ended, whichever way, and then
-gives it back with the judgement of that end.
+Holds the upstream slot of its attempt until the body has ended in any way, and
+then releases it with the result.
 """
 
 import asyncio
@@ -11,41 +11,41 @@
 
 from spindlenotch import ports
 from spindlenotch.decisions import verdicts
-from spindlenotch.forwarding import crash_watch, granting, jobs, judgement
+from spindlenotch.forwarding import classification, crash_watch, granting, jobs
 from spindlenotch.kernel import upstreams
 
 
 class Exchange(msgspec.Struct):
     """
-    An answer whose head is good; the slot is held until ``end``.
+    An answer whose head is good; its upstream slot is held until ``end``.
 
     Invariant: its grant is finished exactly once.
     """
 
     grants: granting.Grants
-    watch: crash_watch.CrashWatch
+    crash_detector: crash_watch.CrashDetector
     job: jobs.Job
     grant: verdicts.Grant
     answer: ports.UpstreamAnswer
     ended: bool = False
 
     async def chunk(self) -> bytes | ports.UpstreamFault:
-        """Return the next piece of the body, and end with the last."""
+        """Return the next chunk of the body; the last one ends the exchange."""
         try:
-            piece = await self.answer.chunk()
+            body_chunk = await self.answer.chunk()
         except asyncio.CancelledError:
             self.end(upstreams.Result.CANCELLED)
             raise
-        if isinstance(piece, ports.UpstreamFault):
-            self.watch.lost(self.job, self.grant)
-        elif not piece:
-            self.watch.answered(self.job)
-        if not piece or isinstance(piece, ports.UpstreamFault):
-            self.end(judgement.end_of_body(self.answer, piece))
-        return piece
+        if isinstance(body_chunk, ports.UpstreamFault):
+            self.crash_detector.record_lost(self.job, self.grant)
+        elif not body_chunk:
+            self.crash_detector.record_answer(self.job)
+        if not body_chunk or isinstance(body_chunk, ports.UpstreamFault):
+            self.end(classification.classify_body(self.answer, body_chunk))
+        return body_chunk
 
     def end(self, result: upstreams.Result) -> None:
-        """Give the slot back; only the first call counts."""
+        """Release the slot; calls after the first do nothing."""
         if self.ended:
             return
         self.ended = True
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -1,8 +1,8 @@
 """
-Takes grants from the balancers for requests, and gives them back.
+Acquires grants from the balancers for requests, and returns them.
 
-A request that finds no room waits here for its grant. While any waits, the
-queues are checked by a timer, since no answer may end for a long time.
+A request that gets no upstream slot waits here for its grant. While any request waits,
+a timer checks the queues, since it may take long until the next answer ends.
 """
 
 import asyncio
@@ -14,28 +14,30 @@
 from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes, upstreams
 
-#: How often the queues are checked at least while calls wait, in seconds.
-QUEUE_CHECK_S = 0.02
-#: Least seconds between two checks of the queues.
-MIN_CHECK_INTERVAL_S = 0.001
+#: Longest interval between two checks of the queues while calls wait, in seconds.
+MAX_QUEUE_CHECK_S = 0.02
+#: Shortest interval between two checks of the queues, in seconds.
+MIN_QUEUE_CHECK_S = 0.001
 
 Verdict = verdicts.Grant | outcomes.Refusal
 
 
-def check_in_s(deciders: abc.Iterable[balancer.Balancer], now: ids.Instant) -> float:
+def queue_check_delay_s(
+    balancers: abc.Iterable[balancer.Balancer], now: ids.Instant
+) -> float:
     """
-    Return in how many seconds the queues are to be checked again.
+    Return the seconds until the queues must be checked again.
 
-    A turn that is taken late makes all later ones late: calls that were let wait for
-    theirs would be refused after all.
+    A call that is sent later than scheduled delays all calls behind it: those that were
+    queued because their turn would come in time would then be refused.
     """
-    turns = [decider.next_turn(now) for decider in deciders]
+    turns = [service_balancer.next_turn(now) for service_balancer in balancers]
     due_in_s = [turn - now for turn in turns if turn > now]
-    return max(MIN_CHECK_INTERVAL_S, min([QUEUE_CHECK_S, *due_in_s]))
+    return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
 
 class GrantState(typing.Protocol):
-    """What grants need of the process that they run in."""
+    """The process state that grants use."""
 
     clock: clock.Clock
     balancer_by_service: dict[ids.ServiceName, balancer.Balancer]
@@ -45,18 +47,20 @@
     """
     The grants of one process.
 
-    Invariants: a request that waits gets exactly one verdict; a grant that
-    arrives together with the cancellation of its request is finished here.
+    Invariants: a waiting request gets exactly one verdict; a grant that arrives
+    together with the cancellation of its request is finished here.
     """
 
-    def __init__(self, state: GrantState, watch: crash_watch.CrashWatch) -> None:
+    def __init__(
+        self, state: GrantState, crash_detector: crash_watch.CrashDetector
+    ) -> None:
         self.state = state
-        self.watch = watch
+        self.crash_detector = crash_detector
         self._future_by_call: dict[ids.CallId, asyncio.Future[Verdict]] = {}
         self._queue_check: asyncio.TimerHandle | None = None
 
-    async def take(self, job: jobs.Job) -> Verdict:
-        """Get a new request its first grant, waiting in the queue if need be."""
+    async def acquire(self, job: jobs.Job) -> Verdict:
+        """Acquire the first grant of a new request, which may wait in the queue."""
         offered = job.balancer.offer(job.call, self.state.clock.now())
         if isinstance(offered, verdicts.Waiting):
             return await self._wait(job, offered)
@@ -69,9 +73,9 @@
         result: upstreams.Result,
         report: upstreams.LoadReport | None,
     ) -> None:
-        """Give a grant back, with how its try ended; the slot may go to a call here."""
+        """Return a grant with its result; the slot may go to a waiting call."""
         now = self.state.clock.now()
-        self.watch.marks.finished(grant)
+        self.crash_detector.marks.drop(grant)
         self._settle(job.balancer.finish(grant, result, report, now))
 
     def _settle(self, settlements: list[verdicts.Settlement]) -> None:
@@ -105,16 +109,16 @@
     def _schedule_queue_check(self) -> None:
         if self._queue_check is None:
             loop = asyncio.get_running_loop()
-            deciders = self.state.balancer_by_service.values()
-            delay_s = check_in_s(deciders, self.state.clock.now())
+            balancers = self.state.balancer_by_service.values()
+            delay_s = queue_check_delay_s(balancers, self.state.clock.now())
             self._queue_check = loop.call_later(delay_s, self._check_queues)
 
     def _check_queues(self) -> None:
         self._queue_check = None
         now = self.state.clock.now()
-        for decider in self.state.balancer_by_service.values():
-            if len(decider.queue):
-                self._settle(decider.settle(now))
-                self._settle(decider.refuse_hopeless(now))
+        for service_balancer in self.state.balancer_by_service.values():
+            if len(service_balancer.queue):
+                self._settle(service_balancer.settle(now))
+                self._settle(service_balancer.refuse_hopeless(now))
         if self._future_by_call:
             self._schedule_queue_check()
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -1,10 +1,10 @@
 """
-Lets a request that may end its upstream be tried by one call at a time.
+Admits suspect requests, which may crash their upstream, one call at a time.
 
-While a request is suspect, one call of it in this process is on trial and the others
-wait for how that ends: mostly with an answer, which clears them all, as after an
-upstream that ended by itself. One that is quarantined is refused at once. What is held
-of a request is decided in ``decisions.quarantine``.
+While a request is suspect, one call of it in this process is on trial and identical
+calls wait for the result. Mostly the upstream has crashed for another reason; the trial
+is then answered, which clears all of them. A quarantined request is refused at once.
+``decisions.quarantine`` decides which requests are suspect or quarantined.
 """
 
 import asyncio
@@ -17,50 +17,53 @@
 from spindlenotch.forwarding import crash_watch, jobs
 from spindlenotch.kernel import outcomes
 
-#: Seconds after which the next call may be tried beside one that takes long: a request
-#: that ended upstreams did so within 0.15 s, and a slow one must not hold up others.
-TRIAL_S = 0.5
-#: Most seconds after which callers of a quarantined request are told to come back: it
-#: may be released at any time, and a refusal costs little.
-MOST_RETRY_AFTER_S = 60.0
-#: Seconds between two looks of a call that waits: an upstream that was asked whether it
-#: is there answers within some milliseconds, and ends the wait.
-CHECK_S = 0.02
+#: Seconds for which a trial holds up identical calls; after that the next one is
+#: admitted beside it. Requests that crashed upstreams did so within 0.15 s, and a slow
+#: trial must not delay the others.
+EXCLUSIVE_TRIAL_S = 0.5
+#: Upper bound of the retry delay given to callers of a quarantined request, in seconds:
+#: it may be released at any time, and a refusal costs little.
+MAX_RETRY_AFTER_S = 60.0
+#: Interval at which a waiting call checks its state again, in seconds: a liveness check
+#: is answered within a few milliseconds, which may end the wait.
+TRIAL_CHECK_INTERVAL_S = 0.02
 
 
 class TrialState(typing.Protocol):
-    """What trials need of the process that they run in."""
+    """The process state that trials use."""
 
     clock: clock.Clock
 
 
 class Trial(msgspec.Struct):
-    """The call that tries a request; ``over`` is set when it has ended."""
+    """The call on trial; ``ended`` is set when the trial has ended."""
 
     call: ids.CallId
     until: ids.Instant
-    over: asyncio.Event
-    #: The one more try that a quarantined request gets.
+    ended: asyncio.Event
+    #: Whether this is the single further trial that a quarantined request gets.
     is_retrial: bool = False
 
 
 class Trials:
     """
-    The trials of one process, by the content of the request.
+    The trials of one process, by the content fingerprint of the request.
 
-    Invariant: of a suspect request one call in ``TRIAL_S`` is admitted, or one when the
-    one before has left.
+    Invariant: the next call of a suspect request is admitted only once the trial before
+    it has ended or ``EXCLUSIVE_TRIAL_S`` has passed.
     """
 
-    def __init__(self, state: TrialState, watch: crash_watch.CrashWatch) -> None:
+    def __init__(
+        self, state: TrialState, crash_detector: crash_watch.CrashDetector
+    ) -> None:
         self.state = state
-        self.watch = watch
-        self.quarantine = watch.quarantine
+        self.crash_detector = crash_detector
+        self.quarantine = crash_detector.quarantine
         self._trial_by_content: dict[ids.Fingerprint, Trial] = {}
         self._content_by_call: dict[ids.CallId, ids.Fingerprint] = {}
 
     def status(self, job: jobs.Job) -> quarantine.CrashStatus:
-        """Return what is held of a request."""
+        """Return whether a request is clear, suspect or quarantined."""
         if not self.quarantine.knows_target(job.target):
             return quarantine.CrashStatus.CLEAR
         return self.quarantine.status(job.fingerprints())
@@ -73,59 +76,59 @@
                 return self._retry_or_refuse(job, now)
             trial = self._trial_by_content.get(job.fingerprints().content)
             if trial is None or trial.until <= now or trial.call == job.call.id:
-                self._begin(job, now)
+                self._start_trial(job, now)
                 return None
             wait_until = min(job.call.wait_until, job.call.deadline)
             if wait_until <= now:
                 return outcomes.not_run(outcomes.Reason.ON_TRIAL, trial.until)
-            await _wait(trial, min(CHECK_S, wait_until - now))
+            await _wait(trial, min(TRIAL_CHECK_INTERVAL_S, wait_until - now))
         return None
 
     def refusal(self, job: jobs.Job) -> outcomes.Refusal | None:
-        """Return the refusal of a request that is quarantined; None where it is not."""
+        """Return the refusal of a quarantined request, or None if it may be sent."""
         if self.status(job) is not quarantine.CrashStatus.QUARANTINED:
             return None
-        prints = job.fingerprints()
-        trial = self._trial_by_content.get(prints.content)
+        request_fingerprints = job.fingerprints()
+        trial = self._trial_by_content.get(request_fingerprints.content)
         if trial is not None and trial.is_retrial and trial.call == job.call.id:
             return None
-        latest = ids.later(self.state.clock.now(), MOST_RETRY_AFTER_S)
-        until = min(latest, self.quarantine.until(prints))
+        latest = ids.later(self.state.clock.now(), MAX_RETRY_AFTER_S)
+        until = min(latest, self.quarantine.until(request_fingerprints))
         return outcomes.not_run(outcomes.Reason.QUARANTINED, until)
 
     def _retry_or_refuse(
         self, job: jobs.Job, now: ids.Instant
     ) -> outcomes.Refusal | None:
-        prints = job.fingerprints()
-        if self.quarantine.take_recheck(prints, now):
-            self.watch.tell(prints)
-            self._begin(job, now, is_retrial=True)
+        request_fingerprints = job.fingerprints()
+        if self.quarantine.take_recheck(request_fingerprints, now):
+            self.crash_detector.publish_notes(request_fingerprints)
+            self._start_trial(job, now, is_retrial=True)
         return self.refusal(job)
 
-    def _begin(
+    def _start_trial(
         self, job: jobs.Job, now: ids.Instant, *, is_retrial: bool = False
     ) -> None:
-        until = ids.later(now, TRIAL_S)
+        until = ids.later(now, EXCLUSIVE_TRIAL_S)
         content = job.fingerprints().content
         trial = Trial(job.call.id, until, asyncio.Event(), is_retrial)
         self._trial_by_content[content] = trial
         self._content_by_call[job.call.id] = content
 
-    def leave(self, job: jobs.Job) -> None:
-        """End a call's trial, if it is on one: others may follow."""
+    def end_trial(self, job: jobs.Job) -> None:
+        """End the trial of a call, if it is on one, so that the next may start."""
         content = self._content_by_call.pop(job.call.id, None)
         if content is None:
             return
         trial = self._trial_by_content.get(content)
         if trial is not None and trial.call == job.call.id:
             del self._trial_by_content[content]
-            trial.over.set()
+            trial.ended.set()
 
 
 async def _wait(trial: Trial, limit_s: float) -> None:
     try:
         async with asyncio.timeout(limit_s):
-            await trial.over.wait()
+            await trial.ended.wait()
     except TimeoutError:
-        # The caller looks at how things stand then.
+        # The caller of this function checks the request's state again.
         return
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -4,8 +4,8 @@
 Each news goes at once to the gateways that get callers, of other regions too, and for
 some seconds with all gossip; that a request is quarantined goes to everyone, from those
 that found it out. After that one note goes with each message in turn, so that who was
-cut off or has started learns all of them. Relies on ``forwarding.crash_watch`` for what
-this gateway sees itself.
+cut off or has started learns all of them. Relies on ``forwarding.crash_watch``
+for what this gateway sees itself.
 """
 
 import asyncio
@@ -35,18 +35,18 @@
         gateway_state: state.GatewayState,
         gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
-        watch: crash_watch.CrashWatch,
+        crash_detector: crash_watch.CrashDetector,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.link = link
-        self.watch = watch
+        self.crash_detector = crash_detector
         self._news: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
         self._turn = 0
-        watch.add_listener(self._add_news)
+        crash_detector.add_listener(self._add_news)
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -63,7 +63,7 @@
         """Let go of old notes, log changes, and choose what gossip carries now."""
         now = self.state.clock.now()
         self.known.expire(now)
-        self.watch.check_ended()
+        self.crash_detector.clear_false_alarms()
         self._take_changes(now)
         for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
             del self._recent_until[fingerprint]
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -187,8 +187,8 @@
             "decisions/queueing.MIN_COMPLETIONS_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
             "kernel/wait_queue.OLDEST_FIRST_EVERY",
-            "forwarding/granting.QUEUE_CHECK_S",
-            "forwarding/granting.MIN_CHECK_INTERVAL_S",
+            "forwarding/granting.MAX_QUEUE_CHECK_S",
+            "forwarding/granting.MIN_QUEUE_CHECK_S",
         ),
         events=("REQUEST_REFUSED",),
         tests=(
@@ -229,7 +229,7 @@
             "kernel/upstream_pool.Pool.usable_again_at",
             "gateway/serving/refusals.not_run",
             "gateway/serving/refusals.failure_status",
-            "forwarding/judgement.refusal",
+            "forwarding/classification.refusal",
             "entry/texts.status_of",
         ),
         inputs="whether the request may have run, the reason, queue length, typical"
@@ -258,7 +258,7 @@
         functions=(
             "decisions/retrying.is_allowed",
             "decisions/balancer.Balancer.retry",
-            "forwarding/race.Race._retry",
+            "forwarding/attempts.Attempts._retry",
         ),
         inputs="whether the failed try is known not to have run, whether the request"
         " may run twice, tries so far and how many of them reached nobody, deadline,"
@@ -352,8 +352,8 @@
     Rule(
         question="What counts as a whole answer, as 'not run', as unknown",
         functions=(
-            "forwarding/judgement.end_of_fault",
-            "forwarding/judgement.end_of_answer",
+            "forwarding/classification.classify_fault",
+            "forwarding/classification.classify_answer",
             "gateway/serving/answers.read",
             "gateway/serving/answers.falsely_says_not_run",
             "drivers/upstream_http.HttpUpstreamPort.send",
