--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -13,7 +13,7 @@
 from spindlenotch import ids
 from spindlenotch.kernel import (
     cold_start,
-    hearing,
+    liveness,
     named_limit,
     ownership,
     regions,
@@ -62,7 +62,7 @@
             service.zones, service.day, 0.0
         )
         self.changes = state_changes.ChangeLog()
-        self.probing = hearing.Probing()
+        self.probing = liveness.Probing()
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -20,8 +20,8 @@
     cold_start,
     ejection,
     failure_share,
-    hearing,
     latency,
+    liveness,
     shared_rate,
 )
 
@@ -126,7 +126,7 @@
         slots: int,
         now: ids.Instant,
         on_change: ChangeListener,
-        probing: hearing.Probing | None = None,
+        probing: liveness.Probing | None = None,
         said: backpressure.Backpressure | None = None,
     ) -> None:
         self.spec = spec
@@ -152,7 +152,7 @@
         self.failure_share = failure_share.FailureShare()
         self.ejections_in_row = 0
         self.answers = 0
-        self.hearing = hearing.Hearing(now, probing or hearing.Probing())
+        self.hearing = liveness.Hearing(now, probing or liveness.Probing())
         self.owned_slots = 0.0
         self.foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
         self.mean_slowdown = latency.Mean(1.0, MEAN_SLOWDOWN_WEIGHT)
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -30,14 +30,14 @@
     ),
     mutant_table.Mutant(
         "a try that is broken off leaves no silence",
-        "kernel/hearing",
+        "kernel/liveness",
         "self._owed_s = self._owed(now) + self._waited_s(now)",
         "self._owed_s = 0.0",
         "what stands still is found out by tries that break off",
     ),
     mutant_table.Mutant(
         "an upstream that owed an answer is never tried again",
-        "kernel/hearing",
+        "kernel/liveness",
         "latency.decay(now - self._owed_at, OWED_FADE_S)",
         "1.0",
         "what went on again is used again",
@@ -72,7 +72,7 @@
     ),
     mutant_table.Mutant(
         "an upstream that has long been silent counts as one that nobody probes",
-        "kernel/hearing",
+        "kernel/liveness",
         "return self.told_at >= self._owing_since - PROBED_WITHIN_S",
         "return self.told_at >= self._owing_since - REPORTED_WITHIN_S",
         "so does one that is sent to long after probes miss it",
