--- a/features/steps/gateway_cold.py
+++ b/features/steps/gateway_cold.py
@@ -117,7 +117,7 @@
     for name, one in played.items():
         upstream = made.upstream_by_id[name]
         # These upstreams work: a probe told of them a moment ago.
-        upstream.hearing.reported(ids.later(now, -TOLD_AGO_S))
+        upstream.liveness.reported(ids.later(now, -TOLD_AGO_S))
         if upstream.may_take(now):
             upstream.sent(ids.CallId(f"{name}-{at}"), now)
             one.sent_at.append(at)
--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -105,7 +105,7 @@
         for upstream in pool.usable_order:
             if not self._stands_still(at):
                 # These work: a probe told of them a moment ago.
-                upstream.hearing.reported(ids.later(now, -ANSWER_S))
+                upstream.liveness.reported(ids.later(now, -ANSWER_S))
             if upstream.may_take(now):
                 self._send(number, upstream, at)
 
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -38,14 +38,14 @@
     So it may where nothing was heard of it for longer than 95 in 100 answers take: one
     that loses its host closes no connection.
     """
-    return now - max(sent_at, upstream.hearing.heard_at) > p95_s
+    return now - max(sent_at, upstream.liveness.heard_at) > p95_s
 
 
 def overdue_cost(
     upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
 ) -> float:
     """Return what its silence costs, as a share of the typical latency."""
-    if not upstream.sent_at_by_call and not upstream.hearing.owes:
+    if not upstream.sent_at_by_call and not upstream.liveness.owes:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
     return COST_PER_MISSED_ANSWER * max(0.0, missed - FREE_MISSED_ANSWERS)
--- a/spindlenotch/entry/prober.py
+++ b/spindlenotch/entry/prober.py
@@ -66,7 +66,7 @@
         now = self.state.clock.now()
         for upstream in found.pool.usable_order:
             if (
-                now - max(upstream.hearing.answered_at, upstream.report_at)
+                now - max(upstream.liveness.answered_at, upstream.report_at)
                 < KNOWN_FOR_S
             ):
                 continue
--- a/spindlenotch/kernel/repeats.py
+++ b/spindlenotch/kernel/repeats.py
@@ -108,7 +108,7 @@
         """Settle what has been read by now."""
         still_unread = []
         for copy in self._unread:
-            is_read = copy.upstream.hearing.read_until > copy.sent_at
+            is_read = copy.upstream.liveness.read_until > copy.sent_at
             if is_read or now - copy.sent_at > MOST_UNREAD_S:
                 self._settle(copy, now)
                 if is_read and now - copy.sent_at > LATE_S:
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -112,7 +112,7 @@
         at: ids.Instant,
     ) -> None:
         """Take in a load report of ``at`` that a probe brought, own or of a peer."""
-        upstream.hearing.told(at)
+        upstream.liveness.told(at)
         self.reported(upstream, report, at)
 
     def record_share(self, result: upstreams.Result) -> None:
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -152,7 +152,7 @@
         self.failure_share = failure_share.FailureShare()
         self.ejections_in_row = 0
         self.answers = 0
-        self.hearing = liveness.Hearing(now, probing or liveness.Probing())
+        self.liveness = liveness.Hearing(now, probing or liveness.Probing())
         self.owned_slots = 0.0
         self.foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
         self.mean_slowdown = latency.Mean(1.0, MEAN_SLOWDOWN_WEIGHT)
@@ -166,7 +166,7 @@
 
     def sent(self, call: ids.CallId, now: ids.Instant) -> None:
         """Record that a call goes out."""
-        self.hearing.sent(now, is_first=not self.sent_at_by_call)
+        self.liveness.sent(now, is_first=not self.sent_at_by_call)
         self.sent_at_by_call[call] = now
         self.cold.sent(now)
         self.backpressure.limit.request_sent(now)
@@ -179,10 +179,10 @@
         if sent_at is None:
             return
         if result is Result.CANCELLED:
-            self.hearing.broken_off(now, is_last=not self.sent_at_by_call)
+            self.liveness.broken_off(now, is_last=not self.sent_at_by_call)
             return
         was_read = result in (Result.ANSWERED, Result.SHED)
-        self.hearing.answered(now, sent_at if was_read else None)
+        self.liveness.answered(now, sent_at if was_read else None)
         self.failure_share.add(FAILURES_BY_RESULT[result], now)
         if result is Result.ANSWERED:
             self.answers += 1
@@ -199,7 +199,7 @@
         """Take in a load report that came with an answer or a probe."""
         self.report = report
         self.report_at = now
-        self.hearing.reported(now)
+        self.liveness.reported(now)
         self.outstanding_at_report = self.outstanding
         foreign = max(0, report.running + report.queued - self.outstanding_at_report)
         self.foreign_load.add(foreign)
@@ -247,7 +247,7 @@
 
     def silent_s(self, now: ids.Instant) -> float:
         """Return for how many seconds it has owed an answer without giving any."""
-        return self.hearing.silent_s(now, is_busy=bool(self.sent_at_by_call))
+        return self.liveness.silent_s(now, is_busy=bool(self.sent_at_by_call))
 
     def eject(self, reason: str, now: ids.Instant) -> None:
         """Take it out of use for a while that doubles each time in a row."""
@@ -257,7 +257,7 @@
         self.ejections_in_row = min(ejection.MOST_COUNTED, self.ejections_in_row + 1)
         self.failures_in_row = 0
         self.ejected_at = now
-        self._awaits_report = reason == ejection.SILENT and self.hearing.was_probed()
+        self._awaits_report = reason == ejection.SILENT and self.liveness.was_probed()
         self._become(State.EJECTED, reason, ids.later(now, pause_s))
 
     def leave(self, reason: str) -> None:
@@ -279,7 +279,7 @@
             return
         if self._awaits_report and self._is_still_silent(now):
             return
-        self.hearing.forgive()
+        self.liveness.forgive()
         self._become(State.PROBATION, "ejection over", ids.NEVER)
 
     def _is_still_silent(self, now: ids.Instant) -> bool:
@@ -290,11 +290,11 @@
         """
         if now >= ids.later(self.ejected_at, ejection.LONGEST_PAUSE_S):
             return False
-        return self.hearing.is_missed(self.ejected_at, now)
+        return self.liveness.is_missed(self.ejected_at, now)
 
     def may_take(self, now: ids.Instant) -> bool:
         """Tell whether it may get one more request."""
-        read_until = self.hearing.read_until
+        read_until = self.liveness.read_until
         if not self.cold.may_send(now, read_until):
             return False
         if not self.backpressure.may_send(now, read_until):
@@ -314,7 +314,7 @@
             return self.state_until
         if not self.cold.may_ever_send(now):
             return self.cold.until
-        return self.backpressure.free_at(now, self.hearing.read_until)
+        return self.backpressure.free_at(now, self.liveness.read_until)
 
     def trusted_share(self) -> float:
         """Return the share of its slots that it may be trusted with, 0 to 1."""
