--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -36,7 +36,7 @@
         return now - self.told_at <= REPORTED_WITHIN_S
 
 
-class Hearing:
+class Liveness:
     """
     What was heard of one upstream; ``probing`` is shared by those of its service.
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -386,7 +386,7 @@
             "kernel/ejection.is_frozen",
             "kernel/ejection.pause_s",
             "kernel/ejection.may_eject",
-            "kernel/liveness.Hearing.silent_s",
+            "kernel/liveness.Liveness.silent_s",
             "kernel/upstreams.Upstream.may_take",
         ),
         inputs="failures in a row, silence (s), 95th percentile of the latency (s),"
