--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -25,7 +25,7 @@
 NEVER = ids.Instant(float("-inf"))
 
 
-class Probing:
+class ProbeActivity:
     """When a probe had a report of any upstream of a service last."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
     of it last, own or of a peer, ``heard_at`` when an answer or a report came last.
     """
 
-    def __init__(self, now: ids.Instant, probing: Probing) -> None:
+    def __init__(self, now: ids.Instant, probing: ProbeActivity) -> None:
         self.probing = probing
         self.answered_at = now
         self.read_until = NEVER
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -62,7 +62,7 @@
             service.zones, service.day, 0.0
         )
         self.changes = state_changes.ChangeLog()
-        self.probing = liveness.Probing()
+        self.probing = liveness.ProbeActivity()
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -126,7 +126,7 @@
         slots: int,
         now: ids.Instant,
         on_change: ChangeListener,
-        probing: liveness.Probing | None = None,
+        probing: liveness.ProbeActivity | None = None,
         said: backpressure.Backpressure | None = None,
     ) -> None:
         self.spec = spec
@@ -152,7 +152,7 @@
         self.failure_share = failure_share.FailureShare()
         self.ejections_in_row = 0
         self.answers = 0
-        self.liveness = liveness.Liveness(now, probing or liveness.Probing())
+        self.liveness = liveness.Liveness(now, probing or liveness.ProbeActivity())
         self.owned_slots = 0.0
         self.foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
         self.mean_slowdown = latency.Mean(1.0, MEAN_SLOWDOWN_WEIGHT)
