--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.told_at = NEVER
 
-    def goes_on(self, now: ids.Instant) -> bool:
+    def is_recent(self, now: ids.Instant) -> bool:
         """Tell whether upstreams are probed, as far as is heard."""
         return now - self.told_at <= REPORTED_WITHIN_S
 
@@ -115,7 +115,7 @@
 
     def is_missed(self, since: ids.Instant, now: ids.Instant) -> bool:
         """Tell whether probes tell of other upstreams, and of it not since then."""
-        return self.told_at <= since and self.probing.goes_on(now)
+        return self.told_at <= since and self.probing.is_recent(now)
 
     def _owed(self, now: ids.Instant) -> float:
         """
