--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -78,7 +78,7 @@
             self.read_until = max(self.read_until, sent_at)
             self.heard_at = max(self.heard_at, now)
 
-    def broken_off(self, now: ids.Instant, *, is_last: bool) -> None:
+    def cancelled(self, now: ids.Instant, *, is_last: bool) -> None:
         """Record that a try was broken off; ``is_last``: no other is under way."""
         if is_last:
             self._owed_s = self._owed(now) + self._waited_s(now)
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -179,7 +179,7 @@
         if sent_at is None:
             return
         if result is Result.CANCELLED:
-            self.liveness.broken_off(now, is_last=not self.sent_at_by_call)
+            self.liveness.cancelled(now, is_last=not self.sent_at_by_call)
             return
         was_read = result in (Result.ANSWERED, Result.SHED)
         self.liveness.answered(now, sent_at if was_read else None)
