--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -96,7 +96,7 @@
         self.told_at = max(self.told_at, at)
         self.probing.told_at = max(self.probing.told_at, at)
 
-    def forgive(self) -> None:
+    def reset(self) -> None:
         """Begin anew with an upstream that gets another chance."""
         self._owed_s = 0.0
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -279,7 +279,7 @@
             return
         if self._awaits_report and self._is_still_silent(now):
             return
-        self.liveness.forgive()
+        self.liveness.reset()
         self._become(State.PROBATION, "ejection over", ids.NEVER)
 
     def _is_still_silent(self, now: ids.Instant) -> bool:
