--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -45,7 +45,7 @@
     upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
 ) -> float:
     """Return what its silence costs, as a share of the typical latency."""
-    if not upstream.sent_at_by_call and not upstream.liveness.owes:
+    if not upstream.sent_at_by_call and not upstream.liveness.has_unanswered_attempts:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
     return COST_PER_MISSED_ANSWER * max(0.0, missed - FREE_MISSED_ANSWERS)
--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -105,7 +105,7 @@
         return self._owed(now) + (self._waited_s(now) if is_busy else 0.0)
 
     @property
-    def owes(self) -> bool:
+    def has_unanswered_attempts(self) -> bool:
         """Tell whether tries were broken off since anything was heard."""
         return self._owed_s > 0.0
 
