--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -113,7 +113,7 @@
         """Tell whether probes told of it in the time before it owed an answer."""
         return self.told_at >= self._owing_since - PROBED_WITHIN_S
 
-    def is_missed(self, since: ids.Instant, now: ids.Instant) -> bool:
+    def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
         """Tell whether probes tell of other upstreams, and of it not since then."""
         return self.told_at <= since and self.probing.is_recent(now)
 
@@ -126,7 +126,7 @@
         """
         if not self._owed_s:
             return 0.0
-        if self.was_probed() and self.is_missed(self._owing_since, now):
+        if self.was_probed() and self.is_missing_from_probes(self._owing_since, now):
             return self._owed_s
         return self._owed_s * latency.decay(now - self._owed_at, OWED_FADE_S)
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -290,7 +290,7 @@
         """
         if now >= ids.later(self.ejected_at, ejection.LONGEST_PAUSE_S):
             return False
-        return self.liveness.is_missed(self.ejected_at, now)
+        return self.liveness.is_missing_from_probes(self.ejected_at, now)
 
     def may_take(self, now: ids.Instant) -> bool:
         """Tell whether it may get one more request."""
