--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -55,14 +55,14 @@
         self._owing_since = now
         #: How long tries waited that were broken off since anything was heard, as it
         #: counted at the instant beside it.
-        self._owed_s = 0.0
+        self._cancelled_wait_s = 0.0
         self._owed_at = now
 
     def sent(self, now: ids.Instant, *, is_first: bool) -> None:
         """Record that a try goes out; ``is_first``: no other is under way."""
         if is_first:
             self._busy_since = now
-            if not self._owed_s:
+            if not self._cancelled_wait_s:
                 self._owing_since = now
 
     def answered(self, now: ids.Instant, sent_at: ids.Instant | None) -> None:
@@ -73,7 +73,7 @@
         """
         self.answered_at = now
         self._owing_since = now
-        self._owed_s = 0.0
+        self._cancelled_wait_s = 0.0
         if sent_at is not None:
             self.read_until = max(self.read_until, sent_at)
             self.heard_at = max(self.heard_at, now)
@@ -81,7 +81,7 @@
     def cancelled(self, now: ids.Instant, *, is_last: bool) -> None:
         """Record that a try was broken off; ``is_last``: no other is under way."""
         if is_last:
-            self._owed_s = self._owed(now) + self._waited_s(now)
+            self._cancelled_wait_s = self._owed(now) + self._waited_s(now)
             self._owed_at = now
 
     def reported(self, at: ids.Instant) -> None:
@@ -89,7 +89,7 @@
         self.read_until = max(self.read_until, ids.Instant(at - REPORT_LAG_S))
         self.heard_at = max(self.heard_at, at)
         if at > self._owing_since:
-            self._owed_s = 0.0
+            self._cancelled_wait_s = 0.0
 
     def told(self, at: ids.Instant) -> None:
         """Record that a probe had a report of it, made at ``at``."""
@@ -98,7 +98,7 @@
 
     def reset(self) -> None:
         """Begin anew with an upstream that gets another chance."""
-        self._owed_s = 0.0
+        self._cancelled_wait_s = 0.0
 
     def silent_s(self, now: ids.Instant, *, is_busy: bool) -> float:
         """Return for how many seconds it has owed an answer without giving any."""
@@ -107,7 +107,7 @@
     @property
     def has_unanswered_attempts(self) -> bool:
         """Tell whether tries were broken off since anything was heard."""
-        return self._owed_s > 0.0
+        return self._cancelled_wait_s > 0.0
 
     def was_probed(self) -> bool:
         """Tell whether probes told of it in the time before it owed an answer."""
@@ -124,11 +124,11 @@
         It does not fade while probes tell of others and miss this one: requests would
         be sent there again and again.
         """
-        if not self._owed_s:
+        if not self._cancelled_wait_s:
             return 0.0
         if self.was_probed() and self.is_missing_from_probes(self._owing_since, now):
-            return self._owed_s
-        return self._owed_s * latency.decay(now - self._owed_at, OWED_FADE_S)
+            return self._cancelled_wait_s
+        return self._cancelled_wait_s * latency.decay(now - self._owed_at, OWED_FADE_S)
 
     def _waited_s(self, now: ids.Instant) -> float:
         return max(0.0, now - max(self.answered_at, self._busy_since))
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -31,8 +31,8 @@
     mutant_table.Mutant(
         "a try that is broken off leaves no silence",
         "kernel/liveness",
-        "self._owed_s = self._owed(now) + self._waited_s(now)",
-        "self._owed_s = 0.0",
+        "self._cancelled_wait_s = self._owed(now) + self._waited_s(now)",
+        "self._cancelled_wait_s = 0.0",
         "what stands still is found out by tries that break off",
     ),
     mutant_table.Mutant(
