--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -52,7 +52,7 @@
         self.told_at = NEVER
         self.heard_at = NEVER
         self._busy_since = now
-        self._owing_since = now
+        self._unanswered_since = now
         #: How long tries waited that were broken off since anything was heard, as it
         #: counted at the instant beside it.
         self._cancelled_wait_s = 0.0
@@ -63,7 +63,7 @@
         if is_first:
             self._busy_since = now
             if not self._cancelled_wait_s:
-                self._owing_since = now
+                self._unanswered_since = now
 
     def answered(self, now: ids.Instant, sent_at: ids.Instant | None) -> None:
         """
@@ -72,7 +72,7 @@
         ``sent_at`` is when it was sent, where its answer shows that it was read.
         """
         self.answered_at = now
-        self._owing_since = now
+        self._unanswered_since = now
         self._cancelled_wait_s = 0.0
         if sent_at is not None:
             self.read_until = max(self.read_until, sent_at)
@@ -88,7 +88,7 @@
         """Record that it reported its load at ``at``, and so did not stand still."""
         self.read_until = max(self.read_until, ids.Instant(at - REPORT_LAG_S))
         self.heard_at = max(self.heard_at, at)
-        if at > self._owing_since:
+        if at > self._unanswered_since:
             self._cancelled_wait_s = 0.0
 
     def told(self, at: ids.Instant) -> None:
@@ -111,7 +111,7 @@
 
     def was_probed(self) -> bool:
         """Tell whether probes told of it in the time before it owed an answer."""
-        return self.told_at >= self._owing_since - PROBED_WITHIN_S
+        return self.told_at >= self._unanswered_since - PROBED_WITHIN_S
 
     def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
         """Tell whether probes tell of other upstreams, and of it not since then."""
@@ -126,7 +126,9 @@
         """
         if not self._cancelled_wait_s:
             return 0.0
-        if self.was_probed() and self.is_missing_from_probes(self._owing_since, now):
+        if self.was_probed() and self.is_missing_from_probes(
+            self._unanswered_since, now
+        ):
             return self._cancelled_wait_s
         return self._cancelled_wait_s * latency.decay(now - self._owed_at, OWED_FADE_S)
 
