--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -22,14 +22,14 @@
 #: hears is tried again: some seconds, as requests come far more often where it matters.
 OWED_FADE_S = 5.0
 
-NEVER = ids.Instant(float("-inf"))
+LONG_AGO = ids.Instant(float("-inf"))
 
 
 class ProbeActivity:
     """When a probe had a report of any upstream of a service last."""
 
     def __init__(self) -> None:
-        self.told_at = NEVER
+        self.told_at = LONG_AGO
 
     def is_recent(self, now: ids.Instant) -> bool:
         """Tell whether upstreams are probed, as far as is heard."""
@@ -48,9 +48,9 @@
     def __init__(self, now: ids.Instant, probing: ProbeActivity) -> None:
         self.probing = probing
         self.answered_at = now
-        self.read_until = NEVER
-        self.told_at = NEVER
-        self.heard_at = NEVER
+        self.read_until = LONG_AGO
+        self.told_at = LONG_AGO
+        self.heard_at = LONG_AGO
         self._busy_since = now
         self._unanswered_since = now
         #: How long tries waited that were broken off since anything was heard, as it
