--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -29,11 +29,11 @@
     """When a probe had a report of any upstream of a service last."""
 
     def __init__(self) -> None:
-        self.told_at = LONG_AGO
+        self.probed_at = LONG_AGO
 
     def is_recent(self, now: ids.Instant) -> bool:
         """Tell whether upstreams are probed, as far as is heard."""
-        return now - self.told_at <= REPORTED_WITHIN_S
+        return now - self.probed_at <= REPORTED_WITHIN_S
 
 
 class Liveness:
@@ -41,7 +41,7 @@
     What was heard of one upstream; ``probing`` is shared by those of its service.
 
     ``answered_at`` is when a request ended there last, ``read_until`` an instant before
-    which all that was sent to it has been read, ``told_at`` when a probe had a report
+    which all that was sent to it has been read, ``probed_at`` when a probe had a report
     of it last, own or of a peer, ``heard_at`` when an answer or a report came last.
     """
 
@@ -49,7 +49,7 @@
         self.probing = probing
         self.answered_at = now
         self.read_until = LONG_AGO
-        self.told_at = LONG_AGO
+        self.probed_at = LONG_AGO
         self.heard_at = LONG_AGO
         self._busy_since = now
         self._unanswered_since = now
@@ -93,8 +93,8 @@
 
     def told(self, at: ids.Instant) -> None:
         """Record that a probe had a report of it, made at ``at``."""
-        self.told_at = max(self.told_at, at)
-        self.probing.told_at = max(self.probing.told_at, at)
+        self.probed_at = max(self.probed_at, at)
+        self.probing.probed_at = max(self.probing.probed_at, at)
 
     def reset(self) -> None:
         """Begin anew with an upstream that gets another chance."""
@@ -111,11 +111,11 @@
 
     def was_probed(self) -> bool:
         """Tell whether probes told of it in the time before it owed an answer."""
-        return self.told_at >= self._unanswered_since - PROBED_WITHIN_S
+        return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S
 
     def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
         """Tell whether probes tell of other upstreams, and of it not since then."""
-        return self.told_at <= since and self.probing.is_recent(now)
+        return self.probed_at <= since and self.probing.is_recent(now)
 
     def _owed(self, now: ids.Instant) -> float:
         """
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -73,8 +73,8 @@
     mutant_table.Mutant(
         "an upstream that has long been silent counts as one that nobody probes",
         "kernel/liveness",
-        "return self.told_at >= self._unanswered_since - PROBED_WITHIN_S",
-        "return self.told_at >= self._unanswered_since - REPORTED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - REPORTED_WITHIN_S",
         "so does one that is sent to long after probes miss it",
     ),
 )
