--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -7,7 +7,7 @@
 from features.steps import kernel
 from spindlenotch import ids
 from spindlenotch.decisions import balancer, soonest, verdicts
-from spindlenotch.kernel import crowding, extra_budgets, outcomes, upstreams
+from spindlenotch.kernel import contention, extra_budgets, outcomes, upstreams
 
 NOW = kernel.NOW
 ZONE = kernel.ZONES[0]
@@ -139,7 +139,7 @@
         strategies.integers(2, 12),
     )
     def check(slowdown: float, samples: int, slots: int) -> None:
-        found = crowding.Crowding()
+        found = contention.Crowding()
         for number in range(samples):
             times = 0.9 + 0.2 * (number % 2)
             found.add(
@@ -171,9 +171,9 @@
                 slowdown=1.0,
                 latency_ratio=7.0,
             )
-        known = samples >= crowding.LEAST_SAMPLES
+        known = samples >= contention.LEAST_SAMPLES
         limited = known and slowdown >= 1.2
-        below = max(1, int(crowding.NEARLY_FULL * slots))
+        below = max(1, int(contention.NEARLY_FULL * slots))
         assert found.usable(slots) == (below if limited else slots)
         # Until then, some upstreams are spared so that there is a comparison.
         spared = limited or not known
@@ -181,7 +181,7 @@
 
     check()
     made = paced([3, 3])
-    for _ in range(crowding.LEAST_SAMPLES):
+    for _ in range(contention.LEAST_SAMPLES):
         made.pool.crowding.add(
             slots=3, load_sent=1.0, load_answered=1.0, slowdown=1.0, latency_ratio=1.0
         )
@@ -250,7 +250,7 @@
             ]
             for waiting_call in list(made.queue):
                 made.withdraw(waiting_call.id)
-        crowded = made.pool.crowding.slowdown() >= crowding.CROWDED
+        crowded = made.pool.crowding.slowdown() >= contention.CROWDED
         assert crowded is (slowdown > 1.0)
 
     check()
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overflow, silence
-from spindlenotch.kernel import crowding, upstream_pool, upstreams, waiting
+from spindlenotch.kernel import contention, upstream_pool, upstreams, waiting
 
 NAME = "paced"
 #: How far the estimated load may lie above the slots for an upstream to have
@@ -153,7 +153,7 @@
 
 
 def has_room(
-    upstream: upstreams.Upstream, load: float, crowded: crowding.Crowding
+    upstream: upstreams.Upstream, load: float, crowded: contention.Crowding
 ) -> bool:
     """Tell whether one more request would start there at once and slow no other."""
     usable = crowded.usable(upstream.slots, sample=upstream.crowding_sample)
--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import crowding, upstreams
+from spindlenotch.kernel import contention, upstreams
 
 #: Time after which a report is repeated that says the same as the one before. By
 #: then the slowdown that it told counts for two thirds (``SLOWDOWN_DECAY_S``).
@@ -98,4 +98,4 @@
     report = upstream.report
     if report.slowdown > upstreams.SLOWED_FACTOR:
         return False
-    return report.running + report.queued < crowding.NEARLY_FULL * upstream.slots
+    return report.running + report.queued < contention.NEARLY_FULL * upstream.slots
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -11,7 +11,7 @@
 from spindlenotch import ids
 from spindlenotch.kernel import (
     completion_rate,
-    crowding,
+    contention,
     ejection,
     latency,
     latency_table,
@@ -64,7 +64,7 @@
         self.failed_share = latency.Mean(0.0, FAILED_WEIGHT)
         #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
-        self.crowding = crowding.Crowding()
+        self.crowding = contention.Crowding()
         self._turns_at = shared_rate.LONG_AGO
         self._turns: turns.Turns | None = None
         self.completions = completion_rate.CompletionRate()
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -114,7 +114,7 @@
     sent and not seen the end of, oldest first; ``LEAVING`` is left only by a
     higher generation; ``latency_ratio`` is the mean ratio of observed to typical
     latency; ``crowding_sample`` holds for about half of all upstreams, the same in
-    every process (``crowding``). ``cold`` says what it may get while it is cold;
+    every process (``contention``). ``cold`` says what it may get while it is cold;
     ``ejected_at`` is when it was ejected last, ``known_since`` when this process
     learnt of this start of it, ``backpressure`` what this start has said of how much
     it will take.
