--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -182,10 +182,10 @@
     check()
     made = paced([3, 3])
     for _ in range(contention.LEAST_SAMPLES):
-        made.pool.crowding.add(
+        made.pool.contention.add(
             slots=3, load_sent=1.0, load_answered=1.0, slowdown=1.0, latency_ratio=1.0
         )
-        made.pool.crowding.add(
+        made.pool.contention.add(
             slots=3, load_sent=3.0, load_answered=3.0, slowdown=1.0, latency_ratio=1.5
         )
     for number in range(6):
@@ -250,7 +250,7 @@
             ]
             for waiting_call in list(made.queue):
                 made.withdraw(waiting_call.id)
-        crowded = made.pool.crowding.slowdown() >= contention.CROWDED
+        crowded = made.pool.contention.slowdown() >= contention.CROWDED
         assert crowded is (slowdown > 1.0)
 
     check()
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -137,7 +137,7 @@
     def _learn_crowding(
         self, grant: verdicts.Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
-        self.pool.crowding.add(
+        self.pool.contention.add(
             slots=grant.upstream.slots,
             load_sent=grant.load,
             load_answered=report.running + report.queued + 1,
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -128,7 +128,7 @@
     that are slowed or ejected; 1 where there are no others.
     """
     sound = [u for u in pool.near_order if _is_sound(u, now)]
-    crowded = pool.crowding
+    crowded = pool.contention
     usable = sum(crowded.usable(u.slots, sample=u.crowding_sample) for u in sound)
     if usable <= 0:
         return 1.0
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -18,7 +18,7 @@
 ROOM_MARGIN = 0.25
 #: Share of its slots in use from which an upstream is expected to be slower, rising to
 #: ``FULL_SLOWDOWN`` when all are in use. It weighs upstreams against each other;
-#: ``crowding.NEARLY_FULL`` is where slots stop being used.
+#: ``contention.NEARLY_FULL`` is where slots stop being used.
 SLOWER_FROM_SHARE = 0.7
 #: How much longer work takes when all slots are in use, as a share.
 FULL_SLOWDOWN = 0.7
@@ -132,7 +132,7 @@
     cost_by_id: dict[ids.UpstreamId, float] = {}
     for upstream in options:
         load = pool.estimated_load(upstream, now)
-        if has_room(upstream, load, pool.crowding):
+        if has_room(upstream, load, pool.contention):
             cost = expected_s(pool, call, upstream, load, typical_s, now)
             cost_by_id[upstream.spec.id] = cost
     return cost_by_id
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -231,4 +231,4 @@
     if not upstream.may_take(now):
         return False
     load = pool.estimated_load(upstream, now)
-    return soonest.has_room(upstream, load, pool.crowding)
+    return soonest.has_room(upstream, load, pool.contention)
