--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -139,7 +139,7 @@
         strategies.integers(2, 12),
     )
     def check(slowdown: float, samples: int, slots: int) -> None:
-        found = contention.Crowding()
+        found = contention.Contention()
         for number in range(samples):
             times = 0.9 + 0.2 * (number % 2)
             found.add(
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -153,7 +153,7 @@
 
 
 def has_room(
-    upstream: upstreams.Upstream, load: float, crowded: contention.Crowding
+    upstream: upstreams.Upstream, load: float, crowded: contention.Contention
 ) -> bool:
     """Tell whether one more request would start there at once and slow no other."""
     usable = crowded.usable(upstream.slots, sample=upstream.crowding_sample)
--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -36,7 +36,7 @@
 LEAST_LATENCY = 1e-9
 
 
-class Crowding:
+class Contention:
     """
     How much slower one service's upstreams are when nearly full.
 
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -64,7 +64,7 @@
         self.failed_share = latency.Mean(0.0, FAILED_WEIGHT)
         #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
-        self.contention = contention.Crowding()
+        self.contention = contention.Contention()
         self._turns_at = shared_rate.LONG_AGO
         self._turns: turns.Turns | None = None
         self.completions = completion_rate.CompletionRate()
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -58,7 +58,7 @@
             "decisions/soonest.without_slowed",
             "decisions/soonest.failure_cost",
             "kernel/failure_share.FailureShare.value",
-            "kernel/contention.Crowding.usable",
+            "kernel/contention.Contention.usable",
             "decisions/silence.overdue_cost",
         ),
         inputs="typical latency of the route (s), reported slowdown (factor) and its"
