--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -250,7 +250,7 @@
             ]
             for waiting_call in list(made.queue):
                 made.withdraw(waiting_call.id)
-        crowded = made.pool.contention.slowdown() >= contention.CROWDED
+        crowded = made.pool.contention.slowdown() >= contention.CONTENTION_RATIO
         assert crowded is (slowdown > 1.0)
 
     check()
--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -31,7 +31,7 @@
 #: Ratio of the two latencies from which the last slots stay empty. It is far below the
 #: slowdown of a full upstream, since what counts as nearly full was so for part of the
 #: time only.
-CROWDED = 1.08
+CONTENTION_RATIO = 1.08
 #: Least mean latency ratio that is divided by, so that the ratio stays finite.
 LEAST_LATENCY = 1e-9
 
@@ -93,7 +93,7 @@
         ``sample``: the upstream is one of those whose last slots stay empty until
         enough is known.
         """
-        sparing = sample if not self._known() else self.slowdown() >= CROWDED
+        sparing = sample if not self._known() else self.slowdown() >= CONTENTION_RATIO
         return max(1, int(NEARLY_FULL * slots)) if sparing else slots
 
     def _known(self) -> bool:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -87,7 +87,7 @@
             "kernel/contention.NEARLY_FULL",
             "kernel/contention.UNSLOWED_FACTOR",
             "kernel/contention.LEAST_SAMPLES",
-            "kernel/contention.CROWDED",
+            "kernel/contention.CONTENTION_RATIO",
             "decisions/silence.FREE_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
             "gateway/serving/job_factory.CROSS_ZONE_S",
