--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -129,7 +129,7 @@
     """
     sound = [u for u in pool.near_order if _is_sound(u, now)]
     crowded = pool.contention
-    usable = sum(crowded.usable(u.slots, sample=u.crowding_sample) for u in sound)
+    usable = sum(crowded.usable(u.slots, sample=u.contention_sample) for u in sound)
     if usable <= 0:
         return 1.0
     return sum(min(u.slots, pool.estimated_load(u, now)) for u in sound) / usable
--- a/spindlenotch/decisions/soonest.py
+++ b/spindlenotch/decisions/soonest.py
@@ -156,7 +156,7 @@
     upstream: upstreams.Upstream, load: float, crowded: contention.Contention
 ) -> bool:
     """Tell whether one more request would start there at once and slow no other."""
-    usable = crowded.usable(upstream.slots, sample=upstream.crowding_sample)
+    usable = crowded.usable(upstream.slots, sample=upstream.contention_sample)
     return load + 1 <= usable + ROOM_MARGIN
 
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -113,7 +113,7 @@
     Invariants: ``sent_at_by_call`` holds exactly the calls this process has
     sent and not seen the end of, oldest first; ``LEAVING`` is left only by a
     higher generation; ``latency_ratio`` is the mean ratio of observed to typical
-    latency; ``crowding_sample`` holds for about half of all upstreams, the same in
+    latency; ``contention_sample`` holds for about half of all upstreams, the same in
     every process (``contention``). ``cold`` says what it may get while it is cold;
     ``ejected_at`` is when it was ejected last, ``known_since`` when this process
     learnt of this start of it, ``backpressure`` what this start has said of how much
@@ -137,7 +137,7 @@
         )
         self.on_change = on_change
         self.slots = slots
-        self.crowding_sample = zlib.crc32(spec.id.encode()) % 2 == 0
+        self.contention_sample = zlib.crc32(spec.id.encode()) % 2 == 0
         self.state = State.ACTIVE
         self.state_reason = "listed"
         self.state_until = ids.NEVER
