--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -18,7 +18,7 @@
 #: where slots stop being used.
 NEARLY_FULL = 0.75
 #: Highest reported slowdown at which a request is a sample.
-UNSLOWED_FACTOR = 1.3
+MAX_SAMPLE_SLOWDOWN = 1.3
 #: Least samples of each kind before anything is concluded.
 LEAST_SAMPLES = 40
 #: Samples over which the means run.
@@ -67,7 +67,7 @@
         higher of the two estimates; ``latency_ratio`` is its latency as a
         multiple of the typical one.
         """
-        if slowdown > UNSLOWED_FACTOR:
+        if slowdown > MAX_SAMPLE_SLOWDOWN:
             return
         if max(load_sent, load_answered) > slots + LOAD_MARGIN:
             return
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -85,7 +85,7 @@
             "kernel/upstreams.SLOWED_FACTOR",
             "kernel/upstreams.SLOWDOWN_DECAY_S",
             "kernel/contention.NEARLY_FULL",
-            "kernel/contention.UNSLOWED_FACTOR",
+            "kernel/contention.MAX_SAMPLE_SLOWDOWN",
             "kernel/contention.LEAST_SAMPLES",
             "kernel/contention.CONTENTION_RATIO",
             "decisions/silence.FREE_MISSED_ANSWERS",
