--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -171,7 +171,7 @@
                 slowdown=1.0,
                 latency_ratio=7.0,
             )
-        known = samples >= contention.LEAST_SAMPLES
+        known = samples >= contention.MIN_SAMPLES
         limited = known and slowdown >= 1.2
         below = max(1, int(contention.NEARLY_FULL * slots))
         assert found.usable(slots) == (below if limited else slots)
@@ -181,7 +181,7 @@
 
     check()
     made = paced([3, 3])
-    for _ in range(contention.LEAST_SAMPLES):
+    for _ in range(contention.MIN_SAMPLES):
         made.pool.contention.add(
             slots=3, load_sent=1.0, load_answered=1.0, slowdown=1.0, latency_ratio=1.0
         )
--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -20,7 +20,7 @@
 #: Highest reported slowdown at which a request is a sample.
 MAX_SAMPLE_SLOWDOWN = 1.3
 #: Least samples of each kind before anything is concluded.
-LEAST_SAMPLES = 40
+MIN_SAMPLES = 40
 #: Samples over which the means run.
 SAMPLES_AVERAGED = 300
 #: Highest latency ratio that one sample counts with.
@@ -40,7 +40,7 @@
     """
     How much slower one service's upstreams are when nearly full.
 
-    Invariant: nothing is concluded from fewer than ``LEAST_SAMPLES`` of either
+    Invariant: nothing is concluded from fewer than ``MIN_SAMPLES`` of either
     kind.
     """
 
@@ -97,7 +97,7 @@
         return max(1, int(NEARLY_FULL * slots)) if sparing else slots
 
     def _known(self) -> bool:
-        return min(self.full_samples, self.partly_samples) >= LEAST_SAMPLES
+        return min(self.full_samples, self.partly_samples) >= MIN_SAMPLES
 
 
 def _average(mean: latency.Mean, sample: float, samples: int) -> None:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -86,7 +86,7 @@
             "kernel/upstreams.SLOWDOWN_DECAY_S",
             "kernel/contention.NEARLY_FULL",
             "kernel/contention.MAX_SAMPLE_SLOWDOWN",
-            "kernel/contention.LEAST_SAMPLES",
+            "kernel/contention.MIN_SAMPLES",
             "kernel/contention.CONTENTION_RATIO",
             "decisions/silence.FREE_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
