--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -24,7 +24,7 @@
 #: Samples over which the means run.
 SAMPLES_AVERAGED = 300
 #: Highest latency ratio that one sample counts with.
-MOST_LATENCY_RATIO = 3.0
+MAX_LATENCY_RATIO = 3.0
 #: Requests above an upstream's slots with which a request is still a sample: estimates
 #: are fractions.
 LOAD_MARGIN = 0.5
@@ -72,7 +72,7 @@
         if max(load_sent, load_answered) > slots + LOAD_MARGIN:
             return
         limit = NEARLY_FULL * slots
-        sample = min(MOST_LATENCY_RATIO, latency_ratio)
+        sample = min(MAX_LATENCY_RATIO, latency_ratio)
         if load_sent > limit and load_answered > limit:
             self.full_samples += 1
             _average(self.full, sample, self.full_samples)
