--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -33,7 +33,7 @@
 #: time only.
 CONTENTION_RATIO = 1.08
 #: Least mean latency ratio that is divided by, so that the ratio stays finite.
-LEAST_LATENCY = 1e-9
+MIN_LATENCY_RATIO = 1e-9
 
 
 class Contention:
@@ -84,7 +84,7 @@
         """Return the ratio of the two latencies; one where too little is known."""
         if not self._known():
             return 1.0
-        return max(1.0, self.full.value / max(LEAST_LATENCY, self.partly.value))
+        return max(1.0, self.full.value / max(MIN_LATENCY_RATIO, self.partly.value))
 
     def usable(self, slots: int, *, sample: bool = False) -> int:
         """
