--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import named_limit, shared_rate, upstreams
+from spindlenotch.kernel import advertised_limit, shared_rate, upstreams
 
 #: Least seconds between two messages on a limit that stays the same.
 REPEAT_S = 0.2
@@ -57,7 +57,10 @@
         return due
 
     def _is_due(
-        self, upstream: ids.UpstreamId, limit: named_limit.NamedLimit, now: ids.Instant
+        self,
+        upstream: ids.UpstreamId,
+        limit: advertised_limit.NamedLimit,
+        now: ids.Instant,
     ) -> bool:
         told = self._told_by_id.get(upstream)
         if told is not None:
@@ -69,7 +72,7 @@
         return True
 
 
-def _is_news(limit: named_limit.NamedLimit, now: ids.Instant) -> bool:
+def _is_news(limit: advertised_limit.NamedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
     if limit.heard_at < limit.told_at:
         return False
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import named_limit, shared_rate
+from spindlenotch.kernel import advertised_limit, shared_rate
 
 #: Least seconds between two lines of the log on a limit that moves.
 LOG_PERIOD_S = 4.0
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, place: shared_rate.Place) -> None:
-        self.limit = named_limit.NamedLimit(place)
+        self.limit = advertised_limit.NamedLimit(place)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
         self.rests_until = shared_rate.LONG_AGO
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -12,9 +12,9 @@
 
 from spindlenotch import ids
 from spindlenotch.kernel import (
+    advertised_limit,
     cold_start,
     liveness,
-    named_limit,
     ownership,
     regions,
     said,
@@ -108,7 +108,7 @@
         if view == before:
             return
         ended = msgspec.structs.replace(before, until=now)
-        since = now - named_limit.WINDOW.seconds
+        since = now - advertised_limit.WINDOW.seconds
         recent = [one for one in self.views[:-1] if one.until > since]
         self.views = (*recent, ended, view)
         self._share_rates(now)
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -13,7 +13,7 @@
     Rule(
         question="Who sends to an upstream that names a limit, and how often",
         functions=(
-            "kernel/named_limit.NamedLimit.may_send",
+            "kernel/advertised_limit.NamedLimit.may_send",
             "kernel/shared_rate.Place.holders",
             "kernel/shared_rate.Place.held_since",
             "kernel/shared_rate.Pacer.may_send",
@@ -29,9 +29,9 @@
         " too few others are in view, a small part is sent. Calls that find no turn in"
         " time are refused at once.",
         constants=(
-            "kernel/named_limit.LEAST_PER_S",
-            "kernel/named_limit.PARTS_EACH_ALONE",
-            "kernel/named_limit.ASK_AFTER_S",
+            "kernel/advertised_limit.LEAST_PER_S",
+            "kernel/advertised_limit.PARTS_EACH_ALONE",
+            "kernel/advertised_limit.ASK_AFTER_S",
             "kernel/said.KEPT_S",
             "gateway/cluster/limit_news.REPEAT_S",
             "gateway/cluster/limit_news.ENDED_TOLD_S",
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -11,7 +11,7 @@
 MUTANTS = (
     mutant_table.Mutant(
         "each gateway sends all that an upstream takes",
-        "kernel/named_limit",
+        "kernel/advertised_limit",
         "self._pacer.set_part(per_s / len(holders),",
         "self._pacer.set_part(per_s,",
         KEPT,
@@ -32,21 +32,21 @@
     ),
     mutant_table.Mutant(
         "a pace begins anew with each limit that is named",
-        "kernel/named_limit",
+        "kernel/advertised_limit",
         "since = max(self._named_at,",
         "since = max(self.told_at,",
         KEPT,
     ),
     mutant_table.Mutant(
         "a side that sees too few others sends as if it were alone",
-        "kernel/named_limit",
+        "kernel/advertised_limit",
         "part_per_s = per_s / parts",
         "part_per_s = per_s",
         "a side that sees too few others sends a small part",
     ),
     mutant_table.Mutant(
         "those that see too few others all send at the same time",
-        "kernel/named_limit",
+        "kernel/advertised_limit",
         "self.place.local_phase / part_per_s",
         "0.0",
         "a side that sees too few others sends a small part",
