--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -59,7 +59,7 @@
     def _is_due(
         self,
         upstream: ids.UpstreamId,
-        limit: advertised_limit.NamedLimit,
+        limit: advertised_limit.AdvertisedLimit,
         now: ids.Instant,
     ) -> bool:
         told = self._told_by_id.get(upstream)
@@ -72,7 +72,7 @@
         return True
 
 
-def _is_news(limit: advertised_limit.NamedLimit, now: ids.Instant) -> bool:
+def _is_news(limit: advertised_limit.AdvertisedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
     if limit.heard_at < limit.told_at:
         return False
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -22,7 +22,7 @@
 ASK_AFTER_S = 30.0
 
 
-class NamedLimit:
+class AdvertisedLimit:
     """
     What one process knows of the limit of one upstream, and may send it.
 
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, place: shared_rate.Place) -> None:
-        self.limit = advertised_limit.NamedLimit(place)
+        self.limit = advertised_limit.AdvertisedLimit(place)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
         self.rests_until = shared_rate.LONG_AGO
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -13,7 +13,7 @@
     Rule(
         question="Who sends to an upstream that names a limit, and how often",
         functions=(
-            "kernel/advertised_limit.NamedLimit.may_send",
+            "kernel/advertised_limit.AdvertisedLimit.may_send",
             "kernel/shared_rate.Place.holders",
             "kernel/shared_rate.Place.held_since",
             "kernel/shared_rate.Pacer.may_send",
