--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -12,7 +12,7 @@
 WINDOW = shared_rate.Window(seconds=4.0, asked_again_s=4.0)
 #: Least requests a second that are sent whatever limit is named: only answers tell that
 #: it is over.
-LEAST_PER_S = 0.5
+MIN_PER_S = 0.5
 #: Parts of the limit for each process of the fleet while a process sees too few others
 #: to know that no further ones share it: both sides together get less than one and a
 #: half times the limit.
@@ -104,7 +104,7 @@
         if self.per_s is None:
             self._pacer.set_part(shared_rate.UNLIMITED)
             return
-        per_s = max(LEAST_PER_S, self.per_s)
+        per_s = max(MIN_PER_S, self.per_s)
         view = self._views[-1] if self._views else shared_rate.NOBODY
         if not view.members:
             self._share_alone(per_s, view)
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -29,7 +29,7 @@
         " too few others are in view, a small part is sent. Calls that find no turn in"
         " time are refused at once.",
         constants=(
-            "kernel/advertised_limit.LEAST_PER_S",
+            "kernel/advertised_limit.MIN_PER_S",
             "kernel/advertised_limit.PARTS_EACH_ALONE",
             "kernel/advertised_limit.ASK_AFTER_S",
             "kernel/said.KEPT_S",
