--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -16,7 +16,7 @@
 #: Parts of the limit for each process of the fleet while a process sees too few others
 #: to know that no further ones share it: both sides together get less than one and a
 #: half times the limit.
-PARTS_EACH_ALONE = 2
+PARTS_PER_ISOLATED_PROCESS = 2
 #: Seconds without any word of the limit after which a process that holds no part of it
 #: asks with one request whether it is still named.
 ASK_AFTER_S = 30.0
@@ -123,7 +123,7 @@
 
     def _share_alone(self, per_s: float, view: shared_rate.View) -> None:
         """Take a small part, that leaves room for all others that may do the same."""
-        parts = PARTS_EACH_ALONE * view.fleet_size
+        parts = PARTS_PER_ISOLATED_PROCESS * view.fleet_size
         if not parts:
             self._pacer.set_part(0.0)
             return
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -30,7 +30,7 @@
         " time are refused at once.",
         constants=(
             "kernel/advertised_limit.MIN_PER_S",
-            "kernel/advertised_limit.PARTS_EACH_ALONE",
+            "kernel/advertised_limit.PARTS_PER_ISOLATED_PROCESS",
             "kernel/advertised_limit.ASK_AFTER_S",
             "kernel/said.KEPT_S",
             "gateway/cluster/limit_news.REPEAT_S",
