--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -19,7 +19,7 @@
 PARTS_PER_ISOLATED_PROCESS = 2
 #: Seconds without any word of the limit after which a process that holds no part of it
 #: asks with one request whether it is still named.
-ASK_AFTER_S = 30.0
+TRIAL_AFTER_S = 30.0
 
 
 class AdvertisedLimit:
@@ -97,7 +97,7 @@
     def _may_ask(self, now: ids.Instant) -> bool:
         if self.part_per_s > 0.0:
             return False
-        return now >= ids.later(max(self.told_at, self._asked_at), ASK_AFTER_S)
+        return now >= ids.later(max(self.told_at, self._asked_at), TRIAL_AFTER_S)
 
     def _share(self) -> None:
         """Work out anew what part this process has."""
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -31,7 +31,7 @@
         constants=(
             "kernel/advertised_limit.MIN_PER_S",
             "kernel/advertised_limit.PARTS_PER_ISOLATED_PROCESS",
-            "kernel/advertised_limit.ASK_AFTER_S",
+            "kernel/advertised_limit.TRIAL_AFTER_S",
             "kernel/said.KEPT_S",
             "gateway/cluster/limit_news.REPEAT_S",
             "gateway/cluster/limit_news.ENDED_TOLD_S",
