--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -88,13 +88,15 @@
 
         ``read_until``: what was sent to it before that instant has been read.
         """
-        return self._pacer.may_send(now, read_until) or self._may_ask(now)
+        return self._pacer.may_send(now, read_until) or self._may_send_trial(now)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
         """Return from when one more may go out, as far as that is known now."""
-        return now if self._may_ask(now) else self._pacer.free_at(now, read_until)
+        return (
+            now if self._may_send_trial(now) else self._pacer.free_at(now, read_until)
+        )
 
-    def _may_ask(self, now: ids.Instant) -> bool:
+    def _may_send_trial(self, now: ids.Instant) -> bool:
         if self.part_per_s > 0.0:
             return False
         return now >= ids.later(max(self.told_at, self._asked_at), TRIAL_AFTER_S)
