--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -39,7 +39,7 @@
         self.ended_at = shared_rate.LONG_AGO
         self.sent = 0
         self._named_at = shared_rate.LONG_AGO
-        self._asked_at = shared_rate.LONG_AGO
+        self._last_sent_at = shared_rate.LONG_AGO
         self._pacer = shared_rate.Pacer(WINDOW)
         self._views: tuple[shared_rate.View, ...] = ()
 
@@ -75,7 +75,7 @@
 
     def request_sent(self, now: ids.Instant) -> None:
         """Record that a request goes out."""
-        self._asked_at = now
+        self._last_sent_at = now
         if self.per_s is not None:
             self.sent += 1
         if self.per_s is not None or now < ids.later(self.ended_at, WINDOW.seconds):
@@ -99,7 +99,7 @@
     def _may_send_trial(self, now: ids.Instant) -> bool:
         if self.part_per_s > 0.0:
             return False
-        return now >= ids.later(max(self.told_at, self._asked_at), TRIAL_AFTER_S)
+        return now >= ids.later(max(self.told_at, self._last_sent_at), TRIAL_AFTER_S)
 
     def _share(self) -> None:
         """Work out anew what part this process has."""
