--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -9,7 +9,7 @@
 from spindlenotch.kernel import shared_rate
 
 #: What an upstream that names a limit gets is summed up over four seconds.
-WINDOW = shared_rate.Window(seconds=4.0, asked_again_s=4.0)
+WINDOW = shared_rate.Window(seconds=4.0, trial_after_s=4.0)
 #: Least requests a second that are sent whatever limit is named: only answers tell that
 #: it is over.
 MIN_PER_S = 0.5
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -19,7 +19,7 @@
 
 #: What a cold upstream bears is summed up over a second. One that has not read what it
 #: got is asked again after two, as its answer shows that it reads on.
-WINDOW = shared_rate.Window(seconds=1.0, asked_again_s=2.0)
+WINDOW = shared_rate.Window(seconds=1.0, trial_after_s=2.0)
 #: The owner is chosen among all processes, whatever their zone.
 ANY_ZONE = ids.ZoneName("")
 
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -36,13 +36,13 @@
     """
     In which time what an upstream gets is summed up, in seconds.
 
-    ``asked_again_s``: after so long without any request one goes out although those
+    ``trial_after_s``: after so long without any request one goes out although those
     before it lie unread. Where nobody probes, only its answer shows that the upstream
     reads on.
     """
 
     seconds: float
-    asked_again_s: float
+    trial_after_s: float
 
 
 class Pacer:
@@ -103,7 +103,7 @@
         most = max(LEAST_COUNTED, self.part_per_s * self.window.seconds)
         if self._counted(now, read_until) <= most:
             return True
-        return now >= ids.later(self._sent_at, self.window.asked_again_s)
+        return now >= ids.later(self._sent_at, self.window.trial_after_s)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
         """Return from when one more may go out, as far as that is known now."""
@@ -111,7 +111,7 @@
             return now
         if now < self.next_at:
             return self.next_at
-        asked_at = ids.later(self._sent_at, self.window.asked_again_s)
+        asked_at = ids.later(self._sent_at, self.window.trial_after_s)
         if not self._arrived_at:
             return asked_at
         return min(asked_at, ids.later(self._arrived_at[0], self.window.seconds))
