--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -65,13 +65,13 @@
         if per_s is None:
             self.ended_at = now
         self.per_s = per_s
-        self._share()
+        self._update_part()
 
     def set_views(self, views: tuple[shared_rate.View, ...]) -> None:
         """Take in who shares rates: as seen now, last, and a while ago."""
         self._views = views
         if self.per_s is not None:
-            self._share()
+            self._update_part()
 
     def request_sent(self, now: ids.Instant) -> None:
         """Record that a request goes out."""
@@ -101,7 +101,7 @@
             return False
         return now >= ids.later(max(self.told_at, self._last_sent_at), TRIAL_AFTER_S)
 
-    def _share(self) -> None:
+    def _update_part(self) -> None:
         """Work out anew what part this process has."""
         if self.per_s is None:
             self._pacer.set_part(shared_rate.UNLIMITED)
