--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -109,7 +109,7 @@
         per_s = max(MIN_PER_S, self.per_s)
         view = self._views[-1] if self._views else shared_rate.NOBODY
         if not view.members:
-            self._share_alone(per_s, view)
+            self._update_isolated_part(per_s, view)
             return
         # A part of one request a second at least: each holder may be one request ahead.
         most = max(1, int(per_s))
@@ -123,7 +123,7 @@
         turn = holders.index(self.place.local_host) + self.place.phase
         self._pacer.set_part(per_s / len(holders), ids.later(since, turn / per_s))
 
-    def _share_alone(self, per_s: float, view: shared_rate.View) -> None:
+    def _update_isolated_part(self, per_s: float, view: shared_rate.View) -> None:
         """Take a small part, that leaves room for all others that may do the same."""
         parts = PARTS_PER_ISOLATED_PROCESS * view.fleet_size
         if not parts:
