--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -282,7 +282,7 @@
 
 @kernel.PROPERTIES.register("an answer from before a limit does not end it")
 def order() -> None:
-    place = shared_rate.Place(ids.UpstreamId("u"), ZONES[0], ids.HostId("g"))
+    place = shared_rate.Participant(ids.UpstreamId("u"), ZONES[0], ids.HostId("g"))
     said = backpressure.Backpressure(place)
     at = [ids.later(NOW, 0.1 * n) for n in range(6)]
 
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -31,7 +31,7 @@
     counts the requests that were sent while it was named.
     """
 
-    def __init__(self, place: shared_rate.Place) -> None:
+    def __init__(self, place: shared_rate.Participant) -> None:
         self.place = place
         self.per_s: float | None = None
         self.told_at = shared_rate.LONG_AGO
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -65,7 +65,7 @@
     be sent something again.
     """
 
-    def __init__(self, place: shared_rate.Place) -> None:
+    def __init__(self, place: shared_rate.Participant) -> None:
         self.limit = advertised_limit.AdvertisedLimit(place)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
--- a/spindlenotch/kernel/said.py
+++ b/spindlenotch/kernel/said.py
@@ -36,7 +36,7 @@
         """Return what this start of an upstream has said; nothing, where it is new."""
         kept = self._said_by_id.get(spec.id)
         if kept is None or kept.born != spec.born:
-            place = shared_rate.Place(spec.id, spec.zone, self.local_host)
+            place = shared_rate.Participant(spec.id, spec.zone, self.local_host)
             kept = _Said(spec.born, backpressure.Backpressure(place))
             self._said_by_id[spec.id] = kept
         return kept.pressure
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -144,7 +144,7 @@
 NOBODY = View((), 0)
 
 
-class Place(msgspec.Struct, frozen=True):
+class Participant(msgspec.Struct, frozen=True):
     """
     Where one process stands among those that share the rate of one upstream.
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -133,7 +133,7 @@
         self.known_since = now
         self.cold = cold_start.ColdStart(spec.warming_up_until)
         self.backpressure = said or backpressure.Backpressure(
-            shared_rate.Place(spec.id, spec.zone, shared_rate.NO_HOST)
+            shared_rate.Participant(spec.id, spec.zone, shared_rate.NO_HOST)
         )
         self.on_change = on_change
         self.slots = slots
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -14,8 +14,8 @@
         question="Who sends to an upstream that names a limit, and how often",
         functions=(
             "kernel/advertised_limit.AdvertisedLimit.may_send",
-            "kernel/shared_rate.Place.holders",
-            "kernel/shared_rate.Place.held_since",
+            "kernel/shared_rate.Participant.holders",
+            "kernel/shared_rate.Participant.held_since",
             "kernel/shared_rate.Pacer.may_send",
             "gateway/cluster/limit_news.LimitNews.due",
         ),
