--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -107,7 +107,7 @@
             self._pacer.set_part(shared_rate.UNLIMITED)
             return
         per_s = max(MIN_PER_S, self.per_s)
-        view = self._views[-1] if self._views else shared_rate.NOBODY
+        view = self._views[-1] if self._views else shared_rate.EMPTY_VIEW
         if not view.members:
             self._update_isolated_part(per_s, view)
             return
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -141,7 +141,7 @@
 
 
 #: Of a process that has not seen anybody yet.
-NOBODY = View((), 0)
+EMPTY_VIEW = View((), 0)
 
 
 class Participant(msgspec.Struct, frozen=True):
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.service = service
         self.local_member = local_member
-        self.views: tuple[shared_rate.View, ...] = (shared_rate.NOBODY,)
+        self.views: tuple[shared_rate.View, ...] = (shared_rate.EMPTY_VIEW,)
         self.members: tuple[ownership.Member, ...] = (local_member,)
         self.upstream_by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
         self.usable_order: list[upstreams.Upstream] = []
@@ -217,7 +217,7 @@
             )
             upstream.cold.limit(rate_per_s, now)
             # Its own region's processes share it, who hear of each other.
-            views = (shared_rate.NOBODY,) if is_far else self.views
+            views = (shared_rate.EMPTY_VIEW,) if is_far else self.views
             upstream.backpressure.limit.set_views(views)
 
     def _assign_slots(self) -> None:
