--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -26,7 +26,7 @@
 NO_HOST = ids.HostId("")
 #: Seconds within which a request that was read has arrived about when it was sent: its
 #: way, and the time until a report shows it.
-LATE_S = 1.0
+MAX_TRANSIT_S = 1.0
 #: Requests that may count beside the next one, however small the part: with fewer, one
 #: that takes long would hold up the others.
 LEAST_COUNTED = 1.0
@@ -120,7 +120,7 @@
         """Count what arrived in the last window and what may yet arrive."""
         while self._unread_at and self._unread_at[0] <= read_until:
             sent_at = self._unread_at.popleft()
-            is_late = now - sent_at > LATE_S
+            is_late = now - sent_at > MAX_TRANSIT_S
             self._arrived_at.append(now if is_late else sent_at)
         while self._arrived_at and self._arrived_at[0] <= now - self.window.seconds:
             self._arrived_at.popleft()
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -186,7 +186,7 @@
         " upstream that stands still reads it all at once when it goes on.",
         constants=(
             "kernel/shared_rate.LEAST_COUNTED",
-            "kernel/shared_rate.LATE_S",
+            "kernel/shared_rate.MAX_TRANSIT_S",
             "gateway/cluster/fleet_size.MEMORY_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
             "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
