--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -29,7 +29,7 @@
 MAX_TRANSIT_S = 1.0
 #: Requests that may count beside the next one, however small the part: with fewer, one
 #: that takes long would hold up the others.
-LEAST_COUNTED = 1.0
+MIN_WINDOW_REQUESTS = 1.0
 
 
 class Window(msgspec.Struct, frozen=True):
@@ -100,7 +100,7 @@
             return True
         if now < self.next_at:
             return False
-        most = max(LEAST_COUNTED, self.part_per_s * self.window.seconds)
+        most = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
         if self._counted(now, read_until) <= most:
             return True
         return now >= ids.later(self._sent_at, self.window.trial_after_s)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -185,7 +185,7 @@
         " that of a partition one side does at most. What lies unread there counts: an"
         " upstream that stands still reads it all at once when it goes on.",
         constants=(
-            "kernel/shared_rate.LEAST_COUNTED",
+            "kernel/shared_rate.MIN_WINDOW_REQUESTS",
             "kernel/shared_rate.MAX_TRANSIT_S",
             "gateway/cluster/fleet_size.MEMORY_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
