--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -101,7 +101,7 @@
         if now < self.next_at:
             return False
         most = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
-        if self._counted(now, read_until) <= most:
+        if self._count_in_window(now, read_until) <= most:
             return True
         return now >= ids.later(self._sent_at, self.window.trial_after_s)
 
@@ -116,7 +116,7 @@
             return asked_at
         return min(asked_at, ids.later(self._arrived_at[0], self.window.seconds))
 
-    def _counted(self, now: ids.Instant, read_until: ids.Instant) -> int:
+    def _count_in_window(self, now: ids.Instant, read_until: ids.Instant) -> int:
         """Count what arrived in the last window and what may yet arrive."""
         while self._unread_at and self._unread_at[0] <= read_until:
             sent_at = self._unread_at.popleft()
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -52,7 +52,7 @@
     mutant_table.Mutant(
         "a cold upstream gets more while what it got lies unread",
         "kernel/shared_rate",
-        "if self._counted(now, read_until) <= most:",
+        "if self._count_in_window(now, read_until) <= most:",
         "if True:",
         "a cold upstream that stands still reads what it bears",
     ),
