--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -13,11 +13,11 @@
 from spindlenotch import ids
 from spindlenotch.kernel import (
     advertised_limit,
+    backpressure_registry,
     cold_start,
     liveness,
     ownership,
     regions,
-    said,
     schedule,
     service_policy,
     shared_rate,
@@ -66,7 +66,7 @@
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
-        self._said = said.Said(local_member.host)
+        self._said = backpressure_registry.Said(local_member.host)
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the live members, this process included."""
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -60,7 +60,7 @@
     ),
     mutant_table.Mutant(
         "what an upstream said is forgotten with its entry",
-        "kernel/said",
+        "kernel/backpressure_registry",
         "if kept is None or kept.born != spec.born:",
         "if True:",
         "what an upstream said holds when its entry comes back",
