--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -25,7 +25,7 @@
     keep_until: ids.Instant = ids.NEVER
 
 
-class Said:
+class BackpressureRegistry:
     """What each start of the upstreams of one service has said to ``local_host``."""
 
     def __init__(self, local_host: ids.HostId) -> None:
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -66,7 +66,7 @@
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
-        self._said = backpressure_registry.Said(local_member.host)
+        self._said = backpressure_registry.BackpressureRegistry(local_member.host)
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the live members, this process included."""
