--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -41,7 +41,7 @@
             self._said_by_id[spec.id] = kept
         return kept.pressure
 
-    def forget_gone(
+    def evict_expired(
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
     ) -> None:
         """Drop what upstreams said that have not been ``known`` for long."""
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -98,7 +98,7 @@
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
         self._forget_gone(spec_by_id)
-        self._said.forget_gone(self.upstream_by_id, now)
+        self._said.evict_expired(self.upstream_by_id, now)
         self._share_rates(now)
         self.refresh()
 
