--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -30,25 +30,25 @@
 
     def __init__(self, local_host: ids.HostId) -> None:
         self.local_host = local_host
-        self._said_by_id: dict[ids.UpstreamId, _Said] = {}
+        self._entry_by_id: dict[ids.UpstreamId, _Said] = {}
 
     def by(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
         """Return what this start of an upstream has said; nothing, where it is new."""
-        kept = self._said_by_id.get(spec.id)
+        kept = self._entry_by_id.get(spec.id)
         if kept is None or kept.born != spec.born:
             place = shared_rate.Participant(spec.id, spec.zone, self.local_host)
             kept = _Said(spec.born, backpressure.Backpressure(place))
-            self._said_by_id[spec.id] = kept
+            self._entry_by_id[spec.id] = kept
         return kept.pressure
 
     def evict_expired(
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
     ) -> None:
         """Drop what upstreams said that have not been ``known`` for long."""
-        for upstream_id, said in list(self._said_by_id.items()):
+        for upstream_id, said in list(self._entry_by_id.items()):
             if upstream_id in known:
                 said.keep_until = ids.NEVER
             elif said.keep_until == ids.NEVER:
                 said.keep_until = ids.later(now, KEPT_S)
             elif said.keep_until <= now:
-                del self._said_by_id[upstream_id]
+                del self._entry_by_id[upstream_id]
