--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -66,7 +66,9 @@
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
-        self._said = backpressure_registry.BackpressureRegistry(local_member.host)
+        self._backpressures = backpressure_registry.BackpressureRegistry(
+            local_member.host
+        )
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Take in the live members, this process included."""
@@ -98,7 +100,7 @@
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
         self._forget_gone(spec_by_id)
-        self._said.evict_expired(self.upstream_by_id, now)
+        self._backpressures.evict_expired(self.upstream_by_id, now)
         self._share_rates(now)
         self.refresh()
 
@@ -185,7 +187,7 @@
             now,
             self._state_changed,
             self.probing,
-            self._said.by(spec),
+            self._backpressures.by(spec),
         )
         if upstream.backpressure.is_leaving:
             # Its entry lags behind, or was written by another; it said so itself.
