--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -17,7 +17,7 @@
 KEPT_S = 600.0
 
 
-class _Said(msgspec.Struct):
+class _Entry(msgspec.Struct):
     """What a start of an upstream has said, and until when that is kept."""
 
     born: int | None
@@ -30,14 +30,14 @@
 
     def __init__(self, local_host: ids.HostId) -> None:
         self.local_host = local_host
-        self._entry_by_id: dict[ids.UpstreamId, _Said] = {}
+        self._entry_by_id: dict[ids.UpstreamId, _Entry] = {}
 
     def by(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
         """Return what this start of an upstream has said; nothing, where it is new."""
         kept = self._entry_by_id.get(spec.id)
         if kept is None or kept.born != spec.born:
             place = shared_rate.Participant(spec.id, spec.zone, self.local_host)
-            kept = _Said(spec.born, backpressure.Backpressure(place))
+            kept = _Entry(spec.born, backpressure.Backpressure(place))
             self._entry_by_id[spec.id] = kept
         return kept.pressure
 
