--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -45,10 +45,10 @@
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
     ) -> None:
         """Drop what upstreams said that have not been ``known`` for long."""
-        for upstream_id, said in list(self._entry_by_id.items()):
+        for upstream_id, entry in list(self._entry_by_id.items()):
             if upstream_id in known:
-                said.keep_until = ids.NEVER
-            elif said.keep_until == ids.NEVER:
-                said.keep_until = ids.later(now, KEPT_S)
-            elif said.keep_until <= now:
+                entry.keep_until = ids.NEVER
+            elif entry.keep_until == ids.NEVER:
+                entry.keep_until = ids.later(now, KEPT_S)
+            elif entry.keep_until <= now:
                 del self._entry_by_id[upstream_id]
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -63,7 +63,7 @@
         "kernel/backpressure_registry",
         "if kept is None or kept.born != spec.born:",
         "if True:",
-        "what an upstream said holds when its entry comes back",
+        "what an upstream entry holds when its entry comes back",
     ),
     mutant_table.Mutant(
         "an upstream that rests is sent more",
