--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -14,7 +14,7 @@
 
 #: Seconds for which it is kept what an upstream said that is gone: its entry may be
 #: back when the source is.
-KEPT_S = 600.0
+RETENTION_S = 600.0
 
 
 class _Entry(msgspec.Struct):
@@ -49,6 +49,6 @@
             if upstream_id in known:
                 entry.keep_until = ids.NEVER
             elif entry.keep_until == ids.NEVER:
-                entry.keep_until = ids.later(now, KEPT_S)
+                entry.keep_until = ids.later(now, RETENTION_S)
             elif entry.keep_until <= now:
                 del self._entry_by_id[upstream_id]
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -32,7 +32,7 @@
             "kernel/advertised_limit.MIN_PER_S",
             "kernel/advertised_limit.PARTS_PER_ISOLATED_PROCESS",
             "kernel/advertised_limit.TRIAL_AFTER_S",
-            "kernel/backpressure_registry.KEPT_S",
+            "kernel/backpressure_registry.RETENTION_S",
             "gateway/cluster/limit_news.REPEAT_S",
             "gateway/cluster/limit_news.ENDED_TOLD_S",
         ),
@@ -62,7 +62,7 @@
         " away and asks for rest gets nothing from this process for so long; others"
         " may send there. A caller is told to come back when any upstream may be"
         " used.",
-        constants=("kernel/backpressure_registry.KEPT_S",),
+        constants=("kernel/backpressure_registry.RETENTION_S",),
         events=("UPSTREAM_LEAVING", "UPSTREAM_RESTS", "SIGNAL_UNREADABLE"),
         tests=(
             Scenario(
