--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -127,12 +127,12 @@
         now: ids.Instant,
         on_change: ChangeListener,
         probing: liveness.ProbeActivity | None = None,
-        said: backpressure.Backpressure | None = None,
+        known_backpressure: backpressure.Backpressure | None = None,
     ) -> None:
         self.spec = spec
         self.known_since = now
         self.cold = cold_start.ColdStart(spec.warming_up_until)
-        self.backpressure = said or backpressure.Backpressure(
+        self.backpressure = known_backpressure or backpressure.Backpressure(
             shared_rate.Participant(spec.id, spec.zone, shared_rate.NO_HOST)
         )
         self.on_change = on_change
