--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -17,7 +17,7 @@
 LOG_PERIOD_S = 4.0
 
 
-class Unreadable(msgspec.Struct, frozen=True):
+class InvalidHeader(msgspec.Struct, frozen=True):
     """A header by its name, and the beginning of its value, which means nothing."""
 
     name: str
@@ -36,7 +36,7 @@
     limit_per_s: float | None = None
     rest_s: float | None = None
     is_leaving: bool = False
-    unreadable: tuple[Unreadable, ...] = ()
+    unreadable: tuple[InvalidHeader, ...] = ()
 
 
 class Change(enum.Enum):
@@ -54,7 +54,7 @@
     change: Change
     limit_per_s: float = 0.0
     rest_s: float = 0.0
-    unreadable: Unreadable | None = None
+    unreadable: InvalidHeader | None = None
 
 
 class Backpressure:
@@ -134,7 +134,7 @@
         self._limit_logged_at = now
         return [News(Change.LIMITED, limit_per_s)]
 
-    def _unreadable_news(self, unreadable: tuple[Unreadable, ...]) -> list[News]:
+    def _unreadable_news(self, unreadable: tuple[InvalidHeader, ...]) -> list[News]:
         """Return what is told once of each header, however often it is sent."""
         new = [one for one in unreadable if one.name not in self._unreadable_names]
         self._unreadable_names.update(one.name for one in new)
