--- a/spindlenotch/forwarding/signal_events.py
+++ b/spindlenotch/forwarding/signal_events.py
@@ -16,7 +16,7 @@
 def report(
     service: ids.ServiceName,
     upstream: ids.UpstreamId,
-    news: abc.Iterable[backpressure.News],
+    news: abc.Iterable[backpressure.ChangeEvent],
 ) -> None:
     """Log what an answer of an upstream has changed."""
     for one in news:
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -48,7 +48,7 @@
     UNREADABLE = "unreadable"
 
 
-class News(msgspec.Struct, frozen=True):
+class ChangeEvent(msgspec.Struct, frozen=True):
     """A change that the log tells, with what the answer said of it."""
 
     change: Change
@@ -99,7 +99,7 @@
         sent_at: ids.Instant,
         is_whole: bool,
         now: ids.Instant,
-    ) -> list[News]:
+    ) -> list[ChangeEvent]:
         """
         Take in what an answer says; return what the log is to tell of it.
 
@@ -118,24 +118,26 @@
             self.limit.heard(None, now)
         return news + self._limit_news(before, now)
 
-    def _rest_news(self, rest_s: float, now: ids.Instant) -> list[News]:
+    def _rest_news(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
         is_new = not self.rests(now)
         self.rests_until = max(self.rests_until, ids.later(now, rest_s))
-        return [News(Change.RESTS, rest_s=rest_s)] if is_new else []
+        return [ChangeEvent(Change.RESTS, rest_s=rest_s)] if is_new else []
 
-    def _limit_news(self, before: float | None, now: ids.Instant) -> list[News]:
+    def _limit_news(self, before: float | None, now: ids.Instant) -> list[ChangeEvent]:
         limit_per_s = self.limit.per_s
         if limit_per_s is None:
             self._limit_logged_at = shared_rate.LONG_AGO
-            return [] if before is None else [News(Change.LIMIT_ENDED)]
+            return [] if before is None else [ChangeEvent(Change.LIMIT_ENDED)]
         if limit_per_s == before or now - self._limit_logged_at < LOG_PERIOD_S:
             return []
         self._limit_logged_at = now
-        return [News(Change.LIMITED, limit_per_s)]
+        return [ChangeEvent(Change.LIMITED, limit_per_s)]
 
-    def _unreadable_news(self, unreadable: tuple[InvalidHeader, ...]) -> list[News]:
+    def _unreadable_news(
+        self, unreadable: tuple[InvalidHeader, ...]
+    ) -> list[ChangeEvent]:
         """Return what is told once of each header, however often it is sent."""
         new = [one for one in unreadable if one.name not in self._unreadable_names]
         self._unreadable_names.update(one.name for one in new)
-        return [News(Change.UNREADABLE, unreadable=one) for one in new]
+        return [ChangeEvent(Change.UNREADABLE, unreadable=one) for one in new]
