--- a/spindlenotch/forwarding/signal_events.py
+++ b/spindlenotch/forwarding/signal_events.py
@@ -34,7 +34,7 @@
                     service=service,
                     upstream=upstream,
                 )
-            case backpressure.Change.RESTS:
+            case backpressure.Change.BACKOFF:
                 events.emit(
                     events.Event.UPSTREAM_RESTS,
                     service=service,
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -44,7 +44,7 @@
 
     LIMITED = "limited"
     LIMIT_ENDED = "limit ended"
-    RESTS = "rests"
+    BACKOFF = "rests"
     UNREADABLE = "unreadable"
 
 
@@ -122,7 +122,7 @@
         """Take in a rest; of those that overlap one is told."""
         is_new = not self.rests(now)
         self.rests_until = max(self.rests_until, ids.later(now, rest_s))
-        return [ChangeEvent(Change.RESTS, rest_s=rest_s)] if is_new else []
+        return [ChangeEvent(Change.BACKOFF, rest_s=rest_s)] if is_new else []
 
     def _limit_news(self, before: float | None, now: ids.Instant) -> list[ChangeEvent]:
         limit_per_s = self.limit.per_s
