--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -14,7 +14,7 @@
 from spindlenotch.kernel import advertised_limit, shared_rate
 
 #: Least seconds between two lines of the log on a limit that moves.
-LOG_PERIOD_S = 4.0
+MIN_LOG_INTERVAL_S = 4.0
 
 
 class InvalidHeader(msgspec.Struct, frozen=True):
@@ -129,7 +129,7 @@
         if limit_per_s is None:
             self._limit_logged_at = shared_rate.LONG_AGO
             return [] if before is None else [ChangeEvent(Change.LIMIT_ENDED)]
-        if limit_per_s == before or now - self._limit_logged_at < LOG_PERIOD_S:
+        if limit_per_s == before or now - self._limit_logged_at < MIN_LOG_INTERVAL_S:
             return []
         self._limit_logged_at = now
         return [ChangeEvent(Change.LIMITED, limit_per_s)]
