--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -110,7 +110,7 @@
         news = self._unreadable_news(signals.unreadable)
         self.is_leaving |= signals.is_leaving
         if signals.rest_s is not None:
-            news += self._rest_news(signals.rest_s, now)
+            news += self._backoff_events(signals.rest_s, now)
         before = self.limit.per_s
         if signals.limit_per_s is not None:
             self.limit.heard(signals.limit_per_s, now)
@@ -118,7 +118,7 @@
             self.limit.heard(None, now)
         return news + self._limit_news(before, now)
 
-    def _rest_news(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
+    def _backoff_events(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
         is_new = not self.rests(now)
         self.rests_until = max(self.rests_until, ids.later(now, rest_s))
