--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -116,7 +116,7 @@
             self.limit.heard(signals.limit_per_s, now)
         elif is_whole and not signals.unreadable and sent_at > self.limit.told_at:
             self.limit.heard(None, now)
-        return news + self._limit_news(before, now)
+        return news + self._limit_events(before, now)
 
     def _backoff_events(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
@@ -124,7 +124,9 @@
         self.rests_until = max(self.rests_until, ids.later(now, rest_s))
         return [ChangeEvent(Change.BACKOFF, rest_s=rest_s)] if is_new else []
 
-    def _limit_news(self, before: float | None, now: ids.Instant) -> list[ChangeEvent]:
+    def _limit_events(
+        self, before: float | None, now: ids.Instant
+    ) -> list[ChangeEvent]:
         limit_per_s = self.limit.per_s
         if limit_per_s is None:
             self._limit_logged_at = shared_rate.LONG_AGO
