--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -107,7 +107,7 @@
         a request that was run, says by its silence that there is no limit: refusals
         may leave it out.
         """
-        news = self._unreadable_news(signals.unreadable)
+        news = self._invalid_header_events(signals.unreadable)
         self.is_leaving |= signals.is_leaving
         if signals.rest_s is not None:
             news += self._backoff_events(signals.rest_s, now)
@@ -136,7 +136,7 @@
         self._limit_logged_at = now
         return [ChangeEvent(Change.LIMITED, limit_per_s)]
 
-    def _unreadable_news(
+    def _invalid_header_events(
         self, unreadable: tuple[InvalidHeader, ...]
     ) -> list[ChangeEvent]:
         """Return what is told once of each header, however often it is sent."""
