--- a/features/steps/mended_faults.py
+++ b/features/steps/mended_faults.py
@@ -255,7 +255,7 @@
     # The first of the order: the one that ``offer`` looks at.
     context.upstream = pool.usable_order[0]
     assert pool.eject(context.upstream, "test", kernel.NOW)
-    context.now = ids.later(kernel.NOW, ejection.pause_s(0))
+    context.now = ids.later(kernel.NOW, ejection.duration_s(0))
 
 
 @behave.when("a call comes before the next tick of the pool")
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -33,7 +33,7 @@
 RETRY_AFTER_S = 1.0
 
 
-def pause_s(ejections_in_row: int) -> float:
+def duration_s(ejections_in_row: int) -> float:
     """Return how many seconds the next ejection lasts."""
     return min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**ejections_in_row)
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -253,7 +253,7 @@
         """Take it out of use for a while that doubles each time in a row."""
         if self.state is State.LEAVING:
             return
-        pause_s = ejection.pause_s(self.ejections_in_row)
+        pause_s = ejection.duration_s(self.ejections_in_row)
         self.ejections_in_row = min(ejection.MOST_COUNTED, self.ejections_in_row + 1)
         self.failures_in_row = 0
         self.ejected_at = now
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -384,7 +384,7 @@
         functions=(
             "kernel/ejection.reason_to_eject",
             "kernel/ejection.is_frozen",
-            "kernel/ejection.pause_s",
+            "kernel/ejection.duration_s",
             "kernel/ejection.may_eject",
             "kernel/liveness.Liveness.silent_s",
             "kernel/upstreams.Upstream.may_take",
