--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -253,12 +253,12 @@
         """Take it out of use for a while that doubles each time in a row."""
         if self.state is State.LEAVING:
             return
-        pause_s = ejection.duration_s(self.ejections_in_row)
+        ejection_s = ejection.duration_s(self.ejections_in_row)
         self.ejections_in_row = min(ejection.MOST_COUNTED, self.ejections_in_row + 1)
         self.failures_in_row = 0
         self.ejected_at = now
         self._awaits_report = reason == ejection.SILENT and self.liveness.was_probed()
-        self._become(State.EJECTED, reason, ids.later(now, pause_s))
+        self._become(State.EJECTED, reason, ids.later(now, ejection_s))
 
     def leave(self, reason: str) -> None:
         """Give it no new work until a higher generation is listed."""
