--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -10,7 +10,7 @@
 FAILURES_IN_ROW = 3
 #: The first ejection, in seconds; each further one without an answer between takes
 #: twice as long as the one before.
-FIRST_PAUSE_S = 1.0
+BASE_EJECTION_S = 1.0
 #: The longest ejection, in seconds.
 LONGEST_PAUSE_S = 30.0
 #: Ejections in a row are counted up to this: the pause has long reached
@@ -35,7 +35,7 @@
 
 def duration_s(ejections_in_row: int) -> float:
     """Return how many seconds the next ejection lasts."""
-    return min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**ejections_in_row)
+    return min(LONGEST_PAUSE_S, BASE_EJECTION_S * 2.0**ejections_in_row)
 
 
 def reason_to_eject(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -396,7 +396,7 @@
         " on probation decides, where it was silent only once a probe tells of it.",
         constants=(
             "kernel/ejection.FAILURES_IN_ROW",
-            "kernel/ejection.FIRST_PAUSE_S",
+            "kernel/ejection.BASE_EJECTION_S",
             "kernel/ejection.LONGEST_PAUSE_S",
             "kernel/ejection.FROZEN_P95_FACTOR",
             "kernel/ejection.FROZEN_LEAST_S",
