--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -12,9 +12,9 @@
 #: twice as long as the one before.
 BASE_EJECTION_S = 1.0
 #: The longest ejection, in seconds.
-LONGEST_PAUSE_S = 30.0
+MAX_EJECTION_S = 30.0
 #: Ejections in a row are counted up to this: the pause has long reached
-#: ``LONGEST_PAUSE_S`` then, and the power of two stays small.
+#: ``MAX_EJECTION_S`` then, and the power of two stays small.
 MOST_COUNTED = 10
 #: Silence after which an upstream counts as frozen, as a multiple of the 95th
 #: percentile of the latency.
@@ -35,7 +35,7 @@
 
 def duration_s(ejections_in_row: int) -> float:
     """Return how many seconds the next ejection lasts."""
-    return min(LONGEST_PAUSE_S, BASE_EJECTION_S * 2.0**ejections_in_row)
+    return min(MAX_EJECTION_S, BASE_EJECTION_S * 2.0**ejections_in_row)
 
 
 def reason_to_eject(
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -288,7 +288,7 @@
 
         A try there would cost its request the time, and a hedge.
         """
-        if now >= ids.later(self.ejected_at, ejection.LONGEST_PAUSE_S):
+        if now >= ids.later(self.ejected_at, ejection.MAX_EJECTION_S):
             return False
         return self.liveness.is_missing_from_probes(self.ejected_at, now)
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -397,7 +397,7 @@
         constants=(
             "kernel/ejection.FAILURES_IN_ROW",
             "kernel/ejection.BASE_EJECTION_S",
-            "kernel/ejection.LONGEST_PAUSE_S",
+            "kernel/ejection.MAX_EJECTION_S",
             "kernel/ejection.FROZEN_P95_FACTOR",
             "kernel/ejection.FROZEN_LEAST_S",
             "kernel/ejection.LEAST_POOL",
