--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -15,7 +15,7 @@
 MAX_EJECTION_S = 30.0
 #: Ejections in a row are counted up to this: the pause has long reached
 #: ``MAX_EJECTION_S`` then, and the power of two stays small.
-MOST_COUNTED = 10
+MAX_EJECTIONS_COUNTED = 10
 #: Silence after which an upstream counts as frozen, as a multiple of the 95th
 #: percentile of the latency.
 FROZEN_P95_FACTOR = 3.0
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -254,7 +254,9 @@
         if self.state is State.LEAVING:
             return
         ejection_s = ejection.duration_s(self.ejections_in_row)
-        self.ejections_in_row = min(ejection.MOST_COUNTED, self.ejections_in_row + 1)
+        self.ejections_in_row = min(
+            ejection.MAX_EJECTIONS_COUNTED, self.ejections_in_row + 1
+        )
         self.failures_in_row = 0
         self.ejected_at = now
         self._awaits_report = reason == ejection.SILENT and self.liveness.was_probed()
