--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -20,7 +20,7 @@
 #: percentile of the latency.
 FROZEN_P95_FACTOR = 3.0
 #: And at least this long, in seconds.
-FROZEN_LEAST_S = 0.25
+FROZEN_MIN_S = 0.25
 #: Why an upstream is ejected that owes answers for too long.
 SILENT = "silent"
 #: And one whose request on probation failed, or was broken off late.
@@ -51,7 +51,7 @@
 
 def is_frozen(silent_s: float, p95_s: float) -> bool:
     """Tell whether an upstream's silence can only mean that it has stopped."""
-    return silent_s > max(FROZEN_LEAST_S, FROZEN_P95_FACTOR * p95_s)
+    return silent_s > max(FROZEN_MIN_S, FROZEN_P95_FACTOR * p95_s)
 
 
 def may_eject(ejected: int, usable: int, eject_share: float) -> bool:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -399,7 +399,7 @@
             "kernel/ejection.BASE_EJECTION_S",
             "kernel/ejection.MAX_EJECTION_S",
             "kernel/ejection.FROZEN_P95_FACTOR",
-            "kernel/ejection.FROZEN_LEAST_S",
+            "kernel/ejection.FROZEN_MIN_S",
             "kernel/ejection.LEAST_POOL",
             "kernel/liveness.REPORT_LAG_S",
             "kernel/liveness.REPORTED_WITHIN_S",
