--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -27,7 +27,7 @@
 FAILED_ON_PROBATION = "failed on probation"
 #: A pool with fewer upstreams than this ejects none of them: a bad upstream is better
 #: than no upstream.
-LEAST_POOL = 2
+MIN_POOL_SIZE = 2
 #: Wait in seconds that a refused caller is asked to keep where no upstream is usable
 #: and none is due back.
 RETRY_AFTER_S = 1.0
@@ -62,4 +62,4 @@
     rest could not carry the load.
     """
     allowed = max(1, int(eject_share * usable))
-    return ejected < allowed and usable >= LEAST_POOL
+    return ejected < allowed and usable >= MIN_POOL_SIZE
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -400,7 +400,7 @@
             "kernel/ejection.MAX_EJECTION_S",
             "kernel/ejection.FROZEN_P95_FACTOR",
             "kernel/ejection.FROZEN_MIN_S",
-            "kernel/ejection.LEAST_POOL",
+            "kernel/ejection.MIN_POOL_SIZE",
             "kernel/liveness.REPORT_LAG_S",
             "kernel/liveness.REPORTED_WITHIN_S",
             "kernel/liveness.PROBED_WITHIN_S",
