--- a/spindlenotch/entry/prober.py
+++ b/spindlenotch/entry/prober.py
@@ -117,5 +117,5 @@
             return
         upstream.failures_in_row += 1
         found = self.state.balancer_by_service.get(service)
-        if upstream.failures_in_row >= ejection.FAILURES_IN_ROW and found:
+        if upstream.failures_in_row >= ejection.CONSECUTIVE_FAILURES and found:
             found.pool.eject(upstream, "probes fail", now)
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -7,7 +7,7 @@
 """
 
 #: Failures in a row after which an upstream is ejected.
-FAILURES_IN_ROW = 3
+CONSECUTIVE_FAILURES = 3
 #: The first ejection, in seconds; each further one without an answer between takes
 #: twice as long as the one before.
 BASE_EJECTION_S = 1.0
@@ -42,7 +42,7 @@
     *, failed: bool, failures_in_row: int, on_probation: bool
 ) -> str | None:
     """Return why an upstream is ejected after a request ended, or None."""
-    if failures_in_row >= FAILURES_IN_ROW:
+    if failures_in_row >= CONSECUTIVE_FAILURES:
         return "failures in a row"
     if failed and on_probation:
         return FAILED_ON_PROBATION
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -395,7 +395,7 @@
         " silence adds up over tries that were broken off. After the pause one request"
         " on probation decides, where it was silent only once a probe tells of it.",
         constants=(
-            "kernel/ejection.FAILURES_IN_ROW",
+            "kernel/ejection.CONSECUTIVE_FAILURES",
             "kernel/ejection.BASE_EJECTION_S",
             "kernel/ejection.MAX_EJECTION_S",
             "kernel/ejection.FROZEN_P95_FACTOR",
