--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -79,7 +79,7 @@
             "decisions/soonest.LOCAL_COMPARED",
             "decisions/soonest.REPEATABLE_COST",
             "decisions/soonest.UNREPEATABLE_COST",
-            "kernel/failure_share.FADE_S",
+            "kernel/failure_share.DECAY_S",
             "kernel/failure_share.PRIOR_ANSWERS",
             "kernel/failure_share.REFUSED_COUNTS",
             "kernel/upstreams.SLOWED_FACTOR",
