--- a/spindlenotch/kernel/failure_share.py
+++ b/spindlenotch/kernel/failure_share.py
@@ -18,7 +18,7 @@
 PRIOR_ANSWERS = 2.0
 #: What a request counts that the upstream refused without running it, as a share of a
 #: failure: it costs a further try, but little time.
-REFUSED_COUNTS = 0.5
+REFUSAL_WEIGHT = 0.5
 
 
 class FailureShare:
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -67,7 +67,7 @@
 FAILURES_BY_RESULT = {
     Result.ANSWERED: 0.0,
     Result.FAILED: 1.0,
-    Result.SHED: failure_share.REFUSED_COUNTS,
+    Result.SHED: failure_share.REFUSAL_WEIGHT,
     Result.CONNECT_FAILED: 1.0,
 }
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -81,7 +81,7 @@
             "decisions/soonest.UNREPEATABLE_COST",
             "kernel/failure_share.DECAY_S",
             "kernel/failure_share.PRIOR_ANSWERS",
-            "kernel/failure_share.REFUSED_COUNTS",
+            "kernel/failure_share.REFUSAL_WEIGHT",
             "kernel/upstreams.SLOWED_FACTOR",
             "kernel/upstreams.SLOWDOWN_DECAY_S",
             "kernel/contention.NEARLY_FULL",
