--- a/features/steps/gateway_cold.py
+++ b/features/steps/gateway_cold.py
@@ -76,7 +76,7 @@
 def by_owner(made: upstream_pool.Pool, count: int, at: float) -> None:
     """One gateway owns each cold upstream: the product's way."""
     number = int(made.local_member.host.removeprefix("g"))
-    made.set_sharers(rate_pools.view(*views(count, number, at)), ids.later(NOW, at))
+    made.set_rate_view(rate_pools.view(*views(count, number, at)), ids.later(NOW, at))
 
 
 def by_division(made: upstream_pool.Pool, count: int, at: float) -> None:
@@ -212,7 +212,7 @@
 def away() -> None:
     for told, expected in ((False, True), (True, False)):
         made = rate_pools.pool_of(0)
-        made.set_sharers(rate_pools.view(rate_pools.host(0)), NOW)
+        made.set_rate_view(rate_pools.view(rate_pools.host(0)), NOW)
         upstream = made.upstream_by_id[ids.UpstreamId("u299")]
         made.eject(upstream, "silent", NOW)
         now = ids.later(NOW, 2.0)
@@ -230,13 +230,13 @@
     member = ownership.Member(rate_pools.ZONE, rate_pools.host(0))
     made = balancer.Balancer(rate_pools.policy(), member, random.Random(1))
     made.pool.set_listed([rate_pools.specs(3, 2.0)[0]], NOW)
-    made.pool.set_sharers(rate_pools.view(rate_pools.host(1)), NOW)
+    made.pool.set_rate_view(rate_pools.view(rate_pools.host(1)), NOW)
     call = msgspec.structs.replace(kernel.call(0), wait_until=ids.later(NOW, 1.0))
     verdict = made.offer(call, NOW)
     assert isinstance(verdict, outcomes.Refusal), verdict
     assert verdict.reason is outcomes.Reason.NO_UPSTREAM
     assert verdict.retry_at == ids.later(NOW, 2.0)
-    made.pool.set_sharers(rate_pools.view(rate_pools.host(0)), NOW)
+    made.pool.set_rate_view(rate_pools.view(rate_pools.host(0)), NOW)
     assert not isinstance(made.offer(call, NOW), outcomes.Refusal)
 
 
@@ -263,7 +263,7 @@
     member = ownership.Member(rate_pools.ZONE, rate_pools.host(0))
     made = upstream_pool.Pool(rate_pools.policy(), member, random.Random(1))
     made.set_listed(rate_pools.specs(3, STILL_COLD_S), NOW)
-    made.set_sharers(rate_pools.view(rate_pools.host(0)), NOW)
+    made.set_rate_view(rate_pools.view(rate_pools.host(0)), NOW)
     upstream = made.upstream_by_id[ids.UpstreamId("u0")]
     arrived_at: list[float] = []
     # What is under way, with the instant at which it is given up or answered.
--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -101,7 +101,7 @@
         if pool is None:
             pool = self.pools[number] = self._start(number)
         now = ids.later(NOW, at)
-        pool.set_sharers(self._view(number, at), now)
+        pool.set_rate_view(self._view(number, at), now)
         for upstream in pool.usable_order:
             if not self._stands_still(at):
                 # These work: a probe told of them a moment ago.
--- a/features/steps/gateway_reborn.py
+++ b/features/steps/gateway_reborn.py
@@ -287,7 +287,7 @@
         )
         playing.state.apply_configuration(bounded)
         view = shared_rate.View((playing.state.local_member,))
-        playing.pool.set_sharers(view, playing.clock.now())
+        playing.pool.set_rate_view(view, playing.clock.now())
         playing.clock.advance(9.0)
         assert not playing.upstream.cold.is_cold(playing.clock.now())
         playing.start_again(coldLeftS=left_s)
--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -401,7 +401,7 @@
     ]
     pool.set_listed(specs, made.clock.now())
     view = shared_rate.View((state.local_member,))
-    pool.set_sharers(view, made.clock.now())
+    pool.set_rate_view(view, made.clock.now())
     for upstream in pool.usable_order:
         is_near = upstream in pool.near_order
         assert upstream.cold.rate_per_s == (4.0 if is_near else 0.0)
--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -91,7 +91,9 @@
     """Return the balancer of a gateway that alone shares its upstreams' limits."""
     made = rate_pools.balancer_of(UPSTREAMS)
     # It has been the only one for long.
-    made.pool.set_sharers(rate_pools.view(rate_pools.host(0)), ids.later(NOW, -LONG_S))
+    made.pool.set_rate_view(
+        rate_pools.view(rate_pools.host(0)), ids.later(NOW, -LONG_S)
+    )
     for upstream in made.pool.usable_order:
         upstream.backpressure.limit.heard(LIMIT_PER_S, NOW)
     return made
--- a/spindlenotch/gateway/cluster/rate_sharers.py
+++ b/spindlenotch/gateway/cluster/rate_sharers.py
@@ -29,7 +29,7 @@
         now = self.state.clock.now()
         view = self.view()
         for service in self.state.balancer_by_service.values():
-            service.pool.set_sharers(view, now)
+            service.pool.set_rate_view(view, now)
 
     def view(self) -> shared_rate.View:
         """Return who shares rates, as this gateway sees it."""
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -104,7 +104,7 @@
         self._share_rates(now)
         self.refresh()
 
-    def set_sharers(self, view: shared_rate.View, now: ids.Instant) -> None:
+    def set_rate_view(self, view: shared_rate.View, now: ids.Instant) -> None:
         """Take in which processes share what upstreams take from all of them."""
         before = self.views[-1]
         if view == before:
