--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -101,7 +101,7 @@
                 known.cold.listed(spec.warming_up_until, now)
         self._forget_gone(spec_by_id)
         self._backpressures.evict_expired(self.upstream_by_id, now)
-        self._share_rates(now)
+        self._update_shared_rates(now)
         self.refresh()
 
     def set_rate_view(self, view: shared_rate.View, now: ids.Instant) -> None:
@@ -113,7 +113,7 @@
         since = now - advertised_limit.WINDOW.seconds
         recent = [one for one in self.views[:-1] if one.until > since]
         self.views = (*recent, ended, view)
-        self._share_rates(now)
+        self._update_shared_rates(now)
 
     def set_plan(self, plan: dict[ids.ZoneName, float]) -> None:
         """Take in the day's weights by zone."""
@@ -205,7 +205,7 @@
         self.changes.record(upstream)
         self._changed = True
 
-    def _share_rates(self, now: ids.Instant) -> None:
+    def _update_shared_rates(self, now: ids.Instant) -> None:
         """Work out anew what this process may send where a rate bounds all of them."""
         hosts = tuple(member.host for member in self.views[-1].members)
         for upstream in self.upstream_by_id.values():
