--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -99,7 +99,7 @@
                     # Told later of the same start.
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
-        self._forget_gone(spec_by_id)
+        self._remove_unlisted(spec_by_id)
         self._backpressures.evict_expired(self.upstream_by_id, now)
         self._update_shared_rates(now)
         self.refresh()
@@ -230,7 +230,7 @@
         self.owned = [u for u in self.usable_order if u.owned_slots > 0]
         self.owned_total = sum(own.values())
 
-    def _forget_gone(self, listed: abc.Container[ids.UpstreamId]) -> None:
+    def _remove_unlisted(self, listed: abc.Container[ids.UpstreamId]) -> None:
         gone = [
             upstream_id
             for upstream_id, u in self.upstream_by_id.items()
