--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -260,7 +260,7 @@
         service = self.job.balancer.service.name
         signal_events.report(service, grant.upstream.spec.id, news)
         if answer.signals.is_leaving:
-            self._note_drain(grant, upstream_set.SAID_LEAVING)
+            self._note_drain(grant, upstream_set.ANNOUNCED_LEAVING)
 
     def _record_foreign(self, grant: verdicts.Grant) -> None:
         service = self.job.balancer.service.name
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -28,7 +28,7 @@
 )
 
 #: Why an upstream gets no new work whose answers say that it leaves.
-SAID_LEAVING = "says that it leaves"
+ANNOUNCED_LEAVING = "says that it leaves"
 
 
 class UpstreamSet:
@@ -191,7 +191,7 @@
         )
         if upstream.backpressure.is_leaving:
             # Its entry lags behind, or was written by another; it said so itself.
-            upstream.leave(SAID_LEAVING)
+            upstream.leave(ANNOUNCED_LEAVING)
         if known is None:
             return upstream
         known.end()
