--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -385,7 +385,7 @@
     granted = one.offer(kernel.call(1), world.now)
     assert isinstance(granted, verdicts.Grant)
     upstream = granted.upstream
-    upstream.cold.lasts_s = 3.0
+    upstream.cold.assumed_duration_s = 3.0
     one.pool.eject(upstream, "silent", ids.later(world.now, 0.1))
     back_at = ids.later(world.now, 5.0)
     upstream.tick(back_at)
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -39,7 +39,7 @@
         self._listed_until = until
         self._pacer = shared_rate.Pacer(WINDOW)
         #: How long an upstream that was away is taken to be cold, in seconds.
-        self.lasts_s = 0.0
+        self.assumed_duration_s = 0.0
 
     @property
     def rate_per_s(self) -> float:
@@ -93,7 +93,7 @@
     def was_away_since(self, since: ids.Instant, now: ids.Instant) -> None:
         """Take it to be cold where it was away and has not told otherwise since."""
         if self.told_at < since:
-            self._extend(ids.later(now, self.lasts_s), now)
+            self._extend(ids.later(now, self.assumed_duration_s), now)
 
     def _extend(self, until: ids.Instant, now: ids.Instant) -> None:
         if until > self.until:
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -197,7 +197,7 @@
         known.end()
         if known.spec.born != spec.born:
             # Its entry may have been written when it was warm again, or say nothing.
-            upstream.cold.lasts_s = self.service.cold_start_s
+            upstream.cold.assumed_duration_s = self.service.cold_start_s
             upstream.cold.was_away_since(now, now)
         return upstream
 
@@ -210,7 +210,7 @@
         hosts = tuple(member.host for member in self.views[-1].members)
         for upstream in self.upstream_by_id.values():
             is_far = self.is_far(upstream)
-            upstream.cold.lasts_s = self.service.cold_start_s
+            upstream.cold.assumed_duration_s = self.service.cold_start_s
             rate_per_s = cold_start.rate_per_s(
                 upstream.spec.id,
                 self.service.cold_rate_per_s,
