--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -90,7 +90,7 @@
         self.until = min(self.until, until)
         self._extend(until, at)
 
-    def was_away_since(self, since: ids.Instant, now: ids.Instant) -> None:
+    def assume_cold_since(self, since: ids.Instant, now: ids.Instant) -> None:
         """Take it to be cold where it was away and has not told otherwise since."""
         if self.told_at < since:
             self._extend(ids.later(now, self.assumed_duration_s), now)
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -198,7 +198,7 @@
         if known.spec.born != spec.born:
             # Its entry may have been written when it was warm again, or say nothing.
             upstream.cold.assumed_duration_s = self.service.cold_start_s
-            upstream.cold.was_away_since(now, now)
+            upstream.cold.assume_cold_since(now, now)
         return upstream
 
     def _state_changed(self, upstream: upstreams.Upstream) -> None:
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -190,7 +190,7 @@
             self.ejections_in_row = 0
             self.latency_ratio.add(min(MAX_LATENCY_RATIO, (now - sent_at) / typical_s))
             if self.state is State.PROBATION:
-                self.cold.was_away_since(self.ejected_at, now)
+                self.cold.assume_cold_since(self.ejected_at, now)
                 self._become(State.ACTIVE, "answered on probation", ids.NEVER)
         elif result is not Result.SHED:
             self.failures_in_row += 1
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -164,7 +164,7 @@
     Mutant(
         "one that starts again counts as warm",
         "kernel/upstream_set",
-        "            upstream.cold.was_away_since(now, now)\n",
+        "            upstream.cold.assume_cold_since(now, now)\n",
         "",
         held_by="an upstream that starts again is cold",
     ),
