--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -272,7 +272,7 @@
 
         Calls that were sent to it still end here, and count for no other.
         """
-        self.on_change = _tell_nobody
+        self.on_change = _ignore_change
         self.leave("replaced")
 
     def tick(self, now: ids.Instant) -> None:
@@ -331,5 +331,5 @@
             self.on_change(self)
 
 
-def _tell_nobody(upstream: Upstream) -> None:
+def _ignore_change(upstream: Upstream) -> None:
     """Stand in for the listener of an upstream that has ended."""
