--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -191,7 +191,7 @@
             self.latency_ratio.add(min(MAX_LATENCY_RATIO, (now - sent_at) / typical_s))
             if self.state is State.PROBATION:
                 self.cold.assume_cold_since(self.ejected_at, now)
-                self._become(State.ACTIVE, "answered on probation", ids.NEVER)
+                self._set_state(State.ACTIVE, "answered on probation", ids.NEVER)
         elif result is not Result.SHED:
             self.failures_in_row += 1
 
@@ -260,11 +260,11 @@
         self.failures_in_row = 0
         self.ejected_at = now
         self._awaits_report = reason == ejection.SILENT and self.liveness.was_probed()
-        self._become(State.EJECTED, reason, ids.later(now, ejection_s))
+        self._set_state(State.EJECTED, reason, ids.later(now, ejection_s))
 
     def leave(self, reason: str) -> None:
         """Give it no new work until a higher generation is listed."""
-        self._become(State.LEAVING, reason, ids.NEVER)
+        self._set_state(State.LEAVING, reason, ids.NEVER)
 
     def end(self) -> None:
         """
@@ -282,7 +282,7 @@
         if self._awaits_report and self._is_still_silent(now):
             return
         self.liveness.reset()
-        self._become(State.PROBATION, "ejection over", ids.NEVER)
+        self._set_state(State.PROBATION, "ejection over", ids.NEVER)
 
     def _is_still_silent(self, now: ids.Instant) -> bool:
         """
@@ -322,7 +322,7 @@
         """Return the share of its slots that it may be trusted with, 0 to 1."""
         return min(1.0, (1 + self.answers) / WARM_AFTER_ANSWERS)
 
-    def _become(self, state: State, reason: str, until: ids.Instant) -> None:
+    def _set_state(self, state: State, reason: str, until: ids.Instant) -> None:
         changed = state is not self.state
         self.state = state
         self.state_reason = reason
