--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -97,9 +97,9 @@
 
     def _extend(self, until: ids.Instant, now: ids.Instant) -> None:
         if until > self.until:
-            self._become_cold(until, now)
+            self._set_cold(until, now)
 
-    def _become_cold(self, until: ids.Instant, now: ids.Instant) -> None:
+    def _set_cold(self, until: ids.Instant, now: ids.Instant) -> None:
         if not self.is_cold(now):
             self._pacer.pause(now)
         self.until = until
