--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -130,7 +130,7 @@
         self.pool.completions.add(now)
         if self.split is None or not self.split.is_on_trial(upstream):
             # Seven failures in a row of a tried version would end all retries.
-            self.pool.record_share(result)
+            self.pool.record_service_result(result)
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -115,7 +115,7 @@
         upstream.liveness.told(at)
         self.reported(upstream, report, at)
 
-    def record_share(self, result: upstreams.Result) -> None:
+    def record_service_result(self, result: upstreams.Result) -> None:
         """Record how a request ended, for the state of the service as a whole."""
         if result is not upstreams.Result.CANCELLED:
             self.failed_share.add(1.0 if _is_failure(result) else 0.0)
