--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -32,7 +32,7 @@
         self.local_host = local_host
         self._entry_by_id: dict[ids.UpstreamId, _Entry] = {}
 
-    def by(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
+    def get(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
         """Return what this start of an upstream has said; nothing, where it is new."""
         kept = self._entry_by_id.get(spec.id)
         if kept is None or kept.born != spec.born:
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -187,7 +187,7 @@
             now,
             self._state_changed,
             self.probing,
-            self._backpressures.by(spec),
+            self._backpressures.get(spec),
         )
         if upstream.backpressure.is_leaving:
             # Its entry lags behind, or was written by another; it said so itself.
