--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -93,7 +93,7 @@
         for spec in spec_by_id.values():
             known = self.upstream_by_id.get(spec.id)
             if known is None or known.spec.generation < spec.generation:
-                self.upstream_by_id[spec.id] = self._begin(spec, known, now)
+                self.upstream_by_id[spec.id] = self._create(spec, known, now)
             else:
                 if known.spec.born != spec.born:
                     # Told later of the same start.
@@ -173,7 +173,7 @@
         self.zone_factor = schedule.effective(self.plan, slots)
         self._assign_slots()
 
-    def _begin(
+    def _create(
         self,
         spec: upstreams.UpstreamSpec,
         known: upstreams.Upstream | None,
