--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -81,7 +81,7 @@
     def cancelled(self, now: ids.Instant, *, is_last: bool) -> None:
         """Record that a try was broken off; ``is_last``: no other is under way."""
         if is_last:
-            self._cancelled_wait_s = self._owed(now) + self._waited_s(now)
+            self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)
             self._owed_at = now
 
     def reported(self, at: ids.Instant) -> None:
@@ -102,7 +102,7 @@
 
     def silent_s(self, now: ids.Instant, *, is_busy: bool) -> float:
         """Return for how many seconds it has owed an answer without giving any."""
-        return self._owed(now) + (self._waited_s(now) if is_busy else 0.0)
+        return self._decayed_wait_s(now) + (self._waited_s(now) if is_busy else 0.0)
 
     @property
     def has_unanswered_attempts(self) -> bool:
@@ -117,7 +117,7 @@
         """Tell whether probes tell of other upstreams, and of it not since then."""
         return self.probed_at <= since and self.probing.is_recent(now)
 
-    def _owed(self, now: ids.Instant) -> float:
+    def _decayed_wait_s(self, now: ids.Instant) -> float:
         """
         Return what is owed of tries that were broken off, in seconds.
 
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -31,7 +31,7 @@
     mutant_table.Mutant(
         "a try that is broken off leaves no silence",
         "kernel/liveness",
-        "self._cancelled_wait_s = self._owed(now) + self._waited_s(now)",
+        "self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)",
         "self._cancelled_wait_s = 0.0",
         "what stands still is found out by tries that break off",
     ),
