--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -282,8 +282,10 @@
 
 @kernel.PROPERTIES.register("an answer from before a limit does not end it")
 def order() -> None:
-    place = shared_rate.Participant(ids.UpstreamId("u"), ZONES[0], ids.HostId("g"))
-    said = backpressure.Backpressure(place)
+    participant = shared_rate.Participant(
+        ids.UpstreamId("u"), ZONES[0], ids.HostId("g")
+    )
+    said = backpressure.Backpressure(participant)
     at = [ids.later(NOW, 0.1 * n) for n in range(6)]
 
     def take(signals: backpressure.Signals, sent: int, now: int) -> None:
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -31,8 +31,8 @@
     counts the requests that were sent while it was named.
     """
 
-    def __init__(self, place: shared_rate.Participant) -> None:
-        self.place = place
+    def __init__(self, participant: shared_rate.Participant) -> None:
+        self.participant = participant
         self.per_s: float | None = None
         self.told_at = shared_rate.LONG_AGO
         self.heard_at = shared_rate.LONG_AGO
@@ -113,14 +113,16 @@
             return
         # A part of one request a second at least: each holder may be one request ahead.
         most = max(1, int(per_s))
-        holders = self.place.holders(view, most)
-        if self.place.local_host not in holders:
+        holders = self.participant.holders(view, most)
+        if self.participant.local_host not in holders:
             self._pacer.set_part(0.0)
             return
-        since = max(self._named_at, self.place.held_since(self._views, most, WINDOW))
+        since = max(
+            self._named_at, self.participant.held_since(self._views, most, WINDOW)
+        )
         # The holders begin one after the other, and upstreams apart from each other:
         # where all name a limit at once they would else all be free at once, too.
-        turn = holders.index(self.place.local_host) + self.place.phase
+        turn = holders.index(self.participant.local_host) + self.participant.phase
         self._pacer.set_part(per_s / len(holders), ids.later(since, turn / per_s))
 
     def _update_isolated_part(self, per_s: float, view: shared_rate.View) -> None:
@@ -134,5 +136,5 @@
         # each would be many in a large fleet.
         since = max([self._named_at, *(one.until for one in self._views[:-1])])
         self._pacer.set_part(
-            part_per_s, ids.later(since, self.place.local_phase / part_per_s)
+            part_per_s, ids.later(since, self.participant.local_phase / part_per_s)
         )
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -65,8 +65,8 @@
     be sent something again.
     """
 
-    def __init__(self, place: shared_rate.Participant) -> None:
-        self.limit = advertised_limit.AdvertisedLimit(place)
+    def __init__(self, participant: shared_rate.Participant) -> None:
+        self.limit = advertised_limit.AdvertisedLimit(participant)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
         self.rests_until = shared_rate.LONG_AGO
--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -36,8 +36,8 @@
         """Return what this start of an upstream has said; nothing, where it is new."""
         kept = self._entry_by_id.get(spec.id)
         if kept is None or kept.born != spec.born:
-            place = shared_rate.Participant(spec.id, spec.zone, self.local_host)
-            kept = _Entry(spec.born, backpressure.Backpressure(place))
+            participant = shared_rate.Participant(spec.id, spec.zone, self.local_host)
+            kept = _Entry(spec.born, backpressure.Backpressure(participant))
             self._entry_by_id[spec.id] = kept
         return kept.pressure
 
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -109,11 +109,11 @@
     upstream_id: ids.UpstreamId, hosts: abc.Iterable[ids.HostId]
 ) -> ids.HostId | None:
     """Return which of ``hosts`` may send to a cold upstream; None where none are."""
-    place = shared_rate.Participant(
+    participant = shared_rate.Participant(
         upstream_id, zone=None, local_host=shared_rate.NO_HOST
     )
     members = tuple(ownership.Member(ANY_ZONE, host) for host in hosts)
-    holders = place.holders(shared_rate.View(members), most=1)
+    holders = participant.holders(shared_rate.View(members), most=1)
     return holders[0] if holders else None
 
 
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -33,8 +33,8 @@
     mutant_table.Mutant(
         "a pace begins anew with each limit that is named",
         "kernel/advertised_limit",
-        "since = max(self._named_at,",
-        "since = max(self.told_at,",
+        "since = max(\n            self._named_at,",
+        "since = max(\n            self.told_at,",
         KEPT,
     ),
     mutant_table.Mutant(
@@ -47,7 +47,7 @@
     mutant_table.Mutant(
         "those that see too few others all send at the same time",
         "kernel/advertised_limit",
-        "self.place.local_phase / part_per_s",
+        "self.participant.local_phase / part_per_s",
         "0.0",
         "a side that sees too few others sends a small part",
     ),
