--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -38,7 +38,7 @@
         self.heard_at = shared_rate.LONG_AGO
         self.ended_at = shared_rate.LONG_AGO
         self.sent = 0
-        self._named_at = shared_rate.LONG_AGO
+        self._advertised_at = shared_rate.LONG_AGO
         self._last_sent_at = shared_rate.LONG_AGO
         self._pacer = shared_rate.Pacer(WINDOW)
         self._views: tuple[shared_rate.View, ...] = ()
@@ -61,7 +61,7 @@
         if per_s == self.per_s:
             return
         if self.per_s is None:
-            self._named_at = now
+            self._advertised_at = now
         if per_s is None:
             self.ended_at = now
         self.per_s = per_s
@@ -118,7 +118,7 @@
             self._pacer.set_part(0.0)
             return
         since = max(
-            self._named_at, self.participant.held_since(self._views, most, WINDOW)
+            self._advertised_at, self.participant.held_since(self._views, most, WINDOW)
         )
         # The holders begin one after the other, and upstreams apart from each other:
         # where all name a limit at once they would else all be free at once, too.
@@ -134,7 +134,7 @@
         part_per_s = per_s / parts
         # Each at another time: all of them hear of the limit at once, and one request
         # each would be many in a large fleet.
-        since = max([self._named_at, *(one.until for one in self._views[:-1])])
+        since = max([self._advertised_at, *(one.until for one in self._views[:-1])])
         self._pacer.set_part(
             part_per_s, ids.later(since, self.participant.local_phase / part_per_s)
         )
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -33,7 +33,7 @@
     mutant_table.Mutant(
         "a pace begins anew with each limit that is named",
         "kernel/advertised_limit",
-        "since = max(\n            self._named_at,",
+        "since = max(\n            self._advertised_at,",
         "since = max(\n            self.told_at,",
         KEPT,
     ),
