--- a/spindlenotch/gateway/state_dump.py
+++ b/spindlenotch/gateway/state_dump.py
@@ -211,5 +211,5 @@
         report_s_ago=round(now - upstream.report_at, AGE_DIGITS),
         limit_per_s=limit.per_s,
         part_per_s=None if limit.per_s is None else limit.part_per_s,
-        rests_s=round(max(0.0, pressure.rests_until - now), AGE_DIGITS),
+        rests_s=round(max(0.0, pressure.backoff_until - now), AGE_DIGITS),
     )
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -61,20 +61,20 @@
     """
     What one upstream has said to one process of how much it will take.
 
-    ``is_leaving`` holds for good, for this start of it. ``rests_until`` is when it may
-    be sent something again.
+    ``is_leaving`` holds for good, for this start of it. ``backoff_until`` is when it
+    may be sent something again.
     """
 
     def __init__(self, participant: shared_rate.Participant) -> None:
         self.limit = advertised_limit.AdvertisedLimit(participant)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
-        self.rests_until = shared_rate.LONG_AGO
+        self.backoff_until = shared_rate.LONG_AGO
         self._unreadable_names: set[str] = set()
 
     def rests(self, now: ids.Instant) -> bool:
         """Tell whether it wants nothing from this process now."""
-        return now < self.rests_until
+        return now < self.backoff_until
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
@@ -90,7 +90,7 @@
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
         """Return from when it may be sent one more, as far as that is known now."""
-        return max(self.rests_until, self.limit.free_at(now, read_until))
+        return max(self.backoff_until, self.limit.free_at(now, read_until))
 
     def take(
         self,
@@ -121,7 +121,7 @@
     def _backoff_events(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
         is_new = not self.rests(now)
-        self.rests_until = max(self.rests_until, ids.later(now, rest_s))
+        self.backoff_until = max(self.backoff_until, ids.later(now, rest_s))
         return [ChangeEvent(Change.BACKOFF, rest_s=rest_s)] if is_new else []
 
     def _limit_events(
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -75,7 +75,7 @@
     mutant_table.Mutant(
         "who is refused where all rest is told to come back at once",
         "kernel/backpressure",
-        "return max(self.rests_until, self.limit.free_at(now, read_until))",
+        "return max(self.backoff_until, self.limit.free_at(now, read_until))",
         "return self.limit.free_at(now, read_until)",
         "where all rest calls are refused with the end of the first",
     ),
