--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -75,7 +75,7 @@
             may_send=lambda: (
                 steady_clock.now() < deadline
                 # It may have asked for rest while the connection came up.
-                and not grant.upstream.backpressure.rests(steady_clock.now())
+                and not grant.upstream.backpressure.in_backoff(steady_clock.now())
             ),
         )
 
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -72,7 +72,7 @@
         self.backoff_until = shared_rate.LONG_AGO
         self._unreadable_names: set[str] = set()
 
-    def rests(self, now: ids.Instant) -> bool:
+    def in_backoff(self, now: ids.Instant) -> bool:
         """Tell whether it wants nothing from this process now."""
         return now < self.backoff_until
 
@@ -83,7 +83,7 @@
         An upstream that turns requests away answers at once, and so would seem to have
         all its slots free. ``read_until``: what it got before that instant was read.
         """
-        if self.rests(now):
+        if self.in_backoff(now):
             return False
         # Asked for each upstream that is compared for a call: most name no limit.
         return self.limit.per_s is None or self.limit.may_send(now, read_until)
@@ -120,7 +120,7 @@
 
     def _backoff_events(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
-        is_new = not self.rests(now)
+        is_new = not self.in_backoff(now)
         self.backoff_until = max(self.backoff_until, ids.later(now, rest_s))
         return [ChangeEvent(Change.BACKOFF, rest_s=rest_s)] if is_new else []
 
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -68,9 +68,9 @@
     mutant_table.Mutant(
         "an upstream that rests is sent more",
         "kernel/backpressure",
-        "if self.rests(now):\n            return False\n        # Asked",
+        "if self.in_backoff(now):\n            return False\n        # Asked",
         "if False:\n            return False\n        # Asked",
-        "an upstream that rests gets nothing until its rest is over",
+        "an upstream that in_backoff gets nothing until its rest is over",
     ),
     mutant_table.Mutant(
         "who is refused where all rest is told to come back at once",
@@ -82,7 +82,7 @@
     mutant_table.Mutant(
         "a try that waited for its connection is sent into a rest",
         "forwarding/sending",
-        "and not grant.upstream.backpressure.rests(steady_clock.now())",
+        "and not grant.upstream.backpressure.in_backoff(steady_clock.now())",
         "",
         "a try that waits for its connection is not sent into a rest",
     ),
