--- a/features/steps/gateway_rests.py
+++ b/features/steps/gateway_rests.py
@@ -42,9 +42,9 @@
 def rests() -> None:
     made = rate_pools.balancer_of(2)
     resting, other = made.pool.usable_order
-    taken(resting, backpressure.Signals(rest_s=REST_S))
+    taken(resting, backpressure.Signals(backoff_s=REST_S))
     # A shorter one that was asked for meanwhile does not end it sooner.
-    taken(resting, backpressure.Signals(rest_s=0.5))
+    taken(resting, backpressure.Signals(backoff_s=0.5))
     for number in range(3):
         verdict = offer(made, number, after_s=0.6 + 0.6 * number)
         assert isinstance(verdict, verdicts.Grant), verdict
@@ -59,7 +59,7 @@
 def all_rest() -> None:
     made = rate_pools.balancer_of(3)
     for number, upstream in enumerate(made.pool.usable_order):
-        taken(upstream, backpressure.Signals(rest_s=REST_S + number))
+        taken(upstream, backpressure.Signals(backoff_s=REST_S + number))
     verdict = offer(made, 1, after_s=0.0)
     assert isinstance(verdict, outcomes.Refusal), verdict
     assert verdict.retry_at == ids.later(NOW, REST_S), verdict
@@ -89,7 +89,7 @@
     port = typing.cast(typing.Any, None)
     request = sending.Sender(state, port, jobs.own_labels).request(job, grant)
     assert request.may_send()
-    taken(grant.upstream, backpressure.Signals(rest_s=REST_S))
+    taken(grant.upstream, backpressure.Signals(backoff_s=REST_S))
     assert not request.may_send()
     # It has not run, and no fault of the upstream is seen in it.
     end = judgement.end_of_fault(ports.UpstreamFault.WITHDRAWN)
@@ -138,7 +138,7 @@
         (503, "99999999", None),
     ):
         said = signal_headers.read(status, {"Retry-After": text})
-        assert said.rest_s == expected, (status, text)
+        assert said.backoff_s == expected, (status, text)
         is_unreadable = status == 503 and expected is None
         assert bool(said.unreadable) == is_unreadable, (status, text)
     for text, expected_word in (("1", True), (" 1", True), ("0", False), ("", False)):
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -183,7 +183,7 @@
     ) -> None:
         answer.abandon()
         self._keep(judgement.SHED)
-        if answer.signals.rest_s is None:
+        if answer.signals.backoff_s is None:
             self._retry_after_s = answer.retry_after_s
         self.grants.finish(self.job, grant, judgement.SHED.result, answer.report)
         await self._retry(grant, known_not_run=True)
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -29,12 +29,12 @@
     What one answer says.
 
     ``limit_per_s``: the requests a second that the upstream takes from all processes
-    together, None where it names none. ``rest_s``: the seconds for which it wants
+    together, None where it names none. ``backoff_s``: the seconds for which it wants
     nothing from this process, None where it asks for no rest. ``is_leaving``: it ends.
     """
 
     limit_per_s: float | None = None
-    rest_s: float | None = None
+    backoff_s: float | None = None
     is_leaving: bool = False
     unreadable: tuple[InvalidHeader, ...] = ()
 
@@ -53,7 +53,7 @@
 
     change: Change
     limit_per_s: float = 0.0
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     unreadable: InvalidHeader | None = None
 
 
@@ -109,8 +109,8 @@
         """
         news = self._invalid_header_events(signals.unreadable)
         self.is_leaving |= signals.is_leaving
-        if signals.rest_s is not None:
-            news += self._backoff_events(signals.rest_s, now)
+        if signals.backoff_s is not None:
+            news += self._backoff_events(signals.backoff_s, now)
         before = self.limit.per_s
         if signals.limit_per_s is not None:
             self.limit.heard(signals.limit_per_s, now)
@@ -118,11 +118,11 @@
             self.limit.heard(None, now)
         return news + self._limit_events(before, now)
 
-    def _backoff_events(self, rest_s: float, now: ids.Instant) -> list[ChangeEvent]:
+    def _backoff_events(self, backoff_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
         is_new = not self.in_backoff(now)
-        self.backoff_until = max(self.backoff_until, ids.later(now, rest_s))
-        return [ChangeEvent(Change.BACKOFF, rest_s=rest_s)] if is_new else []
+        self.backoff_until = max(self.backoff_until, ids.later(now, backoff_s))
+        return [ChangeEvent(Change.BACKOFF, backoff_s=backoff_s)] if is_new else []
 
     def _limit_events(
         self, before: float | None, now: ids.Instant
--- a/tools/soak_processes/mutants.py
+++ b/tools/soak_processes/mutants.py
@@ -174,7 +174,7 @@
     mutant_table.Mutant(
         "the rest that an upstream asks for is not kept",
         "kernel/backpressure",
-        "self.backoff_until = max(self.backoff_until, ids.later(now, rest_s))",
+        "self.backoff_until = max(self.backoff_until, ids.later(now, backoff_s))",
         "pass",
         held_by="rests that upstreams ask for",
         steps=("0.5 5 upstreams-ask-for-rest 6", "0.6 5 burst 2"),
