--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -107,16 +107,16 @@
         a request that was run, says by its silence that there is no limit: refusals
         may leave it out.
         """
-        news = self._invalid_header_events(signals.unreadable)
+        events = self._invalid_header_events(signals.unreadable)
         self.is_leaving |= signals.is_leaving
         if signals.backoff_s is not None:
-            news += self._backoff_events(signals.backoff_s, now)
+            events += self._backoff_events(signals.backoff_s, now)
         before = self.limit.per_s
         if signals.limit_per_s is not None:
             self.limit.heard(signals.limit_per_s, now)
         elif is_whole and not signals.unreadable and sent_at > self.limit.told_at:
             self.limit.heard(None, now)
-        return news + self._limit_events(before, now)
+        return events + self._limit_events(before, now)
 
     def _backoff_events(self, backoff_s: float, now: ids.Instant) -> list[ChangeEvent]:
         """Take in a rest; of those that overlap one is told."""
