--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -156,7 +156,7 @@
         upstream = pool.upstream_by_id[answer.upstream]
         upstream.ended(answer.call, upstreams.Result.ANSWERED, ANSWER_S, now)
         per_s = self.story.limit(at - ANSWER_S)
-        upstream.backpressure.take(
+        upstream.backpressure.record_signals(
             backpressure.Signals(per_s),
             sent_at=ids.later(NOW, answer.sent_at),
             is_whole=True,
@@ -288,17 +288,19 @@
     said = backpressure.Backpressure(participant)
     at = [ids.later(NOW, 0.1 * n) for n in range(6)]
 
-    def take(signals: backpressure.Signals, sent: int, now: int) -> None:
-        said.take(signals, sent_at=at[sent], is_whole=True, now=at[now])
+    def record_signals(signals: backpressure.Signals, sent: int, now: int) -> None:
+        said.record_signals(signals, sent_at=at[sent], is_whole=True, now=at[now])
 
-    take(backpressure.Signals(4.0), sent=0, now=2)
-    take(backpressure.Signals(), sent=1, now=3)
+    record_signals(backpressure.Signals(4.0), sent=0, now=2)
+    record_signals(backpressure.Signals(), sent=1, now=3)
     assert said.limit.per_s == 4.0
     # What a peer heard earlier changes nothing; a refusal says nothing by its silence.
     said.limit.told(None, at[1], at[3])
-    said.take(backpressure.Signals(), sent_at=at[3], is_whole=False, now=at[4])
+    said.record_signals(
+        backpressure.Signals(), sent_at=at[3], is_whole=False, now=at[4]
+    )
     assert said.limit.per_s == 4.0
-    take(backpressure.Signals(), sent=3, now=4)
+    record_signals(backpressure.Signals(), sent=3, now=4)
     assert said.limit.per_s is None
 
 
--- a/features/steps/gateway_rests.py
+++ b/features/steps/gateway_rests.py
@@ -23,7 +23,7 @@
 
 def taken(upstream: upstreams.Upstream, signals: backpressure.Signals) -> None:
     """Let an upstream say something with an answer."""
-    upstream.backpressure.take(signals, sent_at=NOW, is_whole=False, now=NOW)
+    upstream.backpressure.record_signals(signals, sent_at=NOW, is_whole=False, now=NOW)
 
 
 def offer(
--- a/spindlenotch/forwarding/race.py
+++ b/spindlenotch/forwarding/race.py
@@ -251,7 +251,7 @@
         end: judgement.TryEnd,
     ) -> None:
         """Take in what an answer says of how much its upstream will take."""
-        news = grant.upstream.backpressure.take(
+        news = grant.upstream.backpressure.record_signals(
             answer.signals,
             sent_at=grant.sent_at,
             is_whole=end is judgement.GOOD_ANSWER,
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -92,7 +92,7 @@
         """Return from when it may be sent one more, as far as that is known now."""
         return max(self.backoff_until, self.limit.free_at(now, read_until))
 
-    def take(
+    def record_signals(
         self,
         signals: Signals,
         *,
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -51,7 +51,7 @@
     Rule(
         question="What becomes of an upstream that leaves, or asks for rest",
         functions=(
-            "kernel/backpressure.Backpressure.take",
+            "kernel/backpressure.Backpressure.record_signals",
             "kernel/backpressure.Backpressure.may_send",
             "decisions/usable.usable_at",
             "decisions/usable.room_at",
