--- a/features/steps/late_properties.py
+++ b/features/steps/late_properties.py
@@ -87,7 +87,7 @@
     def _tell(self, at: float, now: ids.Instant) -> None:
         for upstream in self.balancer.pool.upstream_by_id.values():
             if upstream.spec.id != STILL or not STILL_FROM_S <= at < STILL_UNTIL_S:
-                self.balancer.pool.told(upstream, REPORT, now)
+                self.balancer.pool.probe_reported(upstream, REPORT, now)
 
     def _serve(self, grant: verdicts.Grant, at: float) -> float:
         """Play a request's only try; return when it is over."""
@@ -131,19 +131,19 @@
     one = decider()
     still, other = one.pool.upstream_by_id.values()
     for upstream in (still, other):
-        one.pool.told(upstream, REPORT, NOW)
+        one.pool.probe_reported(upstream, REPORT, NOW)
     still.sent(ids.CallId("1"), NOW)
     ejected_at = ids.later(NOW, 1.0)
     assert one.pool.eject(still, "silent", ejected_at)
     later = ids.later(ejected_at, 5.0)
-    one.pool.told(other, REPORT, later)
+    one.pool.probe_reported(other, REPORT, later)
     still.tick(later)
     assert still.state is upstreams.State.EJECTED
     # Probes that tell of no upstream at all have stopped.
     still.tick(ids.later(later, 2.0))
     assert still.state is upstreams.State.PROBATION
     still.eject("silent", later)
-    one.pool.told(still, REPORT, ids.later(later, 2.5))
+    one.pool.probe_reported(still, REPORT, ids.later(later, 2.5))
     still.tick(ids.later(later, 2.5))
     assert still.state is upstreams.State.PROBATION
 
@@ -160,14 +160,14 @@
     one = decider()
     still, other = one.pool.upstream_by_id.values()
     for upstream in (still, other):
-        one.pool.told(upstream, REPORT, NOW)
+        one.pool.probe_reported(upstream, REPORT, NOW)
     sent_at = ids.later(NOW, silent_s)
     still.sent(ids.CallId("1"), sent_at)
     ejected_at = ids.later(sent_at, 0.4)
-    one.pool.told(other, REPORT, ejected_at)
+    one.pool.probe_reported(other, REPORT, ejected_at)
     assert one.pool.eject(still, "silent", ejected_at)
     now = ids.later(ejected_at, ejected_s)
-    one.pool.told(other, REPORT, now)
+    one.pool.probe_reported(other, REPORT, now)
     still.tick(now)
     return one, still, now
 
@@ -180,7 +180,7 @@
 def waits_though_found_late() -> None:
     one, still, now = probed_after_silence(silent_s=7.0, ejected_s=5.0)
     assert still.state is upstreams.State.EJECTED
-    one.pool.told(still, REPORT, ids.later(now, 0.1))
+    one.pool.probe_reported(still, REPORT, ids.later(now, 0.1))
     still.tick(ids.later(now, 0.1))
     assert still.state is upstreams.State.PROBATION
 
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -88,7 +88,7 @@
                     report = upstreams.LoadReport(
                         load.running, load.queued, load.slowdown
                     )
-                    service_balancer.pool.told(upstream, report, report_at)
+                    service_balancer.pool.probe_reported(upstream, report, report_at)
 
     def _send(self, active_zones: dict[ids.HostId, ids.ZoneName]) -> None:
         targets = self._targets(active_zones)
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -165,7 +165,7 @@
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
                 told = with_coldness(report, target.pool.service)
-                target.pool.told(target.upstream, told, now)
+                target.pool.probe_reported(target.upstream, told, now)
             await asyncio.sleep(jitter.jittered(period_s, rng))
 
 
--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -91,7 +91,7 @@
         if at > self._unanswered_since:
             self._cancelled_wait_s = 0.0
 
-    def told(self, at: ids.Instant) -> None:
+    def probe_reported(self, at: ids.Instant) -> None:
         """Record that a probe had a report of it, made at ``at``."""
         self.probed_at = max(self.probed_at, at)
         self.probing.probed_at = max(self.probing.probed_at, at)
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -105,14 +105,14 @@
             total = report.running + report.queued
             self.mean_foreign_load.add(max(0, total - upstream.outstanding))
 
-    def told(
+    def probe_reported(
         self,
         upstream: upstreams.Upstream,
         report: upstreams.LoadReport,
         at: ids.Instant,
     ) -> None:
         """Take in a load report of ``at`` that a probe brought, own or of a peer."""
-        upstream.liveness.told(at)
+        upstream.liveness.probe_reported(at)
         self.reported(upstream, report, at)
 
     def record_service_result(self, result: upstreams.Result) -> None:
