--- a/features/steps/gateway_cold.py
+++ b/features/steps/gateway_cold.py
@@ -171,17 +171,17 @@
 def latest() -> None:
     cold = cold_start.ColdStart(NOW)
     cold.limit(rate_pools.ALLOWED_PER_S, NOW)
-    cold.told(ids.later(NOW, 3.0), ids.later(NOW, 0.1))
+    cold.update(ids.later(NOW, 3.0), ids.later(NOW, 0.1))
     assert cold.is_cold(ids.later(NOW, 2.9))
     # An older answer that arrives later changes nothing.
-    cold.told(NOW, NOW)
+    cold.update(NOW, NOW)
     assert cold.is_cold(ids.later(NOW, 2.9))
-    cold.told(ids.later(NOW, 0.5), ids.later(NOW, 0.5))
+    cold.update(ids.later(NOW, 0.5), ids.later(NOW, 0.5))
     assert not cold.is_cold(ids.later(NOW, 0.6))
     # That the source listed it as cold before is no news.
     cold.listed(ids.later(NOW, 3.0), ids.later(NOW, 0.6))
     cold.listed(ids.later(NOW, 3.0), ids.later(NOW, 0.7))
-    cold.told(ids.later(NOW, 0.8), ids.later(NOW, 0.8))
+    cold.update(ids.later(NOW, 0.8), ids.later(NOW, 0.8))
     cold.listed(ids.later(NOW, 3.0), ids.later(NOW, 0.9))
     assert not cold.is_cold(ids.later(NOW, 0.9))
 
--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -146,7 +146,7 @@
             told_at, upstream_id, per_s = self._news.popleft()
             for pool in filter(None, self.pools):
                 limit = pool.upstream_by_id[upstream_id].backpressure.limit
-                limit.told(per_s, ids.later(NOW, told_at), ids.later(NOW, at))
+                limit.update(per_s, ids.later(NOW, told_at), ids.later(NOW, at))
 
     def _end(self, answer: Answer, at: float) -> None:
         pool = self.pools[answer.number]
@@ -295,7 +295,7 @@
     record_signals(backpressure.Signals(), sent=1, now=3)
     assert said.limit.per_s == 4.0
     # What a peer heard earlier changes nothing; a refusal says nothing by its silence.
-    said.limit.told(None, at[1], at[3])
+    said.limit.update(None, at[1], at[3])
     said.record_signals(
         backpressure.Signals(), sent_at=at[3], is_whole=False, now=at[4]
     )
@@ -327,7 +327,7 @@
     def due(after_s: float) -> bool:
         return bool(news.due(made.usable_order, ids.later(NOW, after_s)))
 
-    limit.told(4.0, ids.later(NOW, 0.1), ids.later(NOW, 0.1))
+    limit.update(4.0, ids.later(NOW, 0.1), ids.later(NOW, 0.1))
     assert not due(0.1), "a peer has told it"
     limit.heard(4.0, ids.later(NOW, 0.2))
     # Where there was nothing to tell it is looked at now and then.
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -178,7 +178,7 @@
         return
     told_at = ids.Instant(now - load.cold_age_s)
     if _is_of_this_start(load, told_at, upstream):
-        upstream.cold.told(ids.later(now, load.cold_s), told_at)
+        upstream.cold.update(ids.later(now, load.cold_s), told_at)
 
 
 def _take_limit(
@@ -189,7 +189,7 @@
         return
     told_at = ids.Instant(now - load.limit_age_s)
     if _is_of_this_start(load, told_at, upstream):
-        upstream.backpressure.limit.told(load.limit_per_s, told_at, now)
+        upstream.backpressure.limit.update(load.limit_per_s, told_at, now)
 
 
 def _with_limit(
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -51,9 +51,9 @@
     def heard(self, per_s: float | None, now: ids.Instant) -> None:
         """Take in what an answer to this process said."""
         self.heard_at = now
-        self.told(per_s, now, now)
+        self.update(per_s, now, now)
 
-    def told(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
+    def update(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
         """Take in what an answer said at ``at``, unless a later one has spoken."""
         if at <= self.told_at:
             return
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -82,7 +82,7 @@
             self._listed_until = until
             self._extend(until, now)
 
-    def told(self, until: ids.Instant, at: ids.Instant) -> None:
+    def update(self, until: ids.Instant, at: ids.Instant) -> None:
         """Take in what a health answer made at ``at`` told, unless a later one did."""
         if at <= self.told_at:
             return
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -207,7 +207,7 @@
         self.report_count += 1
         self.reports_slowdown |= report.slowdown != 1.0
         if report.cold_s is not None:
-            self.cold.told(ids.later(now, report.cold_s), now)
+            self.cold.update(ids.later(now, report.cold_s), now)
 
     def slowdown(self, now: ids.Instant) -> float:
         """
