--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -309,7 +309,7 @@
     made = rate_pools.pool_of(0)
     upstream_id = ids.UpstreamId("u299")
     limit = made.upstream_by_id[upstream_id].backpressure.limit
-    limit.heard(4.0, NOW)
+    limit.record_response(4.0, NOW)
     listed = rate_pools.specs(rate_pools.UPSTREAMS, 0.0)
     now = ids.later(NOW, 1.0)
     made.set_listed([one for one in listed if one.id != upstream_id], now)
@@ -329,15 +329,15 @@
 
     limit.update(4.0, ids.later(NOW, 0.1), ids.later(NOW, 0.1))
     assert not due(0.1), "a peer has told it"
-    limit.heard(4.0, ids.later(NOW, 0.2))
+    limit.record_response(4.0, ids.later(NOW, 0.2))
     # Where there was nothing to tell it is looked at now and then.
     assert not due(0.2) and due(0.35) and not due(0.4)
-    limit.heard(4.0, ids.later(NOW, 0.5))
+    limit.record_response(4.0, ids.later(NOW, 0.5))
     assert not due(0.5) and due(0.58)
-    limit.heard(None, ids.later(NOW, 0.6))
+    limit.record_response(None, ids.later(NOW, 0.6))
     # Repeated though nothing more is heard: nobody else may ever hear it.
     assert due(0.6) and not due(0.7) and due(0.9)
-    limit.heard(None, ids.later(NOW, 2.0))
+    limit.record_response(None, ids.later(NOW, 2.0))
     assert not due(2.0), "long ended"
 
 
--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -95,7 +95,7 @@
         rate_pools.view(rate_pools.host(0)), ids.later(NOW, -LONG_S)
     )
     for upstream in made.pool.usable_order:
-        upstream.backpressure.limit.heard(LIMIT_PER_S, NOW)
+        upstream.backpressure.limit.record_response(LIMIT_PER_S, NOW)
     return made
 
 
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -48,7 +48,7 @@
         """Return how many requests a second this process may send."""
         return self._pacer.part_per_s
 
-    def heard(self, per_s: float | None, now: ids.Instant) -> None:
+    def record_response(self, per_s: float | None, now: ids.Instant) -> None:
         """Take in what an answer to this process said."""
         self.heard_at = now
         self.update(per_s, now, now)
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -113,9 +113,9 @@
             events += self._backoff_events(signals.backoff_s, now)
         before = self.limit.per_s
         if signals.limit_per_s is not None:
-            self.limit.heard(signals.limit_per_s, now)
+            self.limit.record_response(signals.limit_per_s, now)
         elif is_whole and not signals.unreadable and sent_at > self.limit.told_at:
-            self.limit.heard(None, now)
+            self.limit.record_response(None, now)
         return events + self._limit_events(before, now)
 
     def _backoff_events(self, backoff_s: float, now: ids.Instant) -> list[ChangeEvent]:
