--- a/spindlenotch/kernel/turns.py
+++ b/spindlenotch/kernel/turns.py
@@ -13,7 +13,7 @@
 from spindlenotch.kernel import shared_rate, upstreams
 
 
-class Turn(msgspec.Struct, frozen=True, order=True):
+class NextDispatch(msgspec.Struct, frozen=True, order=True):
     """When an upstream that names a limit takes its next request, and any further."""
 
     at: ids.Instant
@@ -23,7 +23,7 @@
 class Turns(msgspec.Struct, frozen=True):
     """The next turns of upstreams that all name limits; there is one at least."""
 
-    turns: tuple[Turn, ...]
+    turns: tuple[NextDispatch, ...]
 
     def at(self, ahead: int) -> ids.Instant:
         """Return when a call behind ``ahead`` others has its turn."""
@@ -31,7 +31,7 @@
         heapq.heapify(heap)
         for _ in range(ahead):
             at = ids.later(heap[0].at, heap[0].spacing_s)
-            heapq.heapreplace(heap, Turn(at, heap[0].spacing_s))
+            heapq.heapreplace(heap, NextDispatch(at, heap[0].spacing_s))
         return heap[0].at
 
 
@@ -42,7 +42,7 @@
     None where one names none, or none takes any from this process: other things bound
     what they take then.
     """
-    turns: list[Turn] = []
+    turns: list[NextDispatch] = []
     for upstream in usable:
         if upstream.state is upstreams.State.EJECTED:
             continue
@@ -50,5 +50,5 @@
         if part_per_s == shared_rate.UNLIMITED:
             return None
         if part_per_s > 0.0:
-            turns.append(Turn(upstream.free_at(now), 1.0 / part_per_s))
+            turns.append(NextDispatch(upstream.free_at(now), 1.0 / part_per_s))
     return Turns(tuple(turns)) if turns else None
