--- a/spindlenotch/kernel/turns.py
+++ b/spindlenotch/kernel/turns.py
@@ -20,7 +20,7 @@
     spacing_s: float
 
 
-class Turns(msgspec.Struct, frozen=True):
+class DispatchSchedule(msgspec.Struct, frozen=True):
     """The next turns of upstreams that all name limits; there is one at least."""
 
     turns: tuple[NextDispatch, ...]
@@ -35,7 +35,9 @@
         return heap[0].at
 
 
-def create(usable: abc.Iterable[upstreams.Upstream], now: ids.Instant) -> Turns | None:
+def create(
+    usable: abc.Iterable[upstreams.Upstream], now: ids.Instant
+) -> DispatchSchedule | None:
     """
     Return the turns of upstreams where every one names a limit.
 
@@ -51,4 +53,4 @@
             return None
         if part_per_s > 0.0:
             turns.append(NextDispatch(upstream.free_at(now), 1.0 / part_per_s))
-    return Turns(tuple(turns)) if turns else None
+    return DispatchSchedule(tuple(turns)) if turns else None
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -66,7 +66,7 @@
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.contention = contention.Contention()
         self._turns_at = shared_rate.LONG_AGO
-        self._turns: turns.Turns | None = None
+        self._turns: turns.DispatchSchedule | None = None
         self.completions = completion_rate.CompletionRate()
         self.latencies = latency_table.LatencyTable(
             service.typical_s, service.latency_keys
@@ -187,7 +187,7 @@
         """Count the calls in flight but for those stuck in ejected upstreams."""
         return self.in_flight - sum(u.outstanding for u in self.ejected)
 
-    def turns(self, now: ids.Instant) -> turns.Turns | None:
+    def turns(self, now: ids.Instant) -> turns.DispatchSchedule | None:
         """
         Return when calls get their turns where every upstream names a limit, else None.
 
