--- a/spindlenotch/kernel/turns.py
+++ b/spindlenotch/kernel/turns.py
@@ -23,11 +23,11 @@
 class DispatchSchedule(msgspec.Struct, frozen=True):
     """The next turns of upstreams that all name limits; there is one at least."""
 
-    turns: tuple[NextDispatch, ...]
+    dispatches: tuple[NextDispatch, ...]
 
     def at(self, ahead: int) -> ids.Instant:
         """Return when a call behind ``ahead`` others has its turn."""
-        heap = list(self.turns)
+        heap = list(self.dispatches)
         heapq.heapify(heap)
         for _ in range(ahead):
             at = ids.later(heap[0].at, heap[0].spacing_s)
@@ -44,7 +44,7 @@
     None where one names none, or none takes any from this process: other things bound
     what they take then.
     """
-    turns: list[NextDispatch] = []
+    dispatches: list[NextDispatch] = []
     for upstream in usable:
         if upstream.state is upstreams.State.EJECTED:
             continue
@@ -52,5 +52,5 @@
         if part_per_s == shared_rate.UNLIMITED:
             return None
         if part_per_s > 0.0:
-            turns.append(NextDispatch(upstream.free_at(now), 1.0 / part_per_s))
-    return DispatchSchedule(tuple(turns)) if turns else None
+            dispatches.append(NextDispatch(upstream.free_at(now), 1.0 / part_per_s))
+    return DispatchSchedule(tuple(dispatches)) if dispatches else None
