--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -66,7 +66,7 @@
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.contention = contention.Contention()
         self._turns_at = shared_rate.LONG_AGO
-        self._turns: turns.DispatchSchedule | None = None
+        self._dispatch_schedule: turns.DispatchSchedule | None = None
         self.completions = completion_rate.CompletionRate()
         self.latencies = latency_table.LatencyTable(
             service.typical_s, service.latency_keys
@@ -195,8 +195,8 @@
         """
         if now != self._turns_at:
             self._turns_at = now
-            self._turns = turns.create(self.usable_order, now)
-        return self._turns
+            self._dispatch_schedule = turns.create(self.usable_order, now)
+        return self._dispatch_schedule
 
     def usable_again_at(self, now: ids.Instant) -> ids.Instant:
         """Return when the first may be used again, or a moment where none is known."""
