--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -65,7 +65,7 @@
         #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.contention = contention.Contention()
-        self._turns_at = shared_rate.LONG_AGO
+        self._dispatch_schedule_at = shared_rate.LONG_AGO
         self._dispatch_schedule: turns.DispatchSchedule | None = None
         self.completions = completion_rate.CompletionRate()
         self.latencies = latency_table.LatencyTable(
@@ -193,8 +193,8 @@
 
         Worked out once for each instant, as many waiting calls ask.
         """
-        if now != self._turns_at:
-            self._turns_at = now
+        if now != self._dispatch_schedule_at:
+            self._dispatch_schedule_at = now
             self._dispatch_schedule = turns.create(self.usable_order, now)
         return self._dispatch_schedule
 
