--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -140,7 +140,7 @@
 
 
 def _has_room(upstream: upstreams.Upstream) -> bool:
-    trusted = max(1.0, upstream.owned_slots * upstream.trusted_share())
+    trusted = max(1.0, upstream.owned_slots * upstream.slow_start_share())
     return upstream.outstanding + FREE_SLOT_SHARE <= trusted
 
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -318,7 +318,7 @@
             return self.cold.until
         return self.backpressure.free_at(now, self.liveness.read_until)
 
-    def trusted_share(self) -> float:
+    def slow_start_share(self) -> float:
         """Return the share of its slots that it may be trusted with, 0 to 1."""
         return min(1.0, (1 + self.answers) / WARM_AFTER_ANSWERS)
 
