--- a/features/steps/kernel.py
+++ b/features/steps/kernel.py
@@ -72,7 +72,7 @@
     ]
     made.pool.set_listed(specs, NOW)
     for known in made.pool.upstream_by_id.values():
-        known.answers = upstreams.WARM_AFTER_ANSWERS
+        known.answers = upstreams.SLOW_START_ANSWERS
     return made
 
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -38,7 +38,7 @@
 #: Time constant, in seconds, with which a reported slowdown fades to the mean.
 SLOWDOWN_DECAY_S = 0.5
 #: Answers after which an upstream is trusted with all its slots.
-WARM_AFTER_ANSWERS = 20
+SLOW_START_ANSWERS = 20
 
 #: Called with each upstream whose state has changed.
 ChangeListener = abc.Callable[["Upstream"], None]
@@ -320,7 +320,7 @@
 
     def slow_start_share(self) -> float:
         """Return the share of its slots that it may be trusted with, 0 to 1."""
-        return min(1.0, (1 + self.answers) / WARM_AFTER_ANSWERS)
+        return min(1.0, (1 + self.answers) / SLOW_START_ANSWERS)
 
     def _set_state(self, state: State, reason: str, until: ids.Instant) -> None:
         changed = state is not self.state
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -71,7 +71,7 @@
         slopes.NOW,
     )
     for known in made.pool.upstream_by_id.values():
-        known.answers = upstreams.WARM_AFTER_ANSWERS
+        known.answers = upstreams.SLOW_START_ANSWERS
     return made
 
 
