--- a/spindlenotch/forwarding/signal_events.py
+++ b/spindlenotch/forwarding/signal_events.py
@@ -39,7 +39,7 @@
                     events.Event.UPSTREAM_RESTS,
                     service=service,
                     upstream=upstream,
-                    backoff_s=round(one.backoff_s, RATE_DIGITS),
+                    rest_s=round(one.backoff_s, RATE_DIGITS),
                 )
             case backpressure.Change.UNREADABLE if one.unreadable is not None:
                 events.emit(
