--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -56,7 +56,7 @@
         #: How long tries waited that were broken off since anything was heard, as it
         #: counted at the instant beside it.
         self._cancelled_wait_s = 0.0
-        self._owed_at = now
+        self._cancelled_wait_at = now
 
     def sent(self, now: ids.Instant, *, is_first: bool) -> None:
         """Record that a try goes out; ``is_first``: no other is under way."""
@@ -82,7 +82,7 @@
         """Record that a try was broken off; ``is_last``: no other is under way."""
         if is_last:
             self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)
-            self._owed_at = now
+            self._cancelled_wait_at = now
 
     def reported(self, at: ids.Instant) -> None:
         """Record that it reported its load at ``at``, and so did not stand still."""
@@ -130,7 +130,9 @@
             self._unanswered_since, now
         ):
             return self._cancelled_wait_s
-        return self._cancelled_wait_s * latency.decay(now - self._owed_at, OWED_FADE_S)
+        return self._cancelled_wait_s * latency.decay(
+            now - self._cancelled_wait_at, OWED_FADE_S
+        )
 
     def _waited_s(self, now: ids.Instant) -> float:
         return max(0.0, now - max(self.answered_at, self._busy_since))
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -38,7 +38,8 @@
     mutant_table.Mutant(
         "an upstream that owed an answer is never tried again",
         "kernel/liveness",
-        "latency.decay(now - self._owed_at, OWED_FADE_S)",
+        "latency.decay(\n"
+        "            now - self._cancelled_wait_at, OWED_FADE_S\n        )",
         "1.0",
         "what went on again is used again",
     ),
