--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -20,7 +20,7 @@
 PROBED_WITHIN_S = 30.0
 #: Seconds in which what is owed fades to a third, so that an upstream of which nobody
 #: hears is tried again: some seconds, as requests come far more often where it matters.
-OWED_FADE_S = 5.0
+CANCELLED_WAIT_DECAY_S = 5.0
 
 LONG_AGO = ids.Instant(float("-inf"))
 
@@ -131,7 +131,7 @@
         ):
             return self._cancelled_wait_s
         return self._cancelled_wait_s * latency.decay(
-            now - self._cancelled_wait_at, OWED_FADE_S
+            now - self._cancelled_wait_at, CANCELLED_WAIT_DECAY_S
         )
 
     def _waited_s(self, now: ids.Instant) -> float:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -404,7 +404,7 @@
             "kernel/liveness.REPORT_LAG_S",
             "kernel/liveness.REPORTED_WITHIN_S",
             "kernel/liveness.PROBED_WITHIN_S",
-            "kernel/liveness.OWED_FADE_S",
+            "kernel/liveness.CANCELLED_WAIT_DECAY_S",
         ),
         events=("UPSTREAM_EJECTED", "UPSTREAM_PROBATION", "UPSTREAM_BACK"),
         tests=(
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -39,7 +39,7 @@
         "an upstream that owed an answer is never tried again",
         "kernel/liveness",
         "latency.decay(\n"
-        "            now - self._cancelled_wait_at, OWED_FADE_S\n        )",
+        "            now - self._cancelled_wait_at, CANCELLED_WAIT_DECAY_S\n        )",
         "1.0",
         "what went on again is used again",
     ),
