--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -74,6 +74,6 @@
 
 def _is_news(limit: advertised_limit.AdvertisedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
-    if limit.heard_at < limit.told_at:
+    if limit.heard_at < limit.reported_at:
         return False
     return limit.per_s is not None or now < ids.later(limit.ended_at, ENDED_TOLD_S)
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -176,9 +176,9 @@
     """Take in what a peer knows of an upstream's coldness, where it is newer."""
     if load.cold_s is None:
         return
-    told_at = ids.Instant(now - load.cold_age_s)
-    if _is_of_this_start(load, told_at, upstream):
-        upstream.cold.update(ids.later(now, load.cold_s), told_at)
+    reported_at = ids.Instant(now - load.cold_age_s)
+    if _is_of_this_start(load, reported_at, upstream):
+        upstream.cold.update(ids.later(now, load.cold_s), reported_at)
 
 
 def _take_limit(
@@ -187,9 +187,9 @@
     """Take in the limit of an upstream that a peer has heard, where it is newer."""
     if load.limit_age_s is None:
         return
-    told_at = ids.Instant(now - load.limit_age_s)
-    if _is_of_this_start(load, told_at, upstream):
-        upstream.backpressure.limit.update(load.limit_per_s, told_at, now)
+    reported_at = ids.Instant(now - load.limit_age_s)
+    if _is_of_this_start(load, reported_at, upstream):
+        upstream.backpressure.limit.update(load.limit_per_s, reported_at, now)
 
 
 def _with_limit(
@@ -207,12 +207,12 @@
 def _record(upstream: upstreams.Upstream, now: ids.Instant) -> workload.LoadRecord:
     record = _load_record(upstream, now)
     cold = upstream.cold
-    if cold.told_at == shared_rate.LONG_AGO or cold.until + COLDNESS_TOLD_S < now:
+    if cold.reported_at == shared_rate.LONG_AGO or cold.until + COLDNESS_TOLD_S < now:
         return record
     return msgspec.structs.replace(
         record,
         cold_s=round(max(0.0, cold.until - now), AGE_DIGITS),
-        cold_age_s=round(now - cold.told_at, AGE_DIGITS),
+        cold_age_s=round(now - cold.reported_at, AGE_DIGITS),
     )
 
 
--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -26,15 +26,15 @@
     """
     What one process knows of the limit of one upstream, and may send it.
 
-    ``per_s`` is None while it names none; ``told_at`` is when it was told so last, by
-    an own answer (``heard_at``) or a peer; ``ended_at`` when it ended last. ``sent``
+    ``per_s`` is None while it names none; ``reported_at`` is when it was told so last,
+    by an own answer (``heard_at``) or a peer; ``ended_at`` when it ended last. ``sent``
     counts the requests that were sent while it was named.
     """
 
     def __init__(self, participant: shared_rate.Participant) -> None:
         self.participant = participant
         self.per_s: float | None = None
-        self.told_at = shared_rate.LONG_AGO
+        self.reported_at = shared_rate.LONG_AGO
         self.heard_at = shared_rate.LONG_AGO
         self.ended_at = shared_rate.LONG_AGO
         self.sent = 0
@@ -55,9 +55,9 @@
 
     def update(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
         """Take in what an answer said at ``at``, unless a later one has spoken."""
-        if at <= self.told_at:
+        if at <= self.reported_at:
             return
-        self.told_at = at
+        self.reported_at = at
         if per_s == self.per_s:
             return
         if self.per_s is None:
@@ -99,7 +99,9 @@
     def _may_send_trial(self, now: ids.Instant) -> bool:
         if self.part_per_s > 0.0:
             return False
-        return now >= ids.later(max(self.told_at, self._last_sent_at), TRIAL_AFTER_S)
+        return now >= ids.later(
+            max(self.reported_at, self._last_sent_at), TRIAL_AFTER_S
+        )
 
     def _update_part(self) -> None:
         """Work out anew what part this process has."""
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -114,7 +114,7 @@
         before = self.limit.per_s
         if signals.limit_per_s is not None:
             self.limit.record_response(signals.limit_per_s, now)
-        elif is_whole and not signals.unreadable and sent_at > self.limit.told_at:
+        elif is_whole and not signals.unreadable and sent_at > self.limit.reported_at:
             self.limit.record_response(None, now)
         return events + self._limit_events(before, now)
 
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -28,14 +28,14 @@
     """
     What one process knows of the coldness of one upstream, and may do about it.
 
-    ``until`` is when it is warm; ``told_at`` when a health answer was made that told
-    so last. Invariant: while it is cold, this process sends it requests at least
+    ``until`` is when it is warm; ``reported_at`` when a health answer was made that
+    told so last. Invariant: while it is cold, this process sends it requests at least
     ``1 / rate_per_s`` seconds apart, and none where that is zero.
     """
 
     def __init__(self, until: ids.Instant) -> None:
         self.until = until
-        self.told_at = shared_rate.LONG_AGO
+        self.reported_at = shared_rate.LONG_AGO
         self._listed_until = until
         self._pacer = shared_rate.Pacer(WINDOW)
         #: How long an upstream that was away is taken to be cold, in seconds.
@@ -84,15 +84,15 @@
 
     def update(self, until: ids.Instant, at: ids.Instant) -> None:
         """Take in what a health answer made at ``at`` told, unless a later one did."""
-        if at <= self.told_at:
+        if at <= self.reported_at:
             return
-        self.told_at = at
+        self.reported_at = at
         self.until = min(self.until, until)
         self._extend(until, at)
 
     def assume_cold_since(self, since: ids.Instant, now: ids.Instant) -> None:
         """Take it to be cold where it was away and has not told otherwise since."""
-        if self.told_at < since:
+        if self.reported_at < since:
             self._extend(ids.later(now, self.assumed_duration_s), now)
 
     def _extend(self, until: ids.Instant, now: ids.Instant) -> None:
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -34,7 +34,7 @@
         "a pace begins anew with each limit that is named",
         "kernel/advertised_limit",
         "since = max(\n            self._advertised_at,",
-        "since = max(\n            self.told_at,",
+        "since = max(\n            self.reported_at,",
         KEPT,
     ),
     mutant_table.Mutant(
@@ -54,7 +54,7 @@
     mutant_table.Mutant(
         "an answer from before a limit ends it",
         "kernel/backpressure",
-        "and sent_at > self.limit.told_at",
+        "and sent_at > self.limit.reported_at",
         "",
         "an answer from before a limit does not end it",
     ),
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -129,7 +129,7 @@
     Mutant(
         "an older health answer makes an upstream warm",
         "kernel/cold_start",
-        "        if at <= self.told_at:\n            return\n",
+        "        if at <= self.reported_at:\n            return\n",
         "",
         held_by="the latest health answer says whether one is cold",
     ),
