--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -182,7 +182,7 @@
 
     def next_turn(self, now: ids.Instant) -> ids.Instant:
         """Return when the first waiting call has its turn; NEVER: not known."""
-        turns = self.pool.turns(now) if len(self.queue) else None
+        turns = self.pool.dispatch_schedule(now) if len(self.queue) else None
         return ids.NEVER if turns is None else turns.at(0)
 
     def withdraw(self, call_id: ids.CallId) -> None:
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -27,7 +27,7 @@
     They get their turn as calls of this process end, or as often as the upstreams take
     any where all of them name limits. Zero until that rate is known.
     """
-    turns = pool.turns(now)
+    turns = pool.dispatch_schedule(now)
     if turns is not None:
         return max(0.0, turns.at(ahead) - now)
     per_s = pool.completions.per_s(now)
@@ -63,7 +63,7 @@
     pool: upstream_pool.Pool, call: waiting.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
-    reserve_s = TURN_RESERVE_S if pool.turns(now) is not None else 0.0
+    reserve_s = TURN_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
     return rule_against(pool, call, ahead, now, reserve_s)
 
 
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -12,13 +12,13 @@
 from spindlenotch.kernel import (
     completion_rate,
     contention,
+    dispatch_schedule,
     ejection,
     latency,
     latency_table,
     ownership,
     service_policy,
     shared_rate,
-    turns,
     upstream_set,
     upstreams,
 )
@@ -66,7 +66,7 @@
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.contention = contention.Contention()
         self._dispatch_schedule_at = shared_rate.LONG_AGO
-        self._dispatch_schedule: turns.DispatchSchedule | None = None
+        self._dispatch_schedule: dispatch_schedule.DispatchSchedule | None = None
         self.completions = completion_rate.CompletionRate()
         self.latencies = latency_table.LatencyTable(
             service.typical_s, service.latency_keys
@@ -187,7 +187,9 @@
         """Count the calls in flight but for those stuck in ejected upstreams."""
         return self.in_flight - sum(u.outstanding for u in self.ejected)
 
-    def turns(self, now: ids.Instant) -> turns.DispatchSchedule | None:
+    def dispatch_schedule(
+        self, now: ids.Instant
+    ) -> dispatch_schedule.DispatchSchedule | None:
         """
         Return when calls get their turns where every upstream names a limit, else None.
 
@@ -195,7 +197,7 @@
         """
         if now != self._dispatch_schedule_at:
             self._dispatch_schedule_at = now
-            self._dispatch_schedule = turns.create(self.usable_order, now)
+            self._dispatch_schedule = dispatch_schedule.create(self.usable_order, now)
         return self._dispatch_schedule
 
     def usable_again_at(self, now: ids.Instant) -> ids.Instant:
