--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -27,7 +27,7 @@
 #: Seconds between the first two questions of a gateway that starts, and the factor by
 #: which the next pauses are longer: hosts that start together may be up, or have read,
 #: a moment later, and those of the settings must not be asked by all of them at once.
-BASE_EJECTION_S = 0.05
+FIRST_PAUSE_S = 0.05
 PAUSE_FACTOR = 1.25
 #: Questions of that kind before the periodic ones begin; together 1.7 s.
 BOOTSTRAP_ROUNDS = 10
@@ -146,7 +146,7 @@
             for a in gateway_state.config.peers
             if a != gateway_state.config.peer_listen
         ]
-        pause_s = BASE_EJECTION_S
+        pause_s = FIRST_PAUSE_S
         for _ in range(BOOTSTRAP_ROUNDS):
             if gateway_state.ready or not others:
                 return
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -29,7 +29,7 @@
 #: Time between two questions to the zone's reader; every second instant of ``wakeups``.
 ASK_PERIOD_S = 0.4
 #: How long it waits where peers answer, but none has read yet. They are asked ten times
-#: meanwhile (``membership.BASE_EJECTION_S``).
+#: meanwhile (``membership.FIRST_PAUSE_S``).
 ANSWERED_WAIT_S = 1.0
 #: How many times, and how far apart in seconds, a reader announces a new document at
 #: once.
