--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -27,7 +27,7 @@
 LONGEST_ACCOUNT = 500
 
 
-class _Entry(msgspec.Struct):
+class _Said(msgspec.Struct):
     """What was said last of one item, and how many lines up to ``window_end``."""
 
     reason: str
@@ -39,7 +39,7 @@
     """The items that could not be used, the latest one last."""
 
     def __init__(self) -> None:
-        self._said_by_key: dict[str, _Entry] = {}
+        self._said_by_key: dict[str, _Said] = {}
         self._window_end = ids.Instant(0.0)
         self._lines = 0
 
@@ -60,7 +60,7 @@
     def _is_worth_a_line(self, item: sources.BadItem) -> bool:
         if self._lines >= MOST_LINES:
             return False
-        said = self._said_by_key.pop(item.key, None) or _Entry("", 0, self._window_end)
+        said = self._said_by_key.pop(item.key, None) or _Said("", 0, self._window_end)
         self._said_by_key[item.key] = said
         if said.window_end != self._window_end:
             said.window_end = self._window_end
