--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -194,7 +194,7 @@
             upstream.leave(ANNOUNCED_LEAVING)
         if known is None:
             return upstream
-        known.end()
+        known.retire()
         if known.spec.born != spec.born:
             # Its entry may have been written when it was warm again, or say nothing.
             upstream.cold.assumed_duration_s = self.service.cold_start_s
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -266,7 +266,7 @@
         """Give it no new work until a higher generation is listed."""
         self._set_state(State.LEAVING, reason, ids.NEVER)
 
-    def end(self) -> None:
+    def retire(self) -> None:
         """
         Give its id to another one: nothing is told of this one from now on.
 
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -157,7 +157,7 @@
     Mutant(
         "an earlier start that fails has the later one ejected",
         "kernel/upstream_set",
-        "        known.end()\n",
+        "        known.retire()\n",
         "",
         held_by="what ran on an earlier start is judged by that alone",
     ),
