--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -111,10 +111,10 @@
             return now
         if now < self.next_at:
             return self.next_at
-        asked_at = ids.later(self._sent_at, self.window.trial_after_s)
+        trial_at = ids.later(self._sent_at, self.window.trial_after_s)
         if not self._arrived_at:
-            return asked_at
-        return min(asked_at, ids.later(self._arrived_at[0], self.window.seconds))
+            return trial_at
+        return min(trial_at, ids.later(self._arrived_at[0], self.window.seconds))
 
     def _count_in_window(self, now: ids.Instant, read_until: ids.Instant) -> int:
         """Count what arrived in the last window and what may yet arrive."""
