--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -82,7 +82,7 @@
 
     def slowdown(self) -> float:
         """Return the ratio of the two latencies; one where too little is known."""
-        if not self._known():
+        if not self._has_enough_samples():
             return 1.0
         return max(1.0, self.full.value / max(MIN_LATENCY_RATIO, self.partly.value))
 
@@ -93,10 +93,14 @@
         ``sample``: the upstream is one of those whose last slots stay empty until
         enough is known.
         """
-        sparing = sample if not self._known() else self.slowdown() >= CONTENTION_RATIO
+        sparing = (
+            sample
+            if not self._has_enough_samples()
+            else self.slowdown() >= CONTENTION_RATIO
+        )
         return max(1, int(NEARLY_FULL * slots)) if sparing else slots
 
-    def _known(self) -> bool:
+    def _has_enough_samples(self) -> bool:
         return min(self.full_samples, self.partly_samples) >= MIN_SAMPLES
 
 
