--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -124,8 +124,8 @@
         )
         # The holders begin one after the other, and upstreams apart from each other:
         # where all name a limit at once they would else all be free at once, too.
-        turn = holders.index(self.participant.local_host) + self.participant.phase
-        self._pacer.set_part(per_s / len(holders), ids.later(since, turn / per_s))
+        position = holders.index(self.participant.local_host) + self.participant.phase
+        self._pacer.set_part(per_s / len(holders), ids.later(since, position / per_s))
 
     def _update_isolated_part(self, per_s: float, view: shared_rate.View) -> None:
         """Take a small part, that leaves room for all others that may do the same."""
