--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -34,12 +34,12 @@
 
     def get(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
         """Return what this start of an upstream has said; nothing, where it is new."""
-        kept = self._entry_by_id.get(spec.id)
-        if kept is None or kept.born != spec.born:
+        entry = self._entry_by_id.get(spec.id)
+        if entry is None or entry.born != spec.born:
             participant = shared_rate.Participant(spec.id, spec.zone, self.local_host)
-            kept = _Entry(spec.born, backpressure.Backpressure(participant))
-            self._entry_by_id[spec.id] = kept
-        return kept.pressure
+            entry = _Entry(spec.born, backpressure.Backpressure(participant))
+            self._entry_by_id[spec.id] = entry
+        return entry.pressure
 
     def evict_expired(
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -61,7 +61,7 @@
     mutant_table.Mutant(
         "what an upstream said is forgotten with its entry",
         "kernel/backpressure_registry",
-        "if kept is None or kept.born != spec.born:",
+        "if entry is None or entry.born != spec.born:",
         "if True:",
         "what an upstream entry holds when its entry comes back",
     ),
