--- a/spindlenotch/kernel/advertised_limit.py
+++ b/spindlenotch/kernel/advertised_limit.py
@@ -1,34 +1,36 @@
 """
-The requests a second that an upstream says it takes, and this process's part of them.
+The request rate that an upstream advertises as its limit, and this process's part.
 
-The limit holds for all processes together, for as long as the upstream's answers name
-it. Who hears of it tells the others; ``shared_rate`` says who sends how much. Pure.
+The limit applies to all processes together, for as long as the upstream's responses
+advertise it. Processes that learn of it notify the others; ``shared_rate`` decides who
+sends how much. Pure.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import shared_rate
 
-#: What an upstream that names a limit gets is summed up over four seconds.
+#: Requests to an upstream with a limit are summed up over four seconds.
 WINDOW = shared_rate.Window(seconds=4.0, trial_after_s=4.0)
-#: Least requests a second that are sent whatever limit is named: only answers tell that
-#: it is over.
+#: Requests per second that are sent however low the limit: only responses tell that it
+#: has been lifted.
 MIN_PER_S = 0.5
 #: Parts of the limit for each process of the fleet while a process sees too few others
-#: to know that no further ones share it: both sides together get less than one and a
-#: half times the limit.
+#: to rule out that more of them share it: both sides of a partition together send less
+#: than one and a half times the limit.
 PARTS_PER_ISOLATED_PROCESS = 2
-#: Seconds without any word of the limit after which a process that holds no part of it
-#: asks with one request whether it is still named.
+#: Seconds without news of the limit after which a process that holds no part of it
+#: sends one request to learn whether it is still advertised.
 TRIAL_AFTER_S = 30.0
 
 
 class AdvertisedLimit:
     """
-    What one process knows of the limit of one upstream, and may send it.
+    The limit of one upstream as one process knows it, and what it may send.
 
-    ``per_s`` is None while it names none; ``reported_at`` is when it was told so last,
-    by an own answer (``heard_at``) or a peer; ``ended_at`` when it ended last. ``sent``
-    counts the requests that were sent while it was named.
+    ``per_s`` is None while the upstream advertises no limit; ``reported_at`` is when
+    that was last reported, by a response to this process (``heard_at``) or to a peer;
+    ``ended_at`` when the limit was last lifted. ``sent`` counts the requests sent while
+    it was advertised.
     """
 
     def __init__(self, participant: shared_rate.Participant) -> None:
@@ -45,16 +47,16 @@
 
     @property
     def part_per_s(self) -> float:
-        """Return how many requests a second this process may send."""
+        """Return how many requests per second this process may send."""
         return self._pacer.part_per_s
 
     def record_response(self, per_s: float | None, now: ids.Instant) -> None:
-        """Take in what an answer to this process said."""
+        """Apply the limit in a response to this process, None if it has none."""
         self.heard_at = now
         self.update(per_s, now, now)
 
     def update(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
-        """Take in what an answer said at ``at``, unless a later one has spoken."""
+        """Apply the limit in a response at ``at``, unless a later one is known."""
         if at <= self.reported_at:
             return
         self.reported_at = at
@@ -68,30 +70,30 @@
         self._update_part()
 
     def set_views(self, views: tuple[shared_rate.View, ...]) -> None:
-        """Take in who shares rates: as seen now, last, and a while ago."""
+        """Set the views of who shares rates: recent ones, then the current one."""
         self._views = views
         if self.per_s is not None:
             self._update_part()
 
     def request_sent(self, now: ids.Instant) -> None:
-        """Record that a request goes out."""
+        """Record that a request is sent."""
         self._last_sent_at = now
         if self.per_s is not None:
             self.sent += 1
         if self.per_s is not None or now < ids.later(self.ended_at, WINDOW.seconds):
-            # It may name its limit again at once: what it gets meanwhile counts.
+            # It may advertise its limit again at once: requests sent meanwhile count.
             self._pacer.sent(now)
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may go out.
+        Tell whether one more request may be sent.
 
-        ``read_until``: what was sent to it before that instant has been read.
+        ``read_until``: the upstream has read everything sent to it before that instant.
         """
         return self._pacer.may_send(now, read_until) or self._may_send_trial(now)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
-        """Return from when one more may go out, as far as that is known now."""
+        """Return when another request may be sent, as far as is known now."""
         return (
             now if self._may_send_trial(now) else self._pacer.free_at(now, read_until)
         )
@@ -104,7 +106,7 @@
         )
 
     def _update_part(self) -> None:
-        """Work out anew what part this process has."""
+        """Recompute the part of this process."""
         if self.per_s is None:
             self._pacer.set_part(shared_rate.UNLIMITED)
             return
@@ -113,7 +115,7 @@
         if not view.members:
             self._update_isolated_part(per_s, view)
             return
-        # A part of one request a second at least: each holder may be one request ahead.
+        # At least one request per second each: every holder may be one request ahead.
         most = max(1, int(per_s))
         holders = self.participant.holders(view, most)
         if self.participant.local_host not in holders:
@@ -122,20 +124,21 @@
         since = max(
             self._advertised_at, self.participant.held_since(self._views, most, WINDOW)
         )
-        # The holders begin one after the other, and upstreams apart from each other:
-        # where all name a limit at once they would else all be free at once, too.
+        # The holders begin one after the other, and at another time for each upstream:
+        # otherwise upstreams that advertise limits at the same time would all become
+        # free at the same time, too.
         position = holders.index(self.participant.local_host) + self.participant.phase
         self._pacer.set_part(per_s / len(holders), ids.later(since, position / per_s))
 
     def _update_isolated_part(self, per_s: float, view: shared_rate.View) -> None:
-        """Take a small part, that leaves room for all others that may do the same."""
+        """Set a small part, which leaves room for all others that may do the same."""
         parts = PARTS_PER_ISOLATED_PROCESS * view.fleet_size
         if not parts:
             self._pacer.set_part(0.0)
             return
         part_per_s = per_s / parts
-        # Each at another time: all of them hear of the limit at once, and one request
-        # each would be many in a large fleet.
+        # Processes begin at different times: all of them learn of the limit at once,
+        # and one request from each would be many in a large fleet.
         since = max([self._advertised_at, *(one.until for one in self._views[:-1])])
         self._pacer.set_part(
             part_per_s, ids.later(since, self.participant.local_phase / part_per_s)
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -1,9 +1,9 @@
 """
-What an upstream says with its answers of how much it will take.
+Backpressure that an upstream signals in its responses.
 
-``Signals`` is what one answer says, decoded by the protocol's dialect;
-``Backpressure`` is what one process holds of one upstream by its answers. Pure: every
-method takes the instant.
+``Signals`` are the signals of one response, decoded by the protocol's dialect;
+``Backpressure`` is what one process has learned from those of one upstream. Pure:
+every method takes the instant.
 """
 
 import enum
@@ -13,12 +13,12 @@
 from spindlenotch import ids
 from spindlenotch.kernel import advertised_limit, shared_rate
 
-#: Least seconds between two lines of the log on a limit that moves.
+#: Shortest time between two log lines about a limit that changes, in seconds.
 MIN_LOG_INTERVAL_S = 4.0
 
 
 class InvalidHeader(msgspec.Struct, frozen=True):
-    """A header by its name, and the beginning of its value, which means nothing."""
+    """The name of a header that cannot be parsed, and the beginning of its value."""
 
     name: str
     value: str
@@ -26,11 +26,12 @@
 
 class Signals(msgspec.Struct, frozen=True):
     """
-    What one answer says.
+    The backpressure signals of one response.
 
-    ``limit_per_s``: the requests a second that the upstream takes from all processes
-    together, None where it names none. ``backoff_s``: the seconds for which it wants
-    nothing from this process, None where it asks for no rest. ``is_leaving``: it ends.
+    ``limit_per_s``: the requests per second that the upstream accepts from all
+    processes together, None if it advertises no limit. ``backoff_s``: the seconds for
+    which this process is to send it nothing, None if it asks for no backoff.
+    ``is_leaving``: it is shutting down.
     """
 
     limit_per_s: float | None = None
@@ -40,7 +41,7 @@
 
 
 class Change(enum.Enum):
-    """What has changed by an answer."""
+    """What a response has changed."""
 
     LIMITED = "limited"
     LIMIT_ENDED = "limit ended"
@@ -49,7 +50,7 @@
 
 
 class ChangeEvent(msgspec.Struct, frozen=True):
-    """A change that the log tells, with what the answer said of it."""
+    """A change to be logged, with the signal that caused it."""
 
     change: Change
     limit_per_s: float = 0.0
@@ -59,10 +60,10 @@
 
 class Backpressure:
     """
-    What one upstream has said to one process of how much it will take.
+    The backpressure of one upstream as one process knows it.
 
-    ``is_leaving`` holds for good, for this start of it. ``backoff_until`` is when it
-    may be sent something again.
+    Once set, ``is_leaving`` holds for the rest of this start of the upstream.
+    ``backoff_until`` is when it may be sent requests again.
     """
 
     def __init__(self, participant: shared_rate.Participant) -> None:
@@ -73,23 +74,24 @@
         self._unreadable_names: set[str] = set()
 
     def in_backoff(self, now: ids.Instant) -> bool:
-        """Tell whether it wants nothing from this process now."""
+        """Tell whether it has asked this process to send nothing for now."""
         return now < self.backoff_until
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
         Tell whether it may be sent one more request.
 
-        An upstream that turns requests away answers at once, and so would seem to have
-        all its slots free. ``read_until``: what it got before that instant was read.
+        An upstream that rejects requests responds at once, and would otherwise seem to
+        have all its slots free. ``read_until``: the upstream has read everything sent
+        to it before that instant.
         """
         if self.in_backoff(now):
             return False
-        # Asked for each upstream that is compared for a call: most name no limit.
+        # Called for each upstream compared for a call; most advertise no limit.
         return self.limit.per_s is None or self.limit.may_send(now, read_until)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
-        """Return from when it may be sent one more, as far as that is known now."""
+        """Return when it may be sent another request, as far as is known now."""
         return max(self.backoff_until, self.limit.free_at(now, read_until))
 
     def record_signals(
@@ -101,11 +103,11 @@
         now: ids.Instant,
     ) -> list[ChangeEvent]:
         """
-        Take in what an answer says; return what the log is to tell of it.
+        Apply the signals of one response; return the changes to be logged.
 
-        ``sent_at`` is when its request was sent. Only an answer that ``is_whole``, to
-        a request that was run, says by its silence that there is no limit: refusals
-        may leave it out.
+        ``sent_at`` is when its request was sent. A missing limit means that there is
+        none only if the response ``is_whole``, that is, to a request that was run:
+        rejections may leave the limit out.
         """
         events = self._invalid_header_events(signals.unreadable)
         self.is_leaving |= signals.is_leaving
@@ -119,7 +121,7 @@
         return events + self._limit_events(before, now)
 
     def _backoff_events(self, backoff_s: float, now: ids.Instant) -> list[ChangeEvent]:
-        """Take in a rest; of those that overlap one is told."""
+        """Apply a backoff; of overlapping ones, only the first is logged."""
         is_new = not self.in_backoff(now)
         self.backoff_until = max(self.backoff_until, ids.later(now, backoff_s))
         return [ChangeEvent(Change.BACKOFF, backoff_s=backoff_s)] if is_new else []
@@ -139,7 +141,7 @@
     def _invalid_header_events(
         self, unreadable: tuple[InvalidHeader, ...]
     ) -> list[ChangeEvent]:
-        """Return what is told once of each header, however often it is sent."""
+        """Return an event for each header that has not been logged before."""
         new = [one for one in unreadable if one.name not in self._unreadable_names]
         self._unreadable_names.update(one.name for one in new)
         return [ChangeEvent(Change.UNREADABLE, unreadable=one) for one in new]
--- a/spindlenotch/kernel/backpressure_registry.py
+++ b/spindlenotch/kernel/backpressure_registry.py
@@ -1,8 +1,8 @@
 """
-What upstreams have said, kept beyond their entries in the list.
+Backpressure signals of upstreams, kept independently of their entries in the host list.
 
-An entry goes while the source is away, or is written anew, and is back; what the
-upstream has said holds all the same. Owns it by upstream. Pure.
+An entry disappears while the source is unavailable or rewrites it, and returns later;
+what the upstream signalled still holds then. Owns the signals by upstream. Pure.
 """
 
 from collections import abc
@@ -12,13 +12,13 @@
 from spindlenotch import ids
 from spindlenotch.kernel import backpressure, shared_rate, upstreams
 
-#: Seconds for which it is kept what an upstream said that is gone: its entry may be
-#: back when the source is.
+#: Seconds for which the signals of an unlisted upstream are kept: its entry may return
+#: with the source.
 RETENTION_S = 600.0
 
 
 class _Entry(msgspec.Struct):
-    """What a start of an upstream has said, and until when that is kept."""
+    """The signals of one start of an upstream, and until when they are kept."""
 
     born: int | None
     pressure: backpressure.Backpressure
@@ -26,14 +26,14 @@
 
 
 class BackpressureRegistry:
-    """What each start of the upstreams of one service has said to ``local_host``."""
+    """The signals to ``local_host`` of each start of the upstreams of one service."""
 
     def __init__(self, local_host: ids.HostId) -> None:
         self.local_host = local_host
         self._entry_by_id: dict[ids.UpstreamId, _Entry] = {}
 
     def get(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
-        """Return what this start of an upstream has said; nothing, where it is new."""
+        """Return the signals of this start of an upstream; none if it is new."""
         entry = self._entry_by_id.get(spec.id)
         if entry is None or entry.born != spec.born:
             participant = shared_rate.Participant(spec.id, spec.zone, self.local_host)
@@ -44,7 +44,7 @@
     def evict_expired(
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
     ) -> None:
-        """Drop what upstreams said that have not been ``known`` for long."""
+        """Drop signals of upstreams not ``known`` for ``RETENTION_S`` seconds."""
         for upstream_id, entry in list(self._entry_by_id.items()):
             if upstream_id in known:
                 entry.keep_until = ids.NEVER
--- a/spindlenotch/kernel/dispatch_schedule.py
+++ b/spindlenotch/kernel/dispatch_schedule.py
@@ -1,5 +1,5 @@
 """
-When upstreams that all name limits take the calls that wait, one after the other.
+When waiting calls are sent to upstreams that all advertise a limit.
 
 Pure. Relies on ``upstreams`` for what this process may send to each.
 """
@@ -14,19 +14,19 @@
 
 
 class NextDispatch(msgspec.Struct, frozen=True, order=True):
-    """When an upstream that names a limit takes its next request, and any further."""
+    """When an upstream may be sent its next request, and the spacing of later ones."""
 
     at: ids.Instant
     spacing_s: float
 
 
 class DispatchSchedule(msgspec.Struct, frozen=True):
-    """The next turns of upstreams that all name limits; there is one at least."""
+    """The next dispatches to upstreams that all advertise a limit; at least one."""
 
     dispatches: tuple[NextDispatch, ...]
 
     def at(self, ahead: int) -> ids.Instant:
-        """Return when a call behind ``ahead`` others has its turn."""
+        """Return when a call with ``ahead`` others before it is sent."""
         heap = list(self.dispatches)
         heapq.heapify(heap)
         for _ in range(ahead):
@@ -39,10 +39,10 @@
     usable: abc.Iterable[upstreams.Upstream], now: ids.Instant
 ) -> DispatchSchedule | None:
     """
-    Return the turns of upstreams where every one names a limit.
+    Return the dispatch schedule of upstreams that all advertise a limit.
 
-    None where one names none, or none takes any from this process: other things bound
-    what they take then.
+    None if one advertises no limit, or if this process may send to none of them: what
+    they accept then depends on other things.
     """
     dispatches: list[NextDispatch] = []
     for upstream in usable:
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -1,12 +1,12 @@
 """
-A rate that an upstream takes from all processes together, and this one's part of it.
+A rate that an upstream accepts from all processes together, and this process's part.
 
 The one place for such sums: no process asks another before it sends. A few *holders*
-have equal parts of the rate, the same ones by rendezvous hashing wherever views are
-equal. A process that becomes a holder waits until what the earlier one sent counts no
-longer, so that the sum holds while views differ for as long as that. What one has not
-used is lost, and what an upstream has not read counts, which may stand still and then
-read it all at once. Pure; relies on ``rendezvous``.
+have equal parts of the rate; processes with equal views choose the same holders, by
+rendezvous hashing. A process that becomes a holder waits until the requests of the
+earlier one no longer count, so that the total holds while views differ for as long as
+that. Unused capacity is lost, and requests that the upstream has not read still count,
+as it may hang and then read them all at once. Pure; relies on ``rendezvous``.
 """
 
 import collections
@@ -18,27 +18,27 @@
 from spindlenotch import ids
 from spindlenotch.kernel import ownership, rendezvous
 
-#: Requests a second where nothing bounds them.
+#: Requests per second where nothing limits them.
 UNLIMITED = math.inf
-#: Of an instant that has long passed.
+#: An instant in the distant past.
 LONG_AGO = ids.Instant(-math.inf)
-#: Of a process that shares no rates, or whose part does not matter.
+#: Host of a process that shares no rates, or whose part does not matter.
 NO_HOST = ids.HostId("")
-#: Seconds within which a request that was read has arrived about when it was sent: its
-#: way, and the time until a report shows it.
+#: Seconds within which a request counts as read about when it was sent: network delay,
+#: and the time until a report shows that it was read.
 MAX_TRANSIT_S = 1.0
-#: Requests that may count beside the next one, however small the part: with fewer, one
-#: that takes long would hold up the others.
+#: Requests that may count in a window besides the next one, however small the part:
+#: with fewer, one slow request would hold up the others.
 MIN_WINDOW_REQUESTS = 1.0
 
 
 class Window(msgspec.Struct, frozen=True):
     """
-    In which time what an upstream gets is summed up, in seconds.
+    The period over which requests to an upstream are summed up, in seconds.
 
-    ``trial_after_s``: after so long without any request one goes out although those
-    before it lie unread. Where nobody probes, only its answer shows that the upstream
-    reads on.
+    ``trial_after_s``: after so long without any request, one is sent although earlier
+    ones are still unread. Where nobody probes the upstream, only the response to it
+    shows that the upstream reads again.
     """
 
     seconds: float
@@ -49,10 +49,10 @@
     """
     Keeps one process's requests to one upstream to its part of a shared rate.
 
-    Invariants: while ``part_per_s`` stays, requests go out at least ``1 / part_per_s``
-    seconds apart; those of one window that have arrived, with those that may yet
-    arrive, are ``part_per_s`` times its seconds and one more at most (two, where that
-    is less), but for those that ask again.
+    Invariants: while ``part_per_s`` stays the same, requests are sent at least
+    ``1 / part_per_s`` seconds apart; those of one window that have arrived, plus those
+    that may yet arrive, are at most ``part_per_s`` times its seconds plus one (or two,
+    if that is less), apart from trial requests.
     """
 
     def __init__(self, window: Window) -> None:
@@ -65,7 +65,7 @@
 
     @property
     def next_at(self) -> ids.Instant:
-        """Return when the pace allows the next request."""
+        """Return when the pacing allows the next request."""
         if self.part_per_s <= 0.0:
             return ids.NEVER
         spacing_s = 1.0 / self.part_per_s
@@ -73,28 +73,28 @@
 
     def set_part(self, part_per_s: float, since: ids.Instant = LONG_AGO) -> None:
         """
-        Set what this process may send, from ``since`` on.
+        Set the rate at which this process may send, from ``since`` on.
 
-        The pace goes on from the last request: a part that moves all the time would
-        else leave nothing.
+        The spacing counts from the last request: otherwise nothing could ever be sent
+        while the part keeps changing.
         """
         self.part_per_s = part_per_s
         self._since = since
 
     def pause(self, now: ids.Instant) -> None:
-        """Begin the pace anew."""
+        """Restart the spacing: the next request is due one interval after ``now``."""
         self._sent_at = max(self._sent_at, now)
 
     def sent(self, now: ids.Instant) -> None:
-        """Record that a request goes out."""
+        """Record that a request is sent."""
         self._sent_at = now
         self._unread_at.append(now)
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may go out.
+        Tell whether one more request may be sent.
 
-        ``read_until``: what was sent to the upstream before that instant was read.
+        ``read_until``: the upstream has read everything sent to it before that instant.
         """
         if self.part_per_s == UNLIMITED:
             return True
@@ -106,7 +106,7 @@
         return now >= ids.later(self._sent_at, self.window.trial_after_s)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
-        """Return from when one more may go out, as far as that is known now."""
+        """Return when another request may be sent, as far as is known now."""
         if self.may_send(now, read_until):
             return now
         if now < self.next_at:
@@ -117,7 +117,7 @@
         return min(trial_at, ids.later(self._arrived_at[0], self.window.seconds))
 
     def _count_in_window(self, now: ids.Instant, read_until: ids.Instant) -> int:
-        """Count what arrived in the last window and what may yet arrive."""
+        """Count the requests that arrived in the last window or may yet arrive."""
         while self._unread_at and self._unread_at[0] <= read_until:
             sent_at = self._unread_at.popleft()
             is_late = now - sent_at > MAX_TRANSIT_S
@@ -129,10 +129,12 @@
 
 class View(msgspec.Struct, frozen=True):
     """
-    Who shares rates as one process sees it, ``until`` when it saw so: NEVER, still.
+    The processes that share rates, as one process sees them.
 
-    ``members`` are empty where it sees too few others to know that no further ones
-    think the same; ``fleet_size`` is the largest number of processes seen lately.
+    ``until`` is when this view was replaced, NEVER for the current one. ``members`` is
+    empty if the process sees too few others to rule out that a group which it does not
+    see shares the same rates; ``fleet_size`` is the largest number of processes seen
+    recently.
     """
 
     members: tuple[ownership.Member, ...]
@@ -140,16 +142,16 @@
     until: ids.Instant = ids.NEVER
 
 
-#: Of a process that has not seen anybody yet.
+#: View of a process that has not seen any others yet.
 EMPTY_VIEW = View((), 0)
 
 
 class Participant(msgspec.Struct, frozen=True):
     """
-    Where one process stands among those that share the rate of one upstream.
+    One process among those that share the rate of one upstream.
 
-    With a ``zone`` the holders are of that zone, where there are any: others seldom
-    send there, and their parts would be lost.
+    With a ``zone``, the holders are processes of that zone, if there are any: others
+    seldom send there, and their parts would be lost.
     """
 
     upstream: ids.UpstreamId
@@ -158,18 +160,18 @@
 
     @property
     def phase(self) -> float:
-        """Return a number from 0 to 1 that is another one for each upstream."""
+        """Return a number from 0 to 1 that differs between upstreams."""
         score, _ = rendezvous.score(self.upstream, NO_HOST)
         return score / rendezvous.SCORES
 
     @property
     def local_phase(self) -> float:
-        """Return a number from 0 to 1 that is another one for each process, too."""
+        """Return a number from 0 to 1 that differs between upstreams and processes."""
         score, _ = rendezvous.score(self.upstream, self.local_host)
         return score / rendezvous.SCORES
 
     def holders(self, view: View, most: int) -> list[ids.HostId]:
-        """Return ``most`` holders at most, the same for equal views."""
+        """Return at most ``most`` holders, the same for equal views."""
         near = [member for member in view.members if member.zone == self.zone]
         hosts = [member.host for member in near or view.members]
         hosts.sort(key=lambda host: rendezvous.score(self.upstream, host), reverse=True)
@@ -179,10 +181,10 @@
         self, views: abc.Iterable[View], most: int, window: Window
     ) -> ids.Instant:
         """
-        Return from when this process may send where it is one of the holders.
+        Return when this process may start sending if it is one of the holders.
 
-        That is a window after it last was none of them: until then what an earlier
-        holder sent counts, which may take itself to be one for as long.
+        That is one window after it was last not a holder: until then the requests of
+        an earlier holder count, which may consider itself one for as long.
         """
         free_at = LONG_AGO
         for view in views:
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -68,8 +68,8 @@
     mutant_table.Mutant(
         "an upstream that rests is sent more",
         "kernel/backpressure",
-        "if self.in_backoff(now):\n            return False\n        # Asked",
-        "if False:\n            return False\n        # Asked",
+        "if self.in_backoff(now):\n            return False\n        # Called",
+        "if False:\n            return False\n        # Called",
         "an upstream that in_backoff gets nothing until its rest is over",
     ),
     mutant_table.Mutant(
