--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -1,38 +1,38 @@
 """
-Learns whether the upstreams of a service work slower when nearly full.
+Learns whether the upstreams of a service are slower when nearly full.
 
 Pure. Compares the latency of requests that began and ended at a nearly full
-upstream with that of those that began and ended at one that was not, both only
-while the upstream reported no slowdown. Where filling the last slots slows all
-requests so much that less gets done, they are better left empty.
+upstream with that of requests that began and ended at a less loaded one, both only
+while the upstream reported no slowdown. Where using the last slots slows all
+requests down so much that throughput drops, they are better left empty.
 
-Where a service is saturated all its upstreams are full, and there is nothing to
-compare with: until enough is known, the last slots of every other upstream stay
-empty.
+When a service is saturated, all its upstreams are full and there is nothing to
+compare with: until there are enough samples, the last slots of every other upstream
+stay empty.
 """
 
 from spindlenotch.kernel import latency
 
-#: Share of its slots in use above which an upstream counts as nearly full. Not the
-#: share from which ``soonest`` expects a slowdown (``SLOWER_FROM_SHARE``): this one is
-#: where slots stop being used.
+#: Share of its slots in use above which an upstream counts as nearly full. This is
+#: where slots stop being used, unlike the share from which ``soonest`` expects a
+#: slowdown (``SLOWER_FROM_SHARE``).
 NEARLY_FULL = 0.75
-#: Highest reported slowdown at which a request is a sample.
+#: Highest reported slowdown, as a factor, at which a request is a sample.
 MAX_SAMPLE_SLOWDOWN = 1.3
-#: Least samples of each kind before anything is concluded.
+#: Minimum number of samples of each kind before anything is concluded.
 MIN_SAMPLES = 40
-#: Samples over which the means run.
+#: Number of samples over which the means are taken.
 SAMPLES_AVERAGED = 300
 #: Highest latency ratio that one sample counts with.
 MAX_LATENCY_RATIO = 3.0
-#: Requests above an upstream's slots with which a request is still a sample: estimates
-#: are fractions.
+#: Requests above an upstream's slots up to which a request is still a sample: load
+#: estimates are fractional.
 LOAD_MARGIN = 0.5
 #: Ratio of the two latencies from which the last slots stay empty. It is far below the
-#: slowdown of a full upstream, since what counts as nearly full was so for part of the
-#: time only.
+#: slowdown of a full upstream, since an upstream that counts as nearly full was so for
+#: only part of the time.
 CONTENTION_RATIO = 1.08
-#: Least mean latency ratio that is divided by, so that the ratio stays finite.
+#: Smallest mean latency ratio used as a divisor, so that the result stays finite.
 MIN_LATENCY_RATIO = 1e-9
 
 
@@ -60,10 +60,10 @@
         latency_ratio: float,
     ) -> None:
         """
-        Take in one answer.
+        Add the response to one request.
 
-        ``load_sent`` and ``load_answered`` are the requests in the upstream when
-        the request was sent and answered, itself included; ``slowdown`` is the
+        ``load_sent`` and ``load_answered`` are the numbers of requests in the upstream
+        when the request was sent and answered, itself included; ``slowdown`` is the
         higher of the two estimates; ``latency_ratio`` is its latency as a
         multiple of the typical one.
         """
@@ -81,17 +81,17 @@
             _average(self.partly, sample, self.partly_samples)
 
     def slowdown(self) -> float:
-        """Return the ratio of the two latencies; one where too little is known."""
+        """Return the ratio of the two latencies, 1 while there are too few samples."""
         if not self._has_enough_samples():
             return 1.0
         return max(1.0, self.full.value / max(MIN_LATENCY_RATIO, self.partly.value))
 
     def usable(self, slots: int, *, sample: bool = False) -> int:
         """
-        Return how many of an upstream's slots are best used at once.
+        Return how many of an upstream's slots are best used at the same time.
 
         ``sample``: the upstream is one of those whose last slots stay empty until
-        enough is known.
+        there are enough samples.
         """
         sparing = (
             sample
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -1,35 +1,35 @@
 """
-When an upstream is taken out of use and when it gets calls again.
+When an upstream is ejected and when it gets calls again.
 
-Rules on plain values. ``upstreams.Upstream`` keeps the state they lead to:
-an ejection ends in probation, on which one call at a time decides; ``upstream_pool``
-counts how many are out and applies the rules after each answer.
+Rules on plain values. ``upstreams.Upstream`` keeps the state that they lead to:
+an ejection ends in probation, during which one call at a time is let through;
+``upstream_pool`` counts the ejected upstreams and applies the rules after each result.
 """
 
-#: Failures in a row after which an upstream is ejected.
+#: Consecutive failures after which an upstream is ejected.
 CONSECUTIVE_FAILURES = 3
-#: The first ejection, in seconds; each further one without an answer between takes
-#: twice as long as the one before.
+#: Duration of the first ejection, in seconds. Each further one without a successful
+#: response in between takes twice as long as the one before.
 BASE_EJECTION_S = 1.0
-#: The longest ejection, in seconds.
+#: Longest ejection, in seconds.
 MAX_EJECTION_S = 30.0
-#: Ejections in a row are counted up to this: the pause has long reached
-#: ``MAX_EJECTION_S`` then, and the power of two stays small.
+#: Consecutive ejections are counted up to this number: the duration has long reached
+#: ``MAX_EJECTION_S`` by then, and the power of two stays small.
 MAX_EJECTIONS_COUNTED = 10
 #: Silence after which an upstream counts as frozen, as a multiple of the 95th
 #: percentile of the latency.
 FROZEN_P95_FACTOR = 3.0
-#: And at least this long, in seconds.
+#: Shortest silence after which an upstream counts as frozen, in seconds.
 FROZEN_MIN_S = 0.25
-#: Why an upstream is ejected that owes answers for too long.
+#: Reason to eject an upstream whose responses are overdue for too long.
 SILENT = "silent"
-#: And one whose request on probation failed, or was broken off late.
+#: Reason to eject an upstream whose request on probation failed, or was cancelled late.
 FAILED_ON_PROBATION = "failed on probation"
-#: A pool with fewer upstreams than this ejects none of them: a bad upstream is better
-#: than no upstream.
+#: Smallest number of usable upstreams from which any is ejected: a bad upstream is
+#: better than none.
 MIN_POOL_SIZE = 2
-#: Wait in seconds that a refused caller is asked to keep where no upstream is usable
-#: and none is due back.
+#: Seconds after which a refused caller is told to retry where no upstream is usable
+#: and it is not known when one will be.
 RETRY_AFTER_S = 1.0
 
 
@@ -41,7 +41,7 @@
 def reason_to_eject(
     *, failed: bool, failures_in_row: int, on_probation: bool
 ) -> str | None:
-    """Return why an upstream is ejected after a request ended, or None."""
+    """Return why to eject an upstream after a request ended, or None."""
     if failures_in_row >= CONSECUTIVE_FAILURES:
         return "failures in a row"
     if failed and on_probation:
@@ -50,7 +50,7 @@
 
 
 def is_frozen(silent_s: float, p95_s: float) -> bool:
-    """Tell whether an upstream's silence can only mean that it has stopped."""
+    """Tell whether only a hung upstream explains such a silence."""
     return silent_s > max(FROZEN_MIN_S, FROZEN_P95_FACTOR * p95_s)
 
 
@@ -58,7 +58,7 @@
     """
     Tell whether one more may be ejected besides ``ejected`` of ``usable``.
 
-    Where most of a pool seems bad the cause is rarely the upstreams, and the
+    When most of a pool seems bad, the cause is rarely the upstreams, and the
     rest could not carry the load.
     """
     allowed = max(1, int(eject_share * usable))
--- a/spindlenotch/kernel/failure_share.py
+++ b/spindlenotch/kernel/failure_share.py
@@ -1,28 +1,29 @@
 """
-What share of its requests an upstream fails lately.
+The share of its recent requests that an upstream fails.
 
-Answers the load pattern of an upstream that fails some of its requests while its
-probes are answered: ejection waits for several failures in a row, which it seldom
-shows. Pure; times come from the caller.
+Covers an upstream that fails some of its requests while it answers its probes:
+ejection needs several consecutive failures, which such an upstream seldom shows. Pure;
+times come from the caller.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import latency
 
-#: Seconds in which what was seen fades to a third. An upstream that works again has
-#: three quarters of an even share 5 s later (2.0 s: two thirds; 1.5 s: all of it, but
-#: 3.4 in place of 2.9 of 100 calls reach a failing one: see the scenario on that).
+#: Time constant, in seconds, with which the counts decay. An upstream that works again
+#: gets three quarters of an even share after 5 s. With 2.0 s it gets two thirds; with
+#: 1.5 s all of it, but 3.4 instead of 2.9 of 100 calls reach a failing upstream (see
+#: the scenario on that).
 DECAY_S = 1.7
-#: Answers that an upstream is credited with before any was seen: one failure makes a
-#: share of a third, not of one.
+#: Successes that an upstream is credited with before any request ended: one failure
+#: gives a share of a third, not of one.
 PRIOR_ANSWERS = 2.0
-#: What a request counts that the upstream refused without running it, as a share of a
-#: failure: it costs a further try, but little time.
+#: Weight of a request that the upstream refused without running it, as a share of a
+#: failure: it costs another attempt, but little time.
 REFUSAL_WEIGHT = 0.5
 
 
 class FailureShare:
-    """Counts of failures and answers that fade with time."""
+    """Counts of failures and of all results, which decay over time."""
 
     def __init__(self) -> None:
         self._failures = 0.0
@@ -30,7 +31,7 @@
         self._counted_at = ids.Instant(0.0)
 
     def add(self, failures: float, now: ids.Instant) -> None:
-        """Count one request; ``failures`` is 0 for an answer, 1 for a failure."""
+        """Count one request; ``failures`` is 0 for a success, 1 for a failure."""
         kept = latency.decay(now - self._counted_at, DECAY_S)
         self._failures = self._failures * kept + failures
         self._seen = self._seen * kept + 1.0
--- a/spindlenotch/kernel/liveness.py
+++ b/spindlenotch/kernel/liveness.py
@@ -1,48 +1,50 @@
 """
-When one process heard of an upstream last, and for how long that has owed an answer.
+When one process last heard from an upstream, and how long a response is overdue.
 
-A try that is broken off at its deadline leaves the time for which it waited: where
-requests have little time, an upstream that stands still would else never be silent.
-Pure; every method takes the instant.
+A cancelled attempt leaves behind the time for which it waited: otherwise, where
+requests have short deadlines, a hung upstream would never be seen as silent. Pure;
+every method takes the instant.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import latency
 
-#: Longest time between the sending of a probe and the report that it brings, in
-#: seconds: a probe is given up after that.
+#: Longest time between sending a probe and the report that it returns, in seconds: the
+#: probe times out after that.
 REPORT_LAG_S = 0.3
-#: Most seconds between two reports of an upstream that is probed: a probe every 0.25 s,
-#: passed on every 0.2 s by two gateways, and one of these messages lost.
+#: Longest time between two reports of a probed upstream, in seconds: a probe every
+#: 0.25 s, forwarded every 0.2 s by two gateways, with one of these messages lost.
 REPORTED_WITHIN_S = 1.0
-#: Seconds after its last report for which an upstream is taken to be probed while
-#: others are: its own silence must not make it one that nobody probes.
+#: Seconds after its last report for which an upstream is assumed to be probed while
+#: others are: its own silence must not make it look like one that nobody probes.
 PROBED_WITHIN_S = 30.0
-#: Seconds in which what is owed fades to a third, so that an upstream of which nobody
-#: hears is tried again: some seconds, as requests come far more often where it matters.
+#: Time constant, in seconds, with which the waits of cancelled attempts decay, so that
+#: an upstream that nobody hears from is tried again. A few seconds are enough:
+#: requests come far more often where this matters.
 CANCELLED_WAIT_DECAY_S = 5.0
 
 LONG_AGO = ids.Instant(float("-inf"))
 
 
 class ProbeActivity:
-    """When a probe had a report of any upstream of a service last."""
+    """When a probe last had a report of any upstream of a service."""
 
     def __init__(self) -> None:
         self.probed_at = LONG_AGO
 
     def is_recent(self, now: ids.Instant) -> bool:
-        """Tell whether upstreams are probed, as far as is heard."""
+        """Tell whether upstreams are being probed, as far as this process knows."""
         return now - self.probed_at <= REPORTED_WITHIN_S
 
 
 class Liveness:
     """
-    What was heard of one upstream; ``probing`` is shared by those of its service.
+    When one upstream last responded; ``probing`` is shared by those of its service.
 
-    ``answered_at`` is when a request ended there last, ``read_until`` an instant before
-    which all that was sent to it has been read, ``probed_at`` when a probe had a report
-    of it last, own or of a peer, ``heard_at`` when an answer or a report came last.
+    ``answered_at`` is when an attempt last completed there, ``read_until`` an instant
+    before which the upstream has read everything sent to it, ``probed_at`` when a probe
+    of this process or of a peer last had a report of it, ``heard_at`` when a response
+    or a report last arrived.
     """
 
     def __init__(self, now: ids.Instant, probing: ProbeActivity) -> None:
@@ -53,13 +55,13 @@
         self.heard_at = LONG_AGO
         self._busy_since = now
         self._unanswered_since = now
-        #: How long tries waited that were broken off since anything was heard, as it
-        #: counted at the instant beside it.
+        #: How long the attempts waited that were cancelled since the upstream last
+        #: responded, in seconds, as of ``_cancelled_wait_at``.
         self._cancelled_wait_s = 0.0
         self._cancelled_wait_at = now
 
     def sent(self, now: ids.Instant, *, is_first: bool) -> None:
-        """Record that a try goes out; ``is_first``: no other is under way."""
+        """Record that an attempt is sent; ``is_first``: no other is in flight."""
         if is_first:
             self._busy_since = now
             if not self._cancelled_wait_s:
@@ -67,9 +69,10 @@
 
     def answered(self, now: ids.Instant, sent_at: ids.Instant | None) -> None:
         """
-        Record that a try ended there.
+        Record that an attempt completed.
 
-        ``sent_at`` is when it was sent, where its answer shows that it was read.
+        ``sent_at`` is when it was sent, if the response shows that the upstream read
+        the request; None otherwise.
         """
         self.answered_at = now
         self._unanswered_since = now
@@ -79,13 +82,13 @@
             self.heard_at = max(self.heard_at, now)
 
     def cancelled(self, now: ids.Instant, *, is_last: bool) -> None:
-        """Record that a try was broken off; ``is_last``: no other is under way."""
+        """Record that an attempt was cancelled; ``is_last``: no other is in flight."""
         if is_last:
             self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)
             self._cancelled_wait_at = now
 
     def reported(self, at: ids.Instant) -> None:
-        """Record that it reported its load at ``at``, and so did not stand still."""
+        """Record that it reported its load at ``at``, and so was not hung then."""
         self.read_until = max(self.read_until, ids.Instant(at - REPORT_LAG_S))
         self.heard_at = max(self.heard_at, at)
         if at > self._unanswered_since:
@@ -97,32 +100,32 @@
         self.probing.probed_at = max(self.probing.probed_at, at)
 
     def reset(self) -> None:
-        """Begin anew with an upstream that gets another chance."""
+        """Forget cancelled attempts when the upstream gets another chance."""
         self._cancelled_wait_s = 0.0
 
     def silent_s(self, now: ids.Instant, *, is_busy: bool) -> float:
-        """Return for how many seconds it has owed an answer without giving any."""
+        """Return for how many seconds a response has been due without any arriving."""
         return self._decayed_wait_s(now) + (self._waited_s(now) if is_busy else 0.0)
 
     @property
     def has_unanswered_attempts(self) -> bool:
-        """Tell whether tries were broken off since anything was heard."""
+        """Tell whether attempts were cancelled since the upstream last responded."""
         return self._cancelled_wait_s > 0.0
 
     def was_probed(self) -> bool:
-        """Tell whether probes told of it in the time before it owed an answer."""
+        """Tell whether probes reported it shortly before its response became due."""
         return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S
 
     def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
-        """Tell whether probes tell of other upstreams, and of it not since then."""
+        """Tell whether probes report others, but not this one after ``since``."""
         return self.probed_at <= since and self.probing.is_recent(now)
 
     def _decayed_wait_s(self, now: ids.Instant) -> float:
         """
-        Return what is owed of tries that were broken off, in seconds.
+        Return how long cancelled attempts waited, in seconds, with decay.
 
-        It does not fade while probes tell of others and miss this one: requests would
-        be sent there again and again.
+        It does not decay while probes report other upstreams but not this one:
+        requests would be sent there again and again.
         """
         if not self._cancelled_wait_s:
             return 0.0
