--- a/spindlenotch/kernel/state_changes.py
+++ b/spindlenotch/kernel/state_changes.py
@@ -1,8 +1,8 @@
 """
-The changes of upstreams' states that have not been logged yet.
+State changes of upstreams that have not been logged yet.
 
 The kernel does no output: it records each change here, and the process that owns
-the pool collects them a few times a second and writes its events.
+the pool collects the changes a few times per second and logs them.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """An upstream changed its state, and why."""
+    """The new state of an upstream, and the reason for it."""
 
     upstream: ids.UpstreamId
     state: upstreams.State
@@ -25,7 +25,7 @@
 
 
 class ChangeLog:
-    """The latest changes, oldest first."""
+    """The most recent changes, oldest first."""
 
     def __init__(self) -> None:
         self._changes: collections.deque[Change] = collections.deque(
@@ -33,13 +33,13 @@
         )
 
     def record(self, upstream: upstreams.Upstream) -> None:
-        """Add the state that an upstream has got into."""
+        """Add the present state of an upstream."""
         self._changes.append(
             Change(upstream.spec.id, upstream.state, upstream.state_reason)
         )
 
     def collect(self) -> list[Change]:
-        """Return and forget the changes so far."""
+        """Return the changes so far and remove them."""
         changes = list(self._changes)
         self._changes.clear()
         return changes
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -1,9 +1,9 @@
 """
 The upstreams of one service as one process sees them.
 
-Measures the service as a whole and ejects what fails or falls silent (``ejection``);
-which upstreams there are and which slots are the own ones lies in ``upstream_set``.
-Answers what the decisions ask: how much an upstream is estimated to have.
+Keeps statistics over the whole service and ejects upstreams that fail or fall silent
+(``ejection``); ``upstream_set`` has the upstreams and the owned slots. Provides the
+decisions with estimates, such as the load of an upstream.
 """
 
 import random
@@ -23,7 +23,7 @@
     upstreams,
 )
 
-#: Time constant with which a report of other processes' requests fades, as a multiple
+#: Time constant with which a report of other processes' requests decays, as a multiple
 #: of the typical latency.
 REPORT_DECAY_FACTOR = 2.0
 #: Weights of the newest sample in the means over the whole service.
@@ -41,10 +41,10 @@
     ``waiting`` those in the queue; at most ``eject_share`` of the pool (at least
     one) is ejected at a time. ``mean_foreign_load`` is the number of requests
     that other processes have in an upstream where this one owns no slots,
-    ``near_used`` the share of their slots that upstreams of the own region have in
-    use, ``far_used_by_region`` the same of other regions as these say;
+    ``near_used`` the share of the slots in use in this process's own region,
+    ``far_used_by_region`` the same for other regions, as they report it;
     ``refused_share`` is the share of calls refused for overload,
-    ``failed_share`` that of answers that are failures.
+    ``failed_share`` that of requests that failed.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.in_flight = 0
         self.waiting = 0
         self.failed_share = latency.Mean(0.0, FAILED_WEIGHT)
-        #: The mean over all answers; ``Upstream.latency_ratio`` is that of one.
+        #: The mean over all upstreams; ``Upstream.latency_ratio`` is that of one.
         self.latency_ratio = latency.Mean(1.0, LATENCY_RATIO_WEIGHT)
         self.contention = contention.Contention()
         self._dispatch_schedule_at = shared_rate.LONG_AGO
@@ -77,8 +77,8 @@
         Estimate the requests in ``upstream``, those of other processes included.
 
         Upstreams where this process owns slots report often enough to have a
-        mean of their own; the others count with the mean over all of them, those of
-        other regions with what their region says.
+        mean of their own; for the others the mean over all of them is used, for those
+        of other regions the utilisation that their region reports.
         """
         decay_s = REPORT_DECAY_FACTOR * self.latencies.overall.value
         typical = self.mean_foreign_load.value
@@ -95,11 +95,11 @@
         report: upstreams.LoadReport,
         now: ids.Instant,
     ) -> None:
-        """Take in a load report that came with an answer or a probe."""
+        """Apply a load report that came with a response or a probe."""
         upstream.reported(report, now)
         if self.far_order and self.is_far(upstream):
-            # It came with an answer, whose call still counts as outstanding here; no
-            # probe will tell better.
+            # It came with the response to a call that still counts as outstanding
+            # here; no later probe will correct the estimate.
             upstream.outstanding_at_report -= 1
         elif upstream.owned_slots <= 0:
             total = report.running + report.queued
@@ -111,12 +111,12 @@
         report: upstreams.LoadReport,
         at: ids.Instant,
     ) -> None:
-        """Take in a load report of ``at`` that a probe brought, own or of a peer."""
+        """Apply a load report made at ``at`` for a probe, own or of a peer."""
         upstream.liveness.probe_reported(at)
         self.reported(upstream, report, at)
 
     def record_service_result(self, result: upstreams.Result) -> None:
-        """Record how a request ended, for the state of the service as a whole."""
+        """Record how a request ended in the statistics of the whole service."""
         if result is not upstreams.Result.CANCELLED:
             self.failed_share.add(1.0 if _is_failure(result) else 0.0)
 
@@ -128,7 +128,7 @@
         took_s: float,
         now: ids.Instant,
     ) -> None:
-        """Record how a request ended, and eject the upstream where needed."""
+        """Record how a request ended, and eject the upstream if needed."""
         if result is upstreams.Result.CANCELLED:
             if self._was_overdue_on_probation(upstream, latency_key, took_s):
                 self.eject(upstream, ejection.SILENT, now)
@@ -147,14 +147,14 @@
     def _was_overdue_on_probation(
         self, upstream: upstreams.Upstream, latency_key: str, took_s: float
     ) -> bool:
-        """Tell whether the one request that decides waited in vain for long enough."""
+        """Tell whether the cancelled request on probation had waited too long."""
         on_probation = upstream.state is upstreams.State.PROBATION
         return on_probation and took_s > self.latencies.p95_s(latency_key)
 
     def eject(
         self, upstream: upstreams.Upstream, reason: str, now: ids.Instant
     ) -> bool:
-        """Eject an upstream unless too many are out already."""
+        """Eject an upstream unless too many are ejected; return whether it was."""
         ejected = sum(u.state is upstreams.State.EJECTED for u in self.ejected)
         usable = len(self.usable_order)
         if not ejection.may_eject(ejected, usable, self.service.eject_share):
@@ -166,17 +166,18 @@
     def frozen(
         self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
-        """Tell whether its silence can only mean that it has stopped."""
+        """Tell whether only a hung upstream explains its silence."""
         return ejection.is_frozen(
             upstream.silent_s(now), self.latencies.p95_s(latency_key)
         )
 
     def tick(self, now: ids.Instant) -> None:
         """
-        Let ejections end and take in changes of state; called a few times a second.
+        End ejections that are over and apply state changes.
 
-        An ejection may also end while upstreams are looked at for a call; until it
-        is taken in, that upstream has no own slots and gets no trial request.
+        Called a few times per second. An ejection may also end while an upstream is
+        selected for a call; until that change is applied, this process owns no slots
+        of the upstream and sends it no trial request.
         """
         for upstream in self.usable_order:
             upstream.tick(now)
@@ -184,16 +185,16 @@
             self.refresh()
 
     def busy(self) -> int:
-        """Count the calls in flight but for those stuck in ejected upstreams."""
+        """Count the calls in flight except those stuck in ejected upstreams."""
         return self.in_flight - sum(u.outstanding for u in self.ejected)
 
     def dispatch_schedule(
         self, now: ids.Instant
     ) -> dispatch_schedule.DispatchSchedule | None:
         """
-        Return when calls get their turns where every upstream names a limit, else None.
+        Return when calls are sent if every upstream advertises a limit, else None.
 
-        Worked out once for each instant, as many waiting calls ask.
+        Computed once for each instant, as it is needed for many waiting calls.
         """
         if now != self._dispatch_schedule_at:
             self._dispatch_schedule_at = now
@@ -201,7 +202,7 @@
         return self._dispatch_schedule
 
     def usable_again_at(self, now: ids.Instant) -> ids.Instant:
-        """Return when the first may be used again, or a moment where none is known."""
+        """Return when the first may be used again, a default if that is not known."""
         free_at = min((u.free_at(now) for u in self.usable_order), default=ids.NEVER)
         if free_at in (now, ids.NEVER):
             return ids.later(now, ejection.RETRY_AFTER_S)
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -1,9 +1,9 @@
 """
-The upstreams of one service: which may be used, and which slots are the own ones.
+The upstreams of one service: which are usable, and which slots this process owns.
 
-Keeps the set in step with the host list and works out the own slots (``ownership``).
-An upstream that starts again under its id is another one: it begins with nothing
-known of it. What is measured on them all is the business of ``upstream_pool``.
+Keeps the set in step with the host list and computes the owned slots (``ownership``).
+An upstream that restarts under its id is treated as a new one, of which nothing is
+known. ``upstream_pool`` adds the statistics over all of them.
 """
 
 from collections import abc
@@ -27,20 +27,20 @@
     waiting,
 )
 
-#: Why an upstream gets no new work whose answers say that it leaves.
+#: Reason for sending no new requests to an upstream that signals that it is leaving.
 ANNOUNCED_LEAVING = "says that it leaves"
 
 
 class UpstreamSet:
     """
-    The upstreams by id, and those that may get work.
+    The upstreams by id, and those that may be sent requests.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
     ``local_order`` those of them in this process's own zone, ``near_order`` in its
     region and ``far_order`` in others, ``ejected`` those that are ejected; ``owned``
-    lists those of them in which this process owns slots, in all ``owned_total``.
-    ``revision`` rises with each change of ``usable_order``. ``views`` say who shares
-    what upstreams take from all processes: as seen now, last, and a while ago.
+    lists those of them in which this process owns slots, ``owned_total`` in all.
+    ``revision`` grows with each change of ``usable_order``. ``views`` are the views of
+    which processes share rates: recent ones first, the current one last.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         )
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
-        """Take in the live members, this process included."""
+        """Set the live members; this process is always included."""
         ordered = tuple(sorted({*members, self.local_member}))
         if ordered != self.members:
             self.members = ordered
@@ -81,10 +81,10 @@
         self, specs: abc.Iterable[upstreams.UpstreamSpec], now: ids.Instant
     ) -> None:
         """
-        Take in the host list.
+        Apply the host list.
 
-        An upstream that is no longer listed leaves. One that is listed with a
-        higher generation starts anew. Calls in flight are not touched.
+        An upstream that is no longer listed is leaving. One that is listed with a
+        higher generation is replaced by a new one. Calls in flight are not affected.
         """
         spec_by_id = {s.id: s for s in specs if s.zone in self.service.zones}
         for upstream_id, upstream in self.upstream_by_id.items():
@@ -96,7 +96,7 @@
                 self.upstream_by_id[spec.id] = self._create(spec, known, now)
             else:
                 if known.spec.born != spec.born:
-                    # Told later of the same start.
+                    # It is the same start, which could not be identified before.
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
         self._remove_unlisted(spec_by_id)
@@ -105,7 +105,7 @@
         self.refresh()
 
     def set_rate_view(self, view: shared_rate.View, now: ids.Instant) -> None:
-        """Take in which processes share what upstreams take from all of them."""
+        """Set the current view of which processes share rates."""
         before = self.views[-1]
         if view == before:
             return
@@ -116,13 +116,13 @@
         self._update_shared_rates(now)
 
     def set_plan(self, plan: dict[ids.ZoneName, float]) -> None:
-        """Take in the day's weights by zone."""
+        """Set the weights by zone of the day's plan."""
         if plan != self.plan:
             self.plan = plan
             self.refresh()
 
     def leave(self, upstream_id: ids.UpstreamId, generation: int, reason: str) -> bool:
-        """Mark an upstream as leaving; tell whether it was not before."""
+        """Mark an upstream as leaving; return whether this changed its state."""
         known = self.upstream_by_id.get(upstream_id)
         if known is None:
             return False
@@ -135,7 +135,7 @@
         return True
 
     def is_far(self, upstream: upstreams.Upstream) -> bool:
-        """Tell whether an upstream lies in another region."""
+        """Tell whether an upstream is in another region."""
         known = self.service.region_map
         distance = known.distance(self.local_member.zone, upstream.spec.zone)
         return distance is regions.Distance.FAR
@@ -154,7 +154,7 @@
         return allowed is None or self.region_of(upstream) in allowed
 
     def refresh(self) -> None:
-        """Work out anew which upstreams are usable and which slots are the own ones."""
+        """Recompute which upstreams are usable and which slots this process owns."""
         self._changed = False
         self.revision += 1
         self.usable_order = [
@@ -179,7 +179,7 @@
         known: upstreams.Upstream | None,
         now: ids.Instant,
     ) -> upstreams.Upstream:
-        """Return a new upstream in place of the one that is ``known`` by its id."""
+        """Return a new upstream that replaces the one ``known`` by its id, if any."""
         slots = spec.slots or self.service.slots
         upstream = upstreams.Upstream(
             spec,
@@ -190,13 +190,13 @@
             self._backpressures.get(spec),
         )
         if upstream.backpressure.is_leaving:
-            # Its entry lags behind, or was written by another; it said so itself.
+            # It signalled so itself; its entry is outdated, or has another writer.
             upstream.leave(ANNOUNCED_LEAVING)
         if known is None:
             return upstream
         known.retire()
         if known.spec.born != spec.born:
-            # Its entry may have been written when it was warm again, or say nothing.
+            # Its entry may date from when it was warm again, or not say.
             upstream.cold.assumed_duration_s = self.service.cold_start_s
             upstream.cold.assume_cold_since(now, now)
         return upstream
@@ -206,7 +206,7 @@
         self._changed = True
 
     def _update_shared_rates(self, now: ids.Instant) -> None:
-        """Work out anew what this process may send where a rate bounds all of them."""
+        """Recompute what this process may send where all processes share a rate."""
         hosts = tuple(member.host for member in self.views[-1].members)
         for upstream in self.upstream_by_id.values():
             is_far = self.is_far(upstream)
@@ -218,7 +218,7 @@
                 self.local_member.host,
             )
             upstream.cold.limit(rate_per_s, now)
-            # Its own region's processes share it, who hear of each other.
+            # Only processes of its own region share the limit: they know each other.
             views = (shared_rate.EMPTY_VIEW,) if is_far else self.views
             upstream.backpressure.limit.set_views(views)
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -1,11 +1,11 @@
 """
 What one process knows of each upstream, and how old that knowledge is.
 
-The balancer feeds it: own requests sent and answered, load reports that come
-with answers and probes, drain notices, the host list. Selection reads it.
+The balancer updates it with requests sent and completed, load reports that come with
+responses and probes, drain notices, and the host list. Selection reads it.
 Relies on ``ejection`` for how long an ejection lasts and on ``cold_start`` for what a
-cold one may get. No input or output happens
-here; every method takes the instant.
+cold upstream may be sent. No input or output happens here; every method takes the
+instant.
 """
 
 import enum
@@ -27,25 +27,25 @@
 
 #: Weight of the newest sample in an upstream's latency ratio.
 LATENCY_RATIO_WEIGHT = 0.08
-#: Weight of the newest report in an upstream's mean load from other processes.
+#: Weight of the newest report in the mean load of an upstream by other processes.
 FOREIGN_LOAD_WEIGHT = 0.05
 #: Weight of the newest report in an upstream's mean slowdown.
 MEAN_SLOWDOWN_WEIGHT = 0.03
 #: Slowdown above which an upstream is slowed.
 SLOWED_FACTOR = 2.5
-#: Highest latency ratio that one answer counts with.
+#: Highest latency ratio that one response counts with.
 MAX_LATENCY_RATIO = 20.0
-#: Time constant, in seconds, with which a reported slowdown fades to the mean.
+#: Time constant, in seconds, with which a reported slowdown decays to the mean.
 SLOWDOWN_DECAY_S = 0.5
-#: Answers after which an upstream is trusted with all its slots.
+#: Successful responses after which slow start ends: all slots of the upstream are used.
 SLOW_START_ANSWERS = 20
 
-#: Called with each upstream whose state has changed.
+#: Called with an upstream whenever its state has changed.
 ChangeListener = abc.Callable[["Upstream"], None]
 
 
 class State(enum.Enum):
-    """Whether an upstream may get work."""
+    """Whether an upstream may be sent requests."""
 
     ACTIVE = "active"
     PROBATION = "probation"
@@ -54,7 +54,7 @@
 
 
 class Result(enum.Enum):
-    """How an upstream dealt with one request."""
+    """How a request to an upstream ended."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -63,7 +63,7 @@
     CANCELLED = "cancelled"
 
 
-#: What the end of a request counts in its upstream's share of failures.
+#: Weight of the end of a request in its upstream's share of failures.
 FAILURES_BY_RESULT = {
     Result.ANSWERED: 0.0,
     Result.FAILED: 1.0,
@@ -74,10 +74,10 @@
 
 class LoadReport(msgspec.Struct, frozen=True):
     """
-    What an upstream reports of itself: requests running and queued.
+    The load that an upstream reports: requests running and queued.
 
-    ``slowdown`` is how many times its typical time work takes there just now.
-    ``cold_s``: for how many seconds more it is cold; None where it does not say.
+    ``slowdown`` is how long work takes there now, as a multiple of its typical time.
+    ``cold_s`` is for how many more seconds it is cold, None if it does not report that.
     """
 
     running: int
@@ -90,10 +90,10 @@
     """
     One upstream as the host list gives it.
 
-    ``slots`` is None where all upstreams of the service have as many;
-    ``warming_up_until`` is when it has warmed up after its start. ``born`` tells that
-    start from others of the same id, None where nothing does. ``version`` is that of
-    its software, empty where it tells none.
+    ``slots`` is None if it has as many as the service's policy says;
+    ``warming_up_until`` is when it has warmed up after its start. ``born`` identifies
+    that start among others of the same id, None if it is not known. ``version`` is that
+    of its software, empty if not known.
     """
 
     id: ids.UpstreamId
@@ -110,14 +110,13 @@
     """
     State and estimates of one upstream.
 
-    Invariants: ``sent_at_by_call`` holds exactly the calls this process has
-    sent and not seen the end of, oldest first; ``LEAVING`` is left only by a
-    higher generation; ``latency_ratio`` is the mean ratio of observed to typical
+    Invariants: ``sent_at_by_call`` holds exactly the calls that this process has
+    sent and that have not ended, oldest first; only a higher generation ends
+    ``LEAVING``; ``latency_ratio`` is the mean ratio of observed to typical
     latency; ``contention_sample`` holds for about half of all upstreams, the same in
-    every process (``contention``). ``cold`` says what it may get while it is cold;
-    ``ejected_at`` is when it was ejected last, ``known_since`` when this process
-    learnt of this start of it, ``backpressure`` what this start has said of how much
-    it will take.
+    every process (``contention``). ``cold`` limits what it is sent while it is cold;
+    ``ejected_at`` is when it was last ejected, ``known_since`` when this process
+    learnt of this start of it, ``backpressure`` the signals of this start.
     """
 
     def __init__(
@@ -161,11 +160,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Number of own requests in flight."""
+        """Return the number of requests of this process that are in flight."""
         return len(self.sent_at_by_call)
 
     def sent(self, call: ids.CallId, now: ids.Instant) -> None:
-        """Record that a call goes out."""
+        """Record that a call is sent."""
         self.liveness.sent(now, is_first=not self.sent_at_by_call)
         self.sent_at_by_call[call] = now
         self.cold.sent(now)
@@ -196,7 +195,7 @@
             self.failures_in_row += 1
 
     def reported(self, report: LoadReport, now: ids.Instant) -> None:
-        """Take in a load report that came with an answer or a probe."""
+        """Apply a load report that came with a response or a probe."""
         self.report = report
         self.report_at = now
         self.liveness.reported(now)
@@ -211,9 +210,9 @@
 
     def slowdown(self, now: ids.Instant) -> float:
         """
-        Estimate how many times its typical time work takes there now.
+        Estimate how long work takes there now, as a multiple of its typical time.
 
-        The last report fades towards the mean of all reports as it ages.
+        The last report decays towards the mean of all reports as it ages.
         """
         if not self.reports_slowdown:
             return 1.0
@@ -223,10 +222,11 @@
 
     def reported_slowdown(self) -> float | None:
         """
-        Return the mean of the slowdowns that were reported, None where none was.
+        Return the mean of the reported slowdowns, None if there were no reports.
 
-        ``mean_slowdown`` begins at 1, and holds that to be true until many reports say
-        otherwise: a process that has just started would take a slow one for usual.
+        It corrects for the initial value of ``mean_slowdown``, 1, which weighs in until
+        there are many reports: to a process that has just started, a slow upstream
+        would seem normal.
         """
         if not self.report_count:
             return None
@@ -239,18 +239,18 @@
         """
         Estimate how many requests of other processes are in it now.
 
-        The last report fades towards ``typical`` as it ages.
+        The last report decays towards ``typical`` as it ages.
         """
         reported = self.report.running + self.report.queued - self.outstanding_at_report
         weight = latency.decay(now - self.report_at, time_constant_s)
         return typical + (max(0, reported) - typical) * weight
 
     def silent_s(self, now: ids.Instant) -> float:
-        """Return for how many seconds it has owed an answer without giving any."""
+        """Return for how many seconds a response has been due without any arriving."""
         return self.liveness.silent_s(now, is_busy=bool(self.sent_at_by_call))
 
     def eject(self, reason: str, now: ids.Instant) -> None:
-        """Take it out of use for a while that doubles each time in a row."""
+        """Eject it, for twice as long with each consecutive ejection."""
         if self.state is State.LEAVING:
             return
         ejection_s = ejection.duration_s(self.ejections_in_row)
@@ -263,20 +263,20 @@
         self._set_state(State.EJECTED, reason, ids.later(now, ejection_s))
 
     def leave(self, reason: str) -> None:
-        """Give it no new work until a higher generation is listed."""
+        """Send it no new requests until a higher generation is listed."""
         self._set_state(State.LEAVING, reason, ids.NEVER)
 
     def retire(self) -> None:
         """
-        Give its id to another one: nothing is told of this one from now on.
+        Retire it because another upstream takes its id; no more changes are reported.
 
-        Calls that were sent to it still end here, and count for no other.
+        Calls that were sent to it still end here, and do not count for the other one.
         """
         self.on_change = _ignore_change
         self.leave("replaced")
 
     def tick(self, now: ids.Instant) -> None:
-        """Let an ejection end in probation."""
+        """Move an upstream whose ejection is over to probation."""
         if self.state is not State.EJECTED or now < self.state_until:
             return
         if self._awaits_report and self._is_still_silent(now):
@@ -286,16 +286,16 @@
 
     def _is_still_silent(self, now: ids.Instant) -> bool:
         """
-        Tell whether probes show that an upstream ejected as silent stands still yet.
+        Tell whether probes show that an upstream ejected as silent is still hung.
 
-        A try there would cost its request the time, and a hedge.
+        An attempt there would cost its request that time, and a hedge.
         """
         if now >= ids.later(self.ejected_at, ejection.MAX_EJECTION_S):
             return False
         return self.liveness.is_missing_from_probes(self.ejected_at, now)
 
     def may_take(self, now: ids.Instant) -> bool:
-        """Tell whether it may get one more request."""
+        """Tell whether it may be sent one more request."""
         read_until = self.liveness.read_until
         if not self.cold.may_send(now, read_until):
             return False
@@ -308,9 +308,9 @@
 
     def free_at(self, now: ids.Instant) -> ids.Instant:
         """
-        Return from when on it may be used, as far as that is known; NEVER: it is not.
+        Return when it may be used again, NEVER if that is not known.
 
-        Whether its slots are in use does not count.
+        Whether its slots are in use does not matter.
         """
         if self.state is State.EJECTED:
             return self.state_until
@@ -319,7 +319,7 @@
         return self.backpressure.free_at(now, self.liveness.read_until)
 
     def slow_start_share(self) -> float:
-        """Return the share of its slots that it may be trusted with, 0 to 1."""
+        """Return the share of its slots that slow start allows to be used, 0 to 1."""
         return min(1.0, (1 + self.answers) / SLOW_START_ANSWERS)
 
     def _set_state(self, state: State, reason: str, until: ids.Instant) -> None:
@@ -332,4 +332,4 @@
 
 
 def _ignore_change(upstream: Upstream) -> None:
-    """Stand in for the listener of an upstream that has ended."""
+    """Ignore a state change of a retired upstream."""
