--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import advertised_limit, shared_rate, upstreams
+from spindlenotch.kernel import named_limit, shared_rate, upstreams
 
 #: Least seconds between two messages on a limit that stays the same.
 REPEAT_S = 0.2
@@ -59,7 +59,7 @@
     def _is_due(
         self,
         upstream: ids.UpstreamId,
-        limit: advertised_limit.AdvertisedLimit,
+        limit: named_limit.AdvertisedLimit,
         now: ids.Instant,
     ) -> bool:
         told = self._told_by_id.get(upstream)
@@ -72,7 +72,7 @@
         return True
 
 
-def _is_news(limit: advertised_limit.AdvertisedLimit, now: ids.Instant) -> bool:
+def _is_news(limit: named_limit.AdvertisedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
     if limit.heard_at < limit.reported_at:
         return False
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -16,10 +16,10 @@
 from spindlenotch.gateway import jitter, service_defaults, state
 from spindlenotch.gateway.cluster import duties, fleet
 from spindlenotch.gateway.source import routing
-from spindlenotch.kernel import liveness, service_policy, upstream_pool, upstreams
+from spindlenotch.kernel import hearing, service_policy, upstream_pool, upstreams
 
 #: Longest wait for the answer to a probe, in seconds.
-PROBE_TIMEOUT_S = liveness.REPORT_LAG_S
+PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
 #: Time between two looks at which upstreams fall to this gateway.
 MATCH_PERIOD_S = 0.2
 #: A probing task ends after about this long and is begun anew with the settings of that
--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -12,7 +12,7 @@
 from spindlenotch import events, ids
 from spindlenotch.decisions import balancer
 from spindlenotch.forwarding import signal_events
-from spindlenotch.kernel import advertised_limit, upstreams
+from spindlenotch.kernel import named_limit, upstreams
 
 
 class _Told(msgspec.Struct):
@@ -47,7 +47,7 @@
         limit = upstream.backpressure.limit
         told = self._told_by_id.get(upstream.spec.id)
         if told is None:
-            until = ids.later(now, advertised_limit.WINDOW.seconds)
+            until = ids.later(now, named_limit.WINDOW.seconds)
             self._told_by_id[upstream.spec.id] = _Told(limit.sent, until)
             return
         if now < told.window_until:
@@ -59,7 +59,7 @@
                 upstream=upstream.spec.id,
                 count=limit.sent - told.sent,
                 limit_per_s=round(limit.per_s or 0.0, signal_events.RATE_DIGITS),
-                window_s=advertised_limit.WINDOW.seconds,
+                window_s=named_limit.WINDOW.seconds,
             )
         told.sent = limit.sent
-        told.window_until = ids.later(now, advertised_limit.WINDOW.seconds)
+        told.window_until = ids.later(now, named_limit.WINDOW.seconds)
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from spindlenotch import ids
-from spindlenotch.kernel import advertised_limit, shared_rate
+from spindlenotch.kernel import named_limit, shared_rate
 
 #: Shortest time between two log lines about a limit that changes, in seconds.
 MIN_LOG_INTERVAL_S = 4.0
@@ -67,7 +67,7 @@
     """
 
     def __init__(self, participant: shared_rate.Participant) -> None:
-        self.limit = advertised_limit.AdvertisedLimit(participant)
+        self.limit = named_limit.AdvertisedLimit(participant)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
         self.backoff_until = shared_rate.LONG_AGO
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -12,12 +12,12 @@
 
 from spindlenotch import ids
 from spindlenotch.kernel import (
-    advertised_limit,
-    backpressure_registry,
     cold_start,
-    liveness,
+    hearing,
+    named_limit,
     ownership,
     regions,
+    said,
     schedule,
     service_policy,
     shared_rate,
@@ -62,13 +62,11 @@
             service.zones, service.day, 0.0
         )
         self.changes = state_changes.ChangeLog()
-        self.probing = liveness.ProbeActivity()
+        self.probing = hearing.ProbeActivity()
         self.owned_total = 0.0
         self.revision = 0
         self._changed = False
-        self._backpressures = backpressure_registry.BackpressureRegistry(
-            local_member.host
-        )
+        self._backpressures = said.BackpressureRegistry(local_member.host)
 
     def set_members(self, members: abc.Iterable[ownership.Member]) -> None:
         """Set the live members; this process is always included."""
@@ -110,7 +108,7 @@
         if view == before:
             return
         ended = msgspec.structs.replace(before, until=now)
-        since = now - advertised_limit.WINDOW.seconds
+        since = now - named_limit.WINDOW.seconds
         recent = [one for one in self.views[:-1] if one.until > since]
         self.views = (*recent, ended, view)
         self._update_shared_rates(now)
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -20,8 +20,8 @@
     cold_start,
     ejection,
     failure_share,
+    hearing,
     latency,
-    liveness,
     shared_rate,
 )
 
@@ -125,7 +125,7 @@
         slots: int,
         now: ids.Instant,
         on_change: ChangeListener,
-        probing: liveness.ProbeActivity | None = None,
+        probing: hearing.ProbeActivity | None = None,
         known_backpressure: backpressure.Backpressure | None = None,
     ) -> None:
         self.spec = spec
@@ -151,7 +151,7 @@
         self.failure_share = failure_share.FailureShare()
         self.ejections_in_row = 0
         self.answers = 0
-        self.liveness = liveness.Liveness(now, probing or liveness.ProbeActivity())
+        self.liveness = hearing.Liveness(now, probing or hearing.ProbeActivity())
         self.owned_slots = 0.0
         self.foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
         self.mean_slowdown = latency.Mean(1.0, MEAN_SLOWDOWN_WEIGHT)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -386,7 +386,7 @@
             "kernel/ejection.is_frozen",
             "kernel/ejection.duration_s",
             "kernel/ejection.may_eject",
-            "kernel/liveness.Liveness.silent_s",
+            "kernel/hearing.Liveness.silent_s",
             "kernel/upstreams.Upstream.may_take",
         ),
         inputs="failures in a row, silence (s), 95th percentile of the latency (s),"
@@ -401,10 +401,10 @@
             "kernel/ejection.FROZEN_P95_FACTOR",
             "kernel/ejection.FROZEN_MIN_S",
             "kernel/ejection.MIN_POOL_SIZE",
-            "kernel/liveness.REPORT_LAG_S",
-            "kernel/liveness.REPORTED_WITHIN_S",
-            "kernel/liveness.PROBED_WITHIN_S",
-            "kernel/liveness.CANCELLED_WAIT_DECAY_S",
+            "kernel/hearing.REPORT_LAG_S",
+            "kernel/hearing.REPORTED_WITHIN_S",
+            "kernel/hearing.PROBED_WITHIN_S",
+            "kernel/hearing.CANCELLED_WAIT_DECAY_S",
         ),
         events=("UPSTREAM_EJECTED", "UPSTREAM_PROBATION", "UPSTREAM_BACK"),
         tests=(
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -30,14 +30,14 @@
     ),
     mutant_table.Mutant(
         "a try that is broken off leaves no silence",
-        "kernel/liveness",
+        "kernel/hearing",
         "self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)",
         "self._cancelled_wait_s = 0.0",
         "what stands still is found out by tries that break off",
     ),
     mutant_table.Mutant(
         "an upstream that owed an answer is never tried again",
-        "kernel/liveness",
+        "kernel/hearing",
         "latency.decay(\n"
         "            now - self._cancelled_wait_at, CANCELLED_WAIT_DECAY_S\n        )",
         "1.0",
@@ -73,7 +73,7 @@
     ),
     mutant_table.Mutant(
         "an upstream that has long been silent counts as one that nobody probes",
-        "kernel/liveness",
+        "kernel/hearing",
         "return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S",
         "return self.probed_at >= self._unanswered_since - REPORTED_WITHIN_S",
         "so does one that is sent to long after probes miss it",
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -13,7 +13,7 @@
     Rule(
         question="Who sends to an upstream that names a limit, and how often",
         functions=(
-            "kernel/advertised_limit.AdvertisedLimit.may_send",
+            "kernel/named_limit.AdvertisedLimit.may_send",
             "kernel/shared_rate.Participant.holders",
             "kernel/shared_rate.Participant.held_since",
             "kernel/shared_rate.Pacer.may_send",
@@ -29,10 +29,10 @@
         " too few others are in view, a small part is sent. Calls that find no turn in"
         " time are refused at once.",
         constants=(
-            "kernel/advertised_limit.MIN_PER_S",
-            "kernel/advertised_limit.PARTS_PER_ISOLATED_PROCESS",
-            "kernel/advertised_limit.TRIAL_AFTER_S",
-            "kernel/backpressure_registry.RETENTION_S",
+            "kernel/named_limit.MIN_PER_S",
+            "kernel/named_limit.PARTS_PER_ISOLATED_PROCESS",
+            "kernel/named_limit.TRIAL_AFTER_S",
+            "kernel/said.RETENTION_S",
             "gateway/cluster/limit_news.REPEAT_S",
             "gateway/cluster/limit_news.ENDED_TOLD_S",
         ),
@@ -62,7 +62,7 @@
         " away and asks for rest gets nothing from this process for so long; others"
         " may send there. A caller is told to come back when any upstream may be"
         " used.",
-        constants=("kernel/backpressure_registry.RETENTION_S",),
+        constants=("kernel/said.RETENTION_S",),
         events=("UPSTREAM_LEAVING", "UPSTREAM_RESTS", "SIGNAL_UNREADABLE"),
         tests=(
             Scenario(
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -11,7 +11,7 @@
 MUTANTS = (
     mutant_table.Mutant(
         "each gateway sends all that an upstream takes",
-        "kernel/advertised_limit",
+        "kernel/named_limit",
         "self._pacer.set_part(per_s / len(holders),",
         "self._pacer.set_part(per_s,",
         KEPT,
@@ -32,21 +32,21 @@
     ),
     mutant_table.Mutant(
         "a pace begins anew with each limit that is named",
-        "kernel/advertised_limit",
+        "kernel/named_limit",
         "since = max(\n            self._advertised_at,",
         "since = max(\n            self.reported_at,",
         KEPT,
     ),
     mutant_table.Mutant(
         "a side that sees too few others sends as if it were alone",
-        "kernel/advertised_limit",
+        "kernel/named_limit",
         "part_per_s = per_s / parts",
         "part_per_s = per_s",
         "a side that sees too few others sends a small part",
     ),
     mutant_table.Mutant(
         "those that see too few others all send at the same time",
-        "kernel/advertised_limit",
+        "kernel/named_limit",
         "self.participant.local_phase / part_per_s",
         "0.0",
         "a side that sees too few others sends a small part",
@@ -60,7 +60,7 @@
     ),
     mutant_table.Mutant(
         "what an upstream said is forgotten with its entry",
-        "kernel/backpressure_registry",
+        "kernel/said",
         "if entry is None or entry.born != spec.born:",
         "if True:",
         "what an upstream entry holds when its entry comes back",
