--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -101,11 +101,11 @@
         if pool is None:
             pool = self.pools[number] = self._start(number)
         now = ids.later(NOW, at)
-        pool.set_sharers(self._view(number, at), now)
+        pool.set_rate_view(self._view(number, at), now)
         for upstream in pool.usable_order:
             if not self._stands_still(at):
                 # These work: a probe told of them a moment ago.
-                upstream.hearing.reported(ids.later(now, -ANSWER_S))
+                upstream.liveness.reported(ids.later(now, -ANSWER_S))
             if upstream.may_take(now):
                 self._send(number, upstream, at)
 
@@ -146,7 +146,7 @@
             told_at, upstream_id, per_s = self._news.popleft()
             for pool in filter(None, self.pools):
                 limit = pool.upstream_by_id[upstream_id].backpressure.limit
-                limit.told(per_s, ids.later(NOW, told_at), ids.later(NOW, at))
+                limit.update(per_s, ids.later(NOW, told_at), ids.later(NOW, at))
 
     def _end(self, answer: Answer, at: float) -> None:
         pool = self.pools[answer.number]
@@ -156,7 +156,7 @@
         upstream = pool.upstream_by_id[answer.upstream]
         upstream.ended(answer.call, upstreams.Result.ANSWERED, ANSWER_S, now)
         per_s = self.story.limit(at - ANSWER_S)
-        upstream.backpressure.take(
+        upstream.backpressure.record_signals(
             backpressure.Signals(per_s),
             sent_at=ids.later(NOW, answer.sent_at),
             is_whole=True,
@@ -282,21 +282,25 @@
 
 @kernel.PROPERTIES.register("an answer from before a limit does not end it")
 def order() -> None:
-    place = shared_rate.Place(ids.UpstreamId("u"), ZONES[0], ids.HostId("g"))
-    said = backpressure.Backpressure(place)
+    participant = shared_rate.Participant(
+        ids.UpstreamId("u"), ZONES[0], ids.HostId("g")
+    )
+    said = backpressure.Backpressure(participant)
     at = [ids.later(NOW, 0.1 * n) for n in range(6)]
 
-    def take(signals: backpressure.Signals, sent: int, now: int) -> None:
-        said.take(signals, sent_at=at[sent], is_whole=True, now=at[now])
+    def record_signals(signals: backpressure.Signals, sent: int, now: int) -> None:
+        said.record_signals(signals, sent_at=at[sent], is_whole=True, now=at[now])
 
-    take(backpressure.Signals(4.0), sent=0, now=2)
-    take(backpressure.Signals(), sent=1, now=3)
+    record_signals(backpressure.Signals(4.0), sent=0, now=2)
+    record_signals(backpressure.Signals(), sent=1, now=3)
     assert said.limit.per_s == 4.0
     # What a peer heard earlier changes nothing; a refusal says nothing by its silence.
-    said.limit.told(None, at[1], at[3])
-    said.take(backpressure.Signals(), sent_at=at[3], is_whole=False, now=at[4])
+    said.limit.update(None, at[1], at[3])
+    said.record_signals(
+        backpressure.Signals(), sent_at=at[3], is_whole=False, now=at[4]
+    )
     assert said.limit.per_s == 4.0
-    take(backpressure.Signals(), sent=3, now=4)
+    record_signals(backpressure.Signals(), sent=3, now=4)
     assert said.limit.per_s is None
 
 
@@ -305,7 +309,7 @@
     made = rate_pools.pool_of(0)
     upstream_id = ids.UpstreamId("u299")
     limit = made.upstream_by_id[upstream_id].backpressure.limit
-    limit.heard(4.0, NOW)
+    limit.record_response(4.0, NOW)
     listed = rate_pools.specs(rate_pools.UPSTREAMS, 0.0)
     now = ids.later(NOW, 1.0)
     made.set_listed([one for one in listed if one.id != upstream_id], now)
@@ -323,17 +327,17 @@
     def due(after_s: float) -> bool:
         return bool(news.due(made.usable_order, ids.later(NOW, after_s)))
 
-    limit.told(4.0, ids.later(NOW, 0.1), ids.later(NOW, 0.1))
+    limit.update(4.0, ids.later(NOW, 0.1), ids.later(NOW, 0.1))
     assert not due(0.1), "a peer has told it"
-    limit.heard(4.0, ids.later(NOW, 0.2))
+    limit.record_response(4.0, ids.later(NOW, 0.2))
     # Where there was nothing to tell it is looked at now and then.
     assert not due(0.2) and due(0.35) and not due(0.4)
-    limit.heard(4.0, ids.later(NOW, 0.5))
+    limit.record_response(4.0, ids.later(NOW, 0.5))
     assert not due(0.5) and due(0.58)
-    limit.heard(None, ids.later(NOW, 0.6))
+    limit.record_response(None, ids.later(NOW, 0.6))
     # Repeated though nothing more is heard: nobody else may ever hear it.
     assert due(0.6) and not due(0.7) and due(0.9)
-    limit.heard(None, ids.later(NOW, 2.0))
+    limit.record_response(None, ids.later(NOW, 2.0))
     assert not due(2.0), "long ended"
 
 
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -132,14 +132,14 @@
         if self.split is None or not self.split.is_canary(upstream):
             # Otherwise seven failures in a row of a canary version would stop all
             # retries of the service.
-            self.pool.record_share(result)
+            self.pool.record_service_result(result)
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
     def _learn_crowding(
         self, grant: verdicts.Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
-        self.pool.crowding.add(
+        self.pool.contention.add(
             slots=grant.upstream.slots,
             load_sent=grant.load,
             load_answered=report.running + report.queued + 1,
@@ -184,7 +184,7 @@
 
     def next_turn(self, now: ids.Instant) -> ids.Instant:
         """Return when the first waiting call has its turn; NEVER if not known."""
-        turns = self.pool.turns(now) if len(self.queue) else None
+        turns = self.pool.dispatch_schedule(now) if len(self.queue) else None
         return ids.NEVER if turns is None else turns.at(0)
 
     def withdraw(self, call_id: ids.CallId) -> None:
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids, selection
 from spindlenotch.decisions import overflow, silence
-from spindlenotch.kernel import crowding, upstream_pool, upstreams, wait_queue
+from spindlenotch.kernel import contention, upstream_pool, upstreams, wait_queue
 
 NAME = "paced"
 #: Requests by which the estimated load may exceed the slots of an upstream that still
@@ -18,7 +18,7 @@
 ROOM_MARGIN = 0.25
 #: Share of its slots in use from which an upstream is expected to be slower, rising to
 #: ``FULL_SLOWDOWN`` when all are in use. Only used to compare upstreams; the share
-#: above which slots are left empty is ``crowding.NEARLY_FULL``.
+#: above which slots are left empty is ``contention.NEARLY_FULL``.
 SLOWER_FROM_SHARE = 0.7
 #: Increase in latency when all slots are in use, as a share.
 FULL_SLOWDOWN = 0.7
@@ -135,7 +135,7 @@
     cost_by_id: dict[ids.UpstreamId, float] = {}
     for upstream in options:
         load = pool.estimated_load(upstream, now)
-        if has_room(upstream, load, pool.crowding):
+        if has_room(upstream, load, pool.contention):
             cost = expected_s(pool, call, upstream, load, typical_s, now)
             cost_by_id[upstream.spec.id] = cost
     return cost_by_id
@@ -156,10 +156,10 @@
 
 
 def has_room(
-    upstream: upstreams.Upstream, load: float, crowded: crowding.Crowding
+    upstream: upstreams.Upstream, load: float, crowded: contention.Contention
 ) -> bool:
     """Return whether one more request would start at once without slowing others."""
-    usable = crowded.usable(upstream.slots, sample=upstream.crowding_sample)
+    usable = crowded.usable(upstream.slots, sample=upstream.contention_sample)
     return load + 1 <= usable + ROOM_MARGIN
 
 
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -27,7 +27,7 @@
     Calls get their turn as calls of this process complete, or, where all upstreams
     name rate limits, at the rate that these allow. Zero until that rate is known.
     """
-    turns = pool.turns(now)
+    turns = pool.dispatch_schedule(now)
     if turns is not None:
         return max(0.0, turns.at(ahead) - now)
     per_s = pool.completions.per_s(now)
@@ -63,7 +63,7 @@
     pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
-    reserve_s = TURN_RESERVE_S if pool.turns(now) is not None else 0.0
+    reserve_s = TURN_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
     return refusal_rule(pool, call, ahead, now, reserve_s)
 
 
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -39,14 +39,14 @@
     percentile of the latency in seconds: an upstream whose host fails closes no
     connection.
     """
-    return now - max(sent_at, upstream.hearing.heard_at) > p95_s
+    return now - max(sent_at, upstream.liveness.heard_at) > p95_s
 
 
 def overdue_cost(
     upstream: upstreams.Upstream, typical_s: float, now: ids.Instant
 ) -> float:
     """Return the cost of an upstream's silence, as a share of the typical latency."""
-    if not upstream.sent_at_by_call and not upstream.hearing.owes:
+    if not upstream.sent_at_by_call and not upstream.liveness.has_unanswered_attempts:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
     return COST_PER_MISSED_ANSWER * max(0.0, missed - TOLERATED_MISSED_ANSWERS)
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -234,4 +234,4 @@
     if not upstream.may_take(now):
         return False
     load = pool.estimated_load(upstream, now)
-    return least_latency.has_room(upstream, load, pool.crowding)
+    return least_latency.has_room(upstream, load, pool.contention)
--- a/spindlenotch/entry/prober.py
+++ b/spindlenotch/entry/prober.py
@@ -66,7 +66,7 @@
         now = self.state.clock.now()
         for upstream in found.pool.usable_order:
             if (
-                now - max(upstream.hearing.answered_at, upstream.report_at)
+                now - max(upstream.liveness.answered_at, upstream.report_at)
                 < KNOWN_FOR_S
             ):
                 continue
@@ -117,5 +117,5 @@
             return
         upstream.failures_in_row += 1
         found = self.state.balancer_by_service.get(service)
-        if upstream.failures_in_row >= ejection.FAILURES_IN_ROW and found:
+        if upstream.failures_in_row >= ejection.CONSECUTIVE_FAILURES and found:
             found.pool.eject(upstream, "probes fail", now)
--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -190,7 +190,7 @@
     ) -> None:
         answer.abandon()
         self._record_outcome(classification.SHED)
-        if answer.signals.rest_s is None:
+        if answer.signals.backoff_s is None:
             self._retry_after_s = answer.retry_after_s
         self.grants.finish(self.job, grant, classification.SHED.result, answer.report)
         await self._retry(grant, known_not_run=True)
@@ -262,7 +262,7 @@
         end: classification.AttemptOutcome,
     ) -> None:
         """Apply the backpressure signals of an answer to its upstream."""
-        changes = grant.upstream.backpressure.take(
+        changes = grant.upstream.backpressure.record_signals(
             answer.signals,
             sent_at=grant.sent_at,
             is_whole=end is classification.GOOD_ANSWER,
@@ -271,7 +271,7 @@
         service = self.job.balancer.service.name
         backpressure_events.report(service, grant.upstream.spec.id, changes)
         if answer.signals.is_leaving:
-            self._mark_draining(grant, upstream_set.SAID_LEAVING)
+            self._mark_draining(grant, upstream_set.ANNOUNCED_LEAVING)
 
     def _record_foreign(self, grant: verdicts.Grant) -> None:
         service = self.job.balancer.service.name
--- a/spindlenotch/forwarding/backpressure_events.py
+++ b/spindlenotch/forwarding/backpressure_events.py
@@ -16,7 +16,7 @@
 def report(
     service: ids.ServiceName,
     upstream: ids.UpstreamId,
-    changes: abc.Iterable[backpressure.News],
+    changes: abc.Iterable[backpressure.ChangeEvent],
 ) -> None:
     """Log the changes that an answer of an upstream has made."""
     for one in changes:
@@ -34,12 +34,12 @@
                     service=service,
                     upstream=upstream,
                 )
-            case backpressure.Change.RESTS:
+            case backpressure.Change.BACKOFF:
                 events.emit(
                     events.Event.UPSTREAM_RESTS,
                     service=service,
                     upstream=upstream,
-                    rest_s=round(one.rest_s, RATE_DIGITS),
+                    rest_s=round(one.backoff_s, RATE_DIGITS),
                 )
             case backpressure.Change.UNREADABLE if one.unreadable is not None:
                 events.emit(
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -78,7 +78,7 @@
             may_send=lambda: (
                 steady_clock.now() < deadline
                 # The upstream may have asked for a pause while connecting.
-                and not grant.upstream.backpressure.rests(steady_clock.now())
+                and not grant.upstream.backpressure.in_backoff(steady_clock.now())
             ),
         )
 
--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -57,7 +57,10 @@
         return due
 
     def _is_due(
-        self, upstream: ids.UpstreamId, limit: named_limit.NamedLimit, now: ids.Instant
+        self,
+        upstream: ids.UpstreamId,
+        limit: named_limit.AdvertisedLimit,
+        now: ids.Instant,
     ) -> bool:
         told = self._told_by_id.get(upstream)
         if told is not None:
@@ -69,8 +72,8 @@
         return True
 
 
-def _is_news(limit: named_limit.NamedLimit, now: ids.Instant) -> bool:
+def _is_news(limit: named_limit.AdvertisedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
-    if limit.heard_at < limit.told_at:
+    if limit.heard_at < limit.reported_at:
         return False
     return limit.per_s is not None or now < ids.later(limit.ended_at, ENDED_TOLD_S)
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -1,9 +1,9 @@
 """
-What an upstream says with its answers of how much it will take.
+Backpressure that an upstream signals in its responses.
 
-``Signals`` is what one answer says, decoded by the protocol's dialect;
-``Backpressure`` is what one process holds of one upstream by its answers. Pure: every
-method takes the instant.
+``Signals`` are the signals of one response, decoded by the protocol's dialect;
+``Backpressure`` is what one process has learned from those of one upstream. Pure:
+every method takes the instant.
 """
 
 import enum
@@ -13,12 +13,12 @@
 from spindlenotch import ids
 from spindlenotch.kernel import named_limit, shared_rate
 
-#: Least seconds between two lines of the log on a limit that moves.
-LOG_PERIOD_S = 4.0
+#: Shortest time between two log lines about a limit that changes, in seconds.
+MIN_LOG_INTERVAL_S = 4.0
 
 
-class Unreadable(msgspec.Struct, frozen=True):
-    """A header by its name, and the beginning of its value, which means nothing."""
+class InvalidHeader(msgspec.Struct, frozen=True):
+    """The name of a header that cannot be parsed, and the beginning of its value."""
 
     name: str
     value: str
@@ -26,116 +26,122 @@
 
 class Signals(msgspec.Struct, frozen=True):
     """
-    What one answer says.
+    The backpressure signals of one response.
 
-    ``limit_per_s``: the requests a second that the upstream takes from all processes
-    together, None where it names none. ``rest_s``: the seconds for which it wants
-    nothing from this process, None where it asks for no rest. ``is_leaving``: it ends.
+    ``limit_per_s``: the requests per second that the upstream accepts from all
+    processes together, None if it advertises no limit. ``backoff_s``: the seconds for
+    which this process is to send it nothing, None if it asks for no backoff.
+    ``is_leaving``: it is shutting down.
     """
 
     limit_per_s: float | None = None
-    rest_s: float | None = None
+    backoff_s: float | None = None
     is_leaving: bool = False
-    unreadable: tuple[Unreadable, ...] = ()
+    unreadable: tuple[InvalidHeader, ...] = ()
 
 
 class Change(enum.Enum):
-    """What has changed by an answer."""
+    """What a response has changed."""
 
     LIMITED = "limited"
     LIMIT_ENDED = "limit ended"
-    RESTS = "rests"
+    BACKOFF = "rests"
     UNREADABLE = "unreadable"
 
 
-class News(msgspec.Struct, frozen=True):
-    """A change that the log tells, with what the answer said of it."""
+class ChangeEvent(msgspec.Struct, frozen=True):
+    """A change to be logged, with the signal that caused it."""
 
     change: Change
     limit_per_s: float = 0.0
-    rest_s: float = 0.0
-    unreadable: Unreadable | None = None
+    backoff_s: float = 0.0
+    unreadable: InvalidHeader | None = None
 
 
 class Backpressure:
     """
-    What one upstream has said to one process of how much it will take.
+    The backpressure of one upstream as one process knows it.
 
-    ``is_leaving`` holds for good, for this start of it. ``rests_until`` is when it may
-    be sent something again.
+    Once set, ``is_leaving`` holds for the rest of this start of the upstream.
+    ``backoff_until`` is when it may be sent requests again.
     """
 
-    def __init__(self, place: shared_rate.Place) -> None:
-        self.limit = named_limit.NamedLimit(place)
+    def __init__(self, participant: shared_rate.Participant) -> None:
+        self.limit = named_limit.AdvertisedLimit(participant)
         self._limit_logged_at = shared_rate.LONG_AGO
         self.is_leaving = False
-        self.rests_until = shared_rate.LONG_AGO
+        self.backoff_until = shared_rate.LONG_AGO
         self._unreadable_names: set[str] = set()
 
-    def rests(self, now: ids.Instant) -> bool:
-        """Tell whether it wants nothing from this process now."""
-        return now < self.rests_until
+    def in_backoff(self, now: ids.Instant) -> bool:
+        """Tell whether it has asked this process to send nothing for now."""
+        return now < self.backoff_until
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
         Tell whether it may be sent one more request.
 
-        An upstream that turns requests away answers at once, and so would seem to have
-        all its slots free. ``read_until``: what it got before that instant was read.
+        An upstream that rejects requests responds at once, and would otherwise seem to
+        have all its slots free. ``read_until``: the upstream has read everything sent
+        to it before that instant.
         """
-        if self.rests(now):
+        if self.in_backoff(now):
             return False
-        # Asked for each upstream that is compared for a call: most name no limit.
+        # Called for each upstream compared for a call; most advertise no limit.
         return self.limit.per_s is None or self.limit.may_send(now, read_until)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
-        """Return from when it may be sent one more, as far as that is known now."""
-        return max(self.rests_until, self.limit.free_at(now, read_until))
+        """Return when it may be sent another request, as far as is known now."""
+        return max(self.backoff_until, self.limit.free_at(now, read_until))
 
-    def take(
+    def record_signals(
         self,
         signals: Signals,
         *,
         sent_at: ids.Instant,
         is_whole: bool,
         now: ids.Instant,
-    ) -> list[News]:
+    ) -> list[ChangeEvent]:
         """
-        Take in what an answer says; return what the log is to tell of it.
+        Apply the signals of one response; return the changes to be logged.
 
-        ``sent_at`` is when its request was sent. Only an answer that ``is_whole``, to
-        a request that was run, says by its silence that there is no limit: refusals
-        may leave it out.
+        ``sent_at`` is when its request was sent. A missing limit means that there is
+        none only if the response ``is_whole``, that is, to a request that was run:
+        rejections may leave the limit out.
         """
-        news = self._unreadable_news(signals.unreadable)
+        events = self._invalid_header_events(signals.unreadable)
         self.is_leaving |= signals.is_leaving
-        if signals.rest_s is not None:
-            news += self._rest_news(signals.rest_s, now)
+        if signals.backoff_s is not None:
+            events += self._backoff_events(signals.backoff_s, now)
         before = self.limit.per_s
         if signals.limit_per_s is not None:
-            self.limit.heard(signals.limit_per_s, now)
-        elif is_whole and not signals.unreadable and sent_at > self.limit.told_at:
-            self.limit.heard(None, now)
-        return news + self._limit_news(before, now)
-
-    def _rest_news(self, rest_s: float, now: ids.Instant) -> list[News]:
-        """Take in a rest; of those that overlap one is told."""
-        is_new = not self.rests(now)
-        self.rests_until = max(self.rests_until, ids.later(now, rest_s))
-        return [News(Change.RESTS, rest_s=rest_s)] if is_new else []
-
-    def _limit_news(self, before: float | None, now: ids.Instant) -> list[News]:
+            self.limit.record_response(signals.limit_per_s, now)
+        elif is_whole and not signals.unreadable and sent_at > self.limit.reported_at:
+            self.limit.record_response(None, now)
+        return events + self._limit_events(before, now)
+
+    def _backoff_events(self, backoff_s: float, now: ids.Instant) -> list[ChangeEvent]:
+        """Apply a backoff; of overlapping ones, only the first is logged."""
+        is_new = not self.in_backoff(now)
+        self.backoff_until = max(self.backoff_until, ids.later(now, backoff_s))
+        return [ChangeEvent(Change.BACKOFF, backoff_s=backoff_s)] if is_new else []
+
+    def _limit_events(
+        self, before: float | None, now: ids.Instant
+    ) -> list[ChangeEvent]:
         limit_per_s = self.limit.per_s
         if limit_per_s is None:
             self._limit_logged_at = shared_rate.LONG_AGO
-            return [] if before is None else [News(Change.LIMIT_ENDED)]
-        if limit_per_s == before or now - self._limit_logged_at < LOG_PERIOD_S:
+            return [] if before is None else [ChangeEvent(Change.LIMIT_ENDED)]
+        if limit_per_s == before or now - self._limit_logged_at < MIN_LOG_INTERVAL_S:
             return []
         self._limit_logged_at = now
-        return [News(Change.LIMITED, limit_per_s)]
+        return [ChangeEvent(Change.LIMITED, limit_per_s)]
 
-    def _unreadable_news(self, unreadable: tuple[Unreadable, ...]) -> list[News]:
-        """Return what is told once of each header, however often it is sent."""
+    def _invalid_header_events(
+        self, unreadable: tuple[InvalidHeader, ...]
+    ) -> list[ChangeEvent]:
+        """Return an event for each header that has not been logged before."""
         new = [one for one in unreadable if one.name not in self._unreadable_names]
         self._unreadable_names.update(one.name for one in new)
-        return [News(Change.UNREADABLE, unreadable=one) for one in new]
+        return [ChangeEvent(Change.UNREADABLE, unreadable=one) for one in new]
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -110,7 +110,7 @@
         """Settle the copies that have been read by now or have timed out."""
         still_unread = []
         for copy in self._unread:
-            is_read = copy.upstream.hearing.read_until > copy.sent_at
+            is_read = copy.upstream.liveness.read_until > copy.sent_at
             if is_read or now - copy.sent_at > UNREAD_TIMEOUT_S:
                 self._settle_copy(copy, now)
                 if is_read and now - copy.sent_at > LATE_READ_S:
--- a/spindlenotch/kernel/named_limit.py
+++ b/spindlenotch/kernel/named_limit.py
@@ -1,136 +1,145 @@
 """
-The requests a second that an upstream says it takes, and this process's part of them.
+The request rate that an upstream advertises as its limit, and this process's part.
 
-The limit holds for all processes together, for as long as the upstream's answers name
-it. Who hears of it tells the others; ``shared_rate`` says who sends how much. Pure.
+The limit applies to all processes together, for as long as the upstream's responses
+advertise it. Processes that learn of it notify the others; ``shared_rate`` decides who
+sends how much. Pure.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import shared_rate
 
-#: What an upstream that names a limit gets is summed up over four seconds.
-WINDOW = shared_rate.Window(seconds=4.0, asked_again_s=4.0)
-#: Least requests a second that are sent whatever limit is named: only answers tell that
-#: it is over.
-LEAST_PER_S = 0.5
+#: Requests to an upstream with a limit are summed up over four seconds.
+WINDOW = shared_rate.Window(seconds=4.0, trial_after_s=4.0)
+#: Requests per second that are sent however low the limit: only responses tell that it
+#: has been lifted.
+MIN_PER_S = 0.5
 #: Parts of the limit for each process of the fleet while a process sees too few others
-#: to know that no further ones share it: both sides together get less than one and a
-#: half times the limit.
-PARTS_EACH_ALONE = 2
-#: Seconds without any word of the limit after which a process that holds no part of it
-#: asks with one request whether it is still named.
-ASK_AFTER_S = 30.0
+#: to rule out that more of them share it: both sides of a partition together send less
+#: than one and a half times the limit.
+PARTS_PER_ISOLATED_PROCESS = 2
+#: Seconds without news of the limit after which a process that holds no part of it
+#: sends one request to learn whether it is still advertised.
+TRIAL_AFTER_S = 30.0
 
 
-class NamedLimit:
+class AdvertisedLimit:
     """
-    What one process knows of the limit of one upstream, and may send it.
+    The limit of one upstream as one process knows it, and what it may send.
 
-    ``per_s`` is None while it names none; ``told_at`` is when it was told so last, by
-    an own answer (``heard_at``) or a peer; ``ended_at`` when it ended last. ``sent``
-    counts the requests that were sent while it was named.
+    ``per_s`` is None while the upstream advertises no limit; ``reported_at`` is when
+    that was last reported, by a response to this process (``heard_at``) or to a peer;
+    ``ended_at`` when the limit was last lifted. ``sent`` counts the requests sent while
+    it was advertised.
     """
 
-    def __init__(self, place: shared_rate.Place) -> None:
-        self.place = place
+    def __init__(self, participant: shared_rate.Participant) -> None:
+        self.participant = participant
         self.per_s: float | None = None
-        self.told_at = shared_rate.LONG_AGO
+        self.reported_at = shared_rate.LONG_AGO
         self.heard_at = shared_rate.LONG_AGO
         self.ended_at = shared_rate.LONG_AGO
         self.sent = 0
-        self._named_at = shared_rate.LONG_AGO
-        self._asked_at = shared_rate.LONG_AGO
+        self._advertised_at = shared_rate.LONG_AGO
+        self._last_sent_at = shared_rate.LONG_AGO
         self._pacer = shared_rate.Pacer(WINDOW)
         self._views: tuple[shared_rate.View, ...] = ()
 
     @property
     def part_per_s(self) -> float:
-        """Return how many requests a second this process may send."""
+        """Return how many requests per second this process may send."""
         return self._pacer.part_per_s
 
-    def heard(self, per_s: float | None, now: ids.Instant) -> None:
-        """Take in what an answer to this process said."""
+    def record_response(self, per_s: float | None, now: ids.Instant) -> None:
+        """Apply the limit in a response to this process, None if it has none."""
         self.heard_at = now
-        self.told(per_s, now, now)
+        self.update(per_s, now, now)
 
-    def told(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
-        """Take in what an answer said at ``at``, unless a later one has spoken."""
-        if at <= self.told_at:
+    def update(self, per_s: float | None, at: ids.Instant, now: ids.Instant) -> None:
+        """Apply the limit in a response at ``at``, unless a later one is known."""
+        if at <= self.reported_at:
             return
-        self.told_at = at
+        self.reported_at = at
         if per_s == self.per_s:
             return
         if self.per_s is None:
-            self._named_at = now
+            self._advertised_at = now
         if per_s is None:
             self.ended_at = now
         self.per_s = per_s
-        self._share()
+        self._update_part()
 
     def set_views(self, views: tuple[shared_rate.View, ...]) -> None:
-        """Take in who shares rates: as seen now, last, and a while ago."""
+        """Set the views of who shares rates: recent ones, then the current one."""
         self._views = views
         if self.per_s is not None:
-            self._share()
+            self._update_part()
 
     def request_sent(self, now: ids.Instant) -> None:
-        """Record that a request goes out."""
-        self._asked_at = now
+        """Record that a request is sent."""
+        self._last_sent_at = now
         if self.per_s is not None:
             self.sent += 1
         if self.per_s is not None or now < ids.later(self.ended_at, WINDOW.seconds):
-            # It may name its limit again at once: what it gets meanwhile counts.
+            # It may advertise its limit again at once: requests sent meanwhile count.
             self._pacer.sent(now)
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may go out.
+        Tell whether one more request may be sent.
 
-        ``read_until``: what was sent to it before that instant has been read.
+        ``read_until``: the upstream has read everything sent to it before that instant.
         """
-        return self._pacer.may_send(now, read_until) or self._may_ask(now)
+        return self._pacer.may_send(now, read_until) or self._may_send_trial(now)
 
     def free_at(self, now: ids.Instant, read_until: ids.Instant) -> ids.Instant:
-        """Return from when one more may go out, as far as that is known now."""
-        return now if self._may_ask(now) else self._pacer.free_at(now, read_until)
+        """Return when another request may be sent, as far as is known now."""
+        return (
+            now if self._may_send_trial(now) else self._pacer.free_at(now, read_until)
+        )
 
-    def _may_ask(self, now: ids.Instant) -> bool:
+    def _may_send_trial(self, now: ids.Instant) -> bool:
         if self.part_per_s > 0.0:
             return False
-        return now >= ids.later(max(self.told_at, self._asked_at), ASK_AFTER_S)
+        return now >= ids.later(
+            max(self.reported_at, self._last_sent_at), TRIAL_AFTER_S
+        )
 
-    def _share(self) -> None:
-        """Work out anew what part this process has."""
+    def _update_part(self) -> None:
+        """Recompute the part of this process."""
         if self.per_s is None:
             self._pacer.set_part(shared_rate.UNLIMITED)
             return
-        per_s = max(LEAST_PER_S, self.per_s)
-        view = self._views[-1] if self._views else shared_rate.NOBODY
+        per_s = max(MIN_PER_S, self.per_s)
+        view = self._views[-1] if self._views else shared_rate.EMPTY_VIEW
         if not view.members:
-            self._share_alone(per_s, view)
+            self._update_isolated_part(per_s, view)
             return
-        # A part of one request a second at least: each holder may be one request ahead.
+        # At least one request per second each: every holder may be one request ahead.
         most = max(1, int(per_s))
-        holders = self.place.holders(view, most)
-        if self.place.local_host not in holders:
+        holders = self.participant.holders(view, most)
+        if self.participant.local_host not in holders:
             self._pacer.set_part(0.0)
             return
-        since = max(self._named_at, self.place.held_since(self._views, most, WINDOW))
-        # The holders begin one after the other, and upstreams apart from each other:
-        # where all name a limit at once they would else all be free at once, too.
-        turn = holders.index(self.place.local_host) + self.place.phase
-        self._pacer.set_part(per_s / len(holders), ids.later(since, turn / per_s))
-
-    def _share_alone(self, per_s: float, view: shared_rate.View) -> None:
-        """Take a small part, that leaves room for all others that may do the same."""
-        parts = PARTS_EACH_ALONE * view.fleet_size
+        since = max(
+            self._advertised_at, self.participant.held_since(self._views, most, WINDOW)
+        )
+        # The holders begin one after the other, and at another time for each upstream:
+        # otherwise upstreams that advertise limits at the same time would all become
+        # free at the same time, too.
+        position = holders.index(self.participant.local_host) + self.participant.phase
+        self._pacer.set_part(per_s / len(holders), ids.later(since, position / per_s))
+
+    def _update_isolated_part(self, per_s: float, view: shared_rate.View) -> None:
+        """Set a small part, which leaves room for all others that may do the same."""
+        parts = PARTS_PER_ISOLATED_PROCESS * view.fleet_size
         if not parts:
             self._pacer.set_part(0.0)
             return
         part_per_s = per_s / parts
-        # Each at another time: all of them hear of the limit at once, and one request
-        # each would be many in a large fleet.
-        since = max([self._named_at, *(one.until for one in self._views[:-1])])
+        # Processes begin at different times: all of them learn of the limit at once,
+        # and one request from each would be many in a large fleet.
+        since = max([self._advertised_at, *(one.until for one in self._views[:-1])])
         self._pacer.set_part(
-            part_per_s, ids.later(since, self.place.local_phase / part_per_s)
+            part_per_s, ids.later(since, self.participant.local_phase / part_per_s)
         )
--- a/spindlenotch/kernel/said.py
+++ b/spindlenotch/kernel/said.py
@@ -1,8 +1,8 @@
 """
-What upstreams have said, kept beyond their entries in the list.
+Backpressure signals of upstreams, kept independently of their entries in the host list.
 
-An entry goes while the source is away, or is written anew, and is back; what the
-upstream has said holds all the same. Owns it by upstream. Pure.
+An entry disappears while the source is unavailable or rewrites it, and returns later;
+what the upstream signalled still holds then. Owns the signals by upstream. Pure.
 """
 
 from collections import abc
@@ -12,43 +12,43 @@
 from spindlenotch import ids
 from spindlenotch.kernel import backpressure, shared_rate, upstreams
 
-#: Seconds for which it is kept what an upstream said that is gone: its entry may be
-#: back when the source is.
-KEPT_S = 600.0
+#: Seconds for which the signals of an unlisted upstream are kept: its entry may return
+#: with the source.
+RETENTION_S = 600.0
 
 
-class _Said(msgspec.Struct):
-    """What a start of an upstream has said, and until when that is kept."""
+class _Entry(msgspec.Struct):
+    """The signals of one start of an upstream, and until when they are kept."""
 
     born: int | None
     pressure: backpressure.Backpressure
     keep_until: ids.Instant = ids.NEVER
 
 
-class Said:
-    """What each start of the upstreams of one service has said to ``local_host``."""
+class BackpressureRegistry:
+    """The signals to ``local_host`` of each start of the upstreams of one service."""
 
     def __init__(self, local_host: ids.HostId) -> None:
         self.local_host = local_host
-        self._said_by_id: dict[ids.UpstreamId, _Said] = {}
-
-    def by(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
-        """Return what this start of an upstream has said; nothing, where it is new."""
-        kept = self._said_by_id.get(spec.id)
-        if kept is None or kept.born != spec.born:
-            place = shared_rate.Place(spec.id, spec.zone, self.local_host)
-            kept = _Said(spec.born, backpressure.Backpressure(place))
-            self._said_by_id[spec.id] = kept
-        return kept.pressure
-
-    def forget_gone(
+        self._entry_by_id: dict[ids.UpstreamId, _Entry] = {}
+
+    def get(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
+        """Return the signals of this start of an upstream; none if it is new."""
+        entry = self._entry_by_id.get(spec.id)
+        if entry is None or entry.born != spec.born:
+            participant = shared_rate.Participant(spec.id, spec.zone, self.local_host)
+            entry = _Entry(spec.born, backpressure.Backpressure(participant))
+            self._entry_by_id[spec.id] = entry
+        return entry.pressure
+
+    def evict_expired(
         self, known: abc.Container[ids.UpstreamId], now: ids.Instant
     ) -> None:
-        """Drop what upstreams said that have not been ``known`` for long."""
-        for upstream_id, said in list(self._said_by_id.items()):
+        """Drop signals of upstreams not ``known`` for ``RETENTION_S`` seconds."""
+        for upstream_id, entry in list(self._entry_by_id.items()):
             if upstream_id in known:
-                said.keep_until = ids.NEVER
-            elif said.keep_until == ids.NEVER:
-                said.keep_until = ids.later(now, KEPT_S)
-            elif said.keep_until <= now:
-                del self._said_by_id[upstream_id]
+                entry.keep_until = ids.NEVER
+            elif entry.keep_until == ids.NEVER:
+                entry.keep_until = ids.later(now, RETENTION_S)
+            elif entry.keep_until <= now:
+                del self._entry_by_id[upstream_id]
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -31,14 +31,15 @@
     mutant_table.Mutant(
         "a try that is broken off leaves no silence",
         "kernel/hearing",
-        "self._owed_s = self._owed(now) + self._waited_s(now)",
-        "self._owed_s = 0.0",
+        "self._cancelled_wait_s = self._decayed_wait_s(now) + self._waited_s(now)",
+        "self._cancelled_wait_s = 0.0",
         "what stands still is found out by tries that break off",
     ),
     mutant_table.Mutant(
         "an upstream that owed an answer is never tried again",
         "kernel/hearing",
-        "latency.decay(now - self._owed_at, OWED_FADE_S)",
+        "latency.decay(\n"
+        "            now - self._cancelled_wait_at, CANCELLED_WAIT_DECAY_S\n        )",
         "1.0",
         "what went on again is used again",
     ),
@@ -52,7 +53,7 @@
     mutant_table.Mutant(
         "a cold upstream gets more while what it got lies unread",
         "kernel/shared_rate",
-        "if self._counted(now, read_until) <= most:",
+        "if self._count_in_window(now, read_until) <= most:",
         "if True:",
         "a cold upstream that stands still reads what it bears",
     ),
@@ -73,8 +74,8 @@
     mutant_table.Mutant(
         "an upstream that has long been silent counts as one that nobody probes",
         "kernel/hearing",
-        "return self.told_at >= self._owing_since - PROBED_WITHIN_S",
-        "return self.told_at >= self._owing_since - REPORTED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - REPORTED_WITHIN_S",
         "so does one that is sent to long after probes miss it",
     ),
 )
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -13,9 +13,9 @@
     Rule(
         question="Who sends to an upstream that names a limit, and how often",
         functions=(
-            "kernel/named_limit.NamedLimit.may_send",
-            "kernel/shared_rate.Place.holders",
-            "kernel/shared_rate.Place.held_since",
+            "kernel/named_limit.AdvertisedLimit.may_send",
+            "kernel/shared_rate.Participant.holders",
+            "kernel/shared_rate.Participant.held_since",
             "kernel/shared_rate.Pacer.may_send",
             "gateway/cluster/limit_news.LimitNews.due",
         ),
@@ -29,10 +29,10 @@
         " too few others are in view, a small part is sent. Calls that find no turn in"
         " time are refused at once.",
         constants=(
-            "kernel/named_limit.LEAST_PER_S",
-            "kernel/named_limit.PARTS_EACH_ALONE",
-            "kernel/named_limit.ASK_AFTER_S",
-            "kernel/said.KEPT_S",
+            "kernel/named_limit.MIN_PER_S",
+            "kernel/named_limit.PARTS_PER_ISOLATED_PROCESS",
+            "kernel/named_limit.TRIAL_AFTER_S",
+            "kernel/said.RETENTION_S",
             "gateway/cluster/limit_news.REPEAT_S",
             "gateway/cluster/limit_news.ENDED_TOLD_S",
         ),
@@ -51,7 +51,7 @@
     Rule(
         question="What becomes of an upstream that leaves, or asks for rest",
         functions=(
-            "kernel/backpressure.Backpressure.take",
+            "kernel/backpressure.Backpressure.record_signals",
             "kernel/backpressure.Backpressure.may_send",
             "decisions/availability.usable_at",
             "decisions/availability.next_retry_at",
@@ -62,7 +62,7 @@
         " away and asks for rest gets nothing from this process for so long; others"
         " may send there. A caller is told to come back when any upstream may be"
         " used.",
-        constants=("kernel/said.KEPT_S",),
+        constants=("kernel/said.RETENTION_S",),
         events=("UPSTREAM_LEAVING", "UPSTREAM_RESTS", "SIGNAL_UNREADABLE"),
         tests=(
             Scenario(
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -129,7 +129,7 @@
     Mutant(
         "an older health answer makes an upstream warm",
         "kernel/cold_start",
-        "        if at <= self.told_at:\n            return\n",
+        "        if at <= self.reported_at:\n            return\n",
         "",
         held_by="the latest health answer says whether one is cold",
     ),
@@ -157,14 +157,14 @@
     Mutant(
         "an earlier start that fails has the later one ejected",
         "kernel/upstream_set",
-        "        known.end()\n",
+        "        known.retire()\n",
         "",
         held_by="what ran on an earlier start is judged by that alone",
     ),
     Mutant(
         "one that starts again counts as warm",
         "kernel/upstream_set",
-        "            upstream.cold.was_away_since(now, now)\n",
+        "            upstream.cold.assume_cold_since(now, now)\n",
         "",
         held_by="an upstream that starts again is cold",
     ),
