--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -3,7 +3,7 @@
 
 For each route, and for all of them, two tests run, on failures and on slow answers
 (``sequential_test``), against what the others did in the same moments
-(``others_rates``). So faults that strike all versions, and a gateway with a bad link,
+(``baseline_rates``). So faults that strike all versions, and a gateway with a bad link,
 speak for nothing.
 
 Pure. Relies on ``merging`` for what is new.
@@ -13,9 +13,9 @@
 
 from spindlenotch import ids
 from spindlenotch.gateway.rollout import (
+    baseline_rates,
     evidence,
     merging,
-    others_rates,
     sequential_test,
 )
 from spindlenotch.peers import rollout_notes
@@ -27,8 +27,8 @@
 #: How far above the others' rate a bad target's is: of the smallest harm that is to be
 #: found for certain. A version "several times slower" is slow far oftener than that.
 EFFECT_BY_SYMPTOM = {
-    others_rates.Symptom.FAILURES: 0.1,
-    others_rates.Symptom.SLOWNESS: 0.3,
+    baseline_rates.Symptom.FAILURES: 0.1,
+    baseline_rates.Symptom.SLOWNESS: 0.3,
 }
 
 
@@ -40,7 +40,7 @@
     worst upstreams; ``calls`` and ``bad`` are those since the test began anew.
     """
 
-    symptom: others_rates.Symptom
+    symptom: baseline_rates.Symptom
     route: str
     likelihood: float
     without_worst: float
@@ -60,9 +60,9 @@
     def __init__(self) -> None:
         self.available = 1
         self.test_by_key: dict[
-            tuple[others_rates.Symptom, str], sequential_test.Test
+            tuple[baseline_rates.Symptom, str], sequential_test.Test
         ] = {}
-        self._others = others_rates.OthersRates()
+        self._others = baseline_rates.OthersRates()
 
     def add(self, delta: merging.Delta, now: ids.Instant) -> None:
         """Take in what a process has counted: first the others, then the target."""
@@ -136,10 +136,12 @@
 
 def _tallies(
     counts: rollout_notes.Counts,
-) -> dict[others_rates.Symptom, sequential_test.Tally]:
+) -> dict[baseline_rates.Symptom, sequential_test.Tally]:
     return {
-        others_rates.Symptom.FAILURES: sequential_test.Tally(
+        baseline_rates.Symptom.FAILURES: sequential_test.Tally(
             counts.judged, counts.failed
         ),
-        others_rates.Symptom.SLOWNESS: sequential_test.Tally(counts.timed, counts.slow),
+        baseline_rates.Symptom.SLOWNESS: sequential_test.Tally(
+            counts.timed, counts.slow
+        ),
     }
