--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -422,7 +422,7 @@
     ),
     Mutant(
         "a tried version is judged by the guess that a process begins with",
-        "gateway/rollout/usual_times",
+        "gateway/rollout/baseline_latency",
         "if self._answers_by_route.get(route, 0) < LEAST_ANSWERS:",
         "if True:",
         "a version that is slow in part is found by any gateway",
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -47,7 +47,7 @@
         question="When a version is bad",
         functions=(
             "gateway/rollout/evidence.judge",
-            "gateway/rollout/usual_times.UsualTimes.seconds",
+            "gateway/rollout/baseline_latency.UsualTimes.seconds",
             "gateway/rollout/merging.Merged.take",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
@@ -70,8 +70,8 @@
             "gateway/rollout/baseline_rates.USUAL_S",
             "gateway/rollout/baseline_rates.LEAST_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
-            "gateway/rollout/usual_times.LEAST_ANSWERS",
-            "gateway/rollout/usual_times.LEAST_WEIGHT",
+            "gateway/rollout/baseline_latency.LEAST_ANSWERS",
+            "gateway/rollout/baseline_latency.LEAST_WEIGHT",
         ),
         events=("ROLLOUT_ROLLED_BACK",),
         tests=(
