--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -19,8 +19,8 @@
     analysis,
     deciding,
     evidence,
+    evidence_merging,
     loop,
-    merging,
     promotion,
     runs,
     sequential_test,
@@ -122,8 +122,10 @@
 @kernel.PROPERTIES.register("what an ended process said does not count for the next")
 def ended_process() -> None:
     host = ids.HostId("h")
-    first, second = (merging.Source(host, ids.Incarnation(name)) for name in "ab")
-    merged = merging.Merged()
+    first, second = (
+        evidence_merging.Source(host, ids.Incarnation(name)) for name in "ab"
+    )
+    merged = evidence_merging.Merged()
     merged.take(first, record(1, 0))
     assert merged.newest_by_host({host: first.incarnation}) == {host: record(1, 0)}
     assert not merged.newest_by_host({host: second.incarnation})
@@ -255,9 +257,9 @@
 @kernel.PROPERTIES.register("no evidence counts twice, however often it is told")
 def counted_once() -> None:
     rng = random.Random(1)
-    merged = merging.Merged()
+    merged = evidence_merging.Merged()
     sources_of = [
-        merging.Source(ids.HostId("h"), ids.Incarnation(name)) for name in "ab"
+        evidence_merging.Source(ids.HostId("h"), ids.Incarnation(name)) for name in "ab"
     ]
     told = [(source, record(n, 3 * n)) for source in sources_of for n in range(1, 20)]
     total = 0
@@ -288,7 +290,7 @@
     rng = random.Random(5)
     judged = analysis.Analysis()
     judged.available = 8
-    source = merging.Source(ids.HostId("h"), ids.Incarnation("a"))
+    source = evidence_merging.Source(ids.HostId("h"), ids.Incarnation("a"))
     for step in range(100):
         at_s = 0.2 * step
         share = 0.4 if 4.0 < at_s < 12.0 else 0.01
@@ -296,7 +298,7 @@
             ("read", evidence.OTHER_VERSIONS): drawn(rng, 40, share),
             ("read", ids.UpstreamId(f"u{step % 5}")): drawn(rng, 4, share),
         }
-        judged.add(merging.Delta(source, counts_by_cell), ids.later(NOW, at_s))
+        judged.add(evidence_merging.Delta(source, counts_by_cell), ids.later(NOW, at_s))
         assert judged.finding() is None, (at_s, judged.finding())
 
 
--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -6,7 +6,7 @@
 (``baseline_rates``). So faults that strike all versions, and a gateway with a bad link,
 speak for nothing.
 
-Pure. Relies on ``merging`` for what is new.
+Pure. Relies on ``evidence_merging`` for what is new.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 from spindlenotch.gateway.rollout import (
     baseline_rates,
     evidence,
-    merging,
+    evidence_merging,
     sequential_test,
 )
 from spindlenotch.peers import rollout_notes
@@ -64,7 +64,7 @@
         ] = {}
         self._others = baseline_rates.OthersRates()
 
-    def add(self, delta: merging.Delta, now: ids.Instant) -> None:
+    def add(self, delta: evidence_merging.Delta, now: ids.Instant) -> None:
         """Take in what a process has counted: first the others, then the target."""
         for (route, upstream_id), counts in delta.counts_by_cell.items():
             if upstream_id == evidence.OTHER_VERSIONS:
@@ -107,7 +107,7 @@
 
     def _add_others(
         self,
-        source: merging.Source,
+        source: evidence_merging.Source,
         route: str,
         counts: rollout_notes.Counts,
         now: ids.Instant,
@@ -117,7 +117,7 @@
 
     def _add_target(
         self,
-        source: merging.Source,
+        source: evidence_merging.Source,
         route: str,
         upstream_id: ids.UpstreamId,
         counts: rollout_notes.Counts,
--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -10,7 +10,7 @@
 import enum
 
 from spindlenotch import ids
-from spindlenotch.gateway.rollout import merging, sequential_test
+from spindlenotch.gateway.rollout import evidence_merging, sequential_test
 from spindlenotch.kernel import latency
 
 #: Time constants, in seconds, of the rates: of the moment, and of what is usual.
@@ -74,14 +74,14 @@
 
     def __init__(self) -> None:
         self._usual_by_key: dict[Key, Rate] = {}
-        self._moments_by_key: dict[Key, dict[merging.Source, Rate]] = {}
-        self._moment_by_source: dict[tuple[Symptom, merging.Source], Rate] = {}
+        self._moments_by_key: dict[Key, dict[evidence_merging.Source, Rate]] = {}
+        self._moment_by_source: dict[tuple[Symptom, evidence_merging.Source], Rate] = {}
 
     def add(
         self,
         symptom: Symptom,
         route: str,
-        source: merging.Source,
+        source: evidence_merging.Source,
         tally: sequential_test.Tally,
         now: ids.Instant,
     ) -> None:
@@ -94,7 +94,11 @@
         self._moment_by_source.setdefault(at_source, Rate(MOMENT_S)).add(tally, now)
 
     def rate(
-        self, symptom: Symptom, route: str, source: merging.Source, now: ids.Instant
+        self,
+        symptom: Symptom,
+        route: str,
+        source: evidence_merging.Source,
+        now: ids.Instant,
     ) -> float:
         """Return what is expected of a good version on a route, at a gateway."""
         fleet = self._fleet_rate(symptom, route, now)
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -13,7 +13,7 @@
 from spindlenotch.gateway.rollout import (
     decider,
     deciding,
-    merging,
+    evidence_merging,
     runs,
     status_writer,
 )
@@ -89,7 +89,7 @@
             return
         sender = message.sender
         now = self.state.clock.now()
-        one.take(merging.Source(sender.host, sender.incarnation), record, now)
+        one.take(evidence_merging.Source(sender.host, sender.incarnation), record, now)
         self.state.rollouts.orders.told_left(record.service, record.left_s, now)
         self._judge(one)
 
@@ -98,7 +98,7 @@
         local = self.state.gossip.local
         one.compare(pool)
         record = one.record(pool, self._left_s(one, now))
-        one.take(merging.Source(local.host, local.incarnation), record, now)
+        one.take(evidence_merging.Source(local.host, local.incarnation), record, now)
         candidates = deciding.candidates(one.order.service, self.fleet.view())
         self._note_duty(one, is_decider=candidates[:1] == [local.host])
         self._judge(one)
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -11,7 +11,7 @@
 
 from spindlenotch import ids, metrics
 from spindlenotch.decisions import traffic_split, verdicts
-from spindlenotch.gateway.rollout import analysis, evidence, merging
+from spindlenotch.gateway.rollout import analysis, evidence, evidence_merging
 from spindlenotch.gateway.source import sources
 from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import rollout_notes
@@ -52,7 +52,7 @@
         self.reason = ""
         self.had_others = False
         self.evidence = evidence.Evidence()
-        self.merged = merging.Merged()
+        self.merged = evidence_merging.Merged()
         self.analysis = analysis.Analysis()
         self.split = traffic_split.TrafficSplit(
             order.target, SHARE_MARGIN * share, f"{order.revision}", self, held
@@ -141,7 +141,7 @@
 
     def take(
         self,
-        source: merging.Source,
+        source: evidence_merging.Source,
         record: rollout_notes.EvidenceRecord,
         now: ids.Instant,
     ) -> None:
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -387,7 +387,7 @@
     ),
     Mutant(
         "evidence that is told again counts again",
-        "gateway/rollout/merging",
+        "gateway/rollout/evidence_merging",
         "new = counts.minus(before.get(cell, rollout_notes.NO_COUNTS))",
         "new = counts",
         held_by="no evidence counts twice, however often it is told",
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -48,7 +48,7 @@
         functions=(
             "gateway/rollout/evidence.judge",
             "gateway/rollout/baseline_latency.UsualTimes.seconds",
-            "gateway/rollout/merging.Merged.take",
+            "gateway/rollout/evidence_merging.Merged.take",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
             "gateway/rollout/baseline_rates.OthersRates.rate",
