--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -62,7 +62,7 @@
         self.test_by_key: dict[
             tuple[baseline_rates.Symptom, str], sequential_test.Test
         ] = {}
-        self._others = baseline_rates.OthersRates()
+        self._others = baseline_rates.BaselineRates()
 
     def add(self, delta: evidence_merging.Delta, now: ids.Instant) -> None:
         """Take in what a process has counted: first the others, then the target."""
--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -69,7 +69,7 @@
 Key = tuple[Symptom, str]
 
 
-class OthersRates:
+class BaselineRates:
     """The rates of other versions by route and gateway."""
 
     def __init__(self) -> None:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -51,7 +51,7 @@
             "gateway/rollout/evidence_merging.Merged.take",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
-            "gateway/rollout/baseline_rates.OthersRates.rate",
+            "gateway/rollout/baseline_rates.BaselineRates.rate",
         ),
         inputs="calls judged and failed, timed and slow, by route and upstream of the"
         " version, and by route of the others, of each gateway since the order.",
