--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -14,7 +14,7 @@
 from spindlenotch.kernel import latency
 
 #: Time constants, in seconds, of the rates: of the moment, and of what is usual.
-MOMENT_S = 0.7
+SHORT_TERM_S = 0.7
 USUAL_S = 4.0
 #: Calls that what is usual counts as in the fleet's rate, and that in a gateway's.
 FLEET_GUESS_CALLS = 15.0
@@ -89,9 +89,9 @@
         key = (symptom, route)
         self._usual_by_key.setdefault(key, Rate(USUAL_S)).add(tally, now)
         moments = self._moments_by_key.setdefault(key, {})
-        moments.setdefault(source, Rate(MOMENT_S)).add(tally, now)
+        moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
-        self._moment_by_source.setdefault(at_source, Rate(MOMENT_S)).add(tally, now)
+        self._moment_by_source.setdefault(at_source, Rate(SHORT_TERM_S)).add(tally, now)
 
     def rate(
         self,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -66,7 +66,7 @@
             "gateway/rollout/sequential_test.WORST_SHARE",
             "gateway/rollout/sequential_test.LEAST_WORST",
             "gateway/rollout/sequential_test.LEAST_WORST_SHARE",
-            "gateway/rollout/baseline_rates.MOMENT_S",
+            "gateway/rollout/baseline_rates.SHORT_TERM_S",
             "gateway/rollout/baseline_rates.USUAL_S",
             "gateway/rollout/baseline_rates.LEAST_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
