--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -15,7 +15,7 @@
 
 #: Time constants, in seconds, of the rates: of the moment, and of what is usual.
 SHORT_TERM_S = 0.7
-USUAL_S = 4.0
+LONG_TERM_S = 4.0
 #: Calls that what is usual counts as in the fleet's rate, and that in a gateway's.
 FLEET_GUESS_CALLS = 15.0
 SOURCE_GUESS_CALLS = 10.0
@@ -87,7 +87,7 @@
     ) -> None:
         """Take in calls that a gateway placed on other versions."""
         key = (symptom, route)
-        self._usual_by_key.setdefault(key, Rate(USUAL_S)).add(tally, now)
+        self._usual_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
         moments = self._moments_by_key.setdefault(key, {})
         moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
