--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -31,7 +31,7 @@
 
 
 #: The least rate that is expected of a good version, however good the others are.
-LEAST_BY_SYMPTOM = {Symptom.FAILURES: 0.01, Symptom.SLOWNESS: 0.04}
+MIN_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.01, Symptom.SLOWNESS: 0.04}
 #: What is taken to be usual where nothing is known.
 GUESS_BY_SYMPTOM = {Symptom.FAILURES: 0.02, Symptom.SLOWNESS: 0.08}
 #: The most that is taken to be usual.
@@ -104,9 +104,9 @@
         fleet = self._fleet_rate(symptom, route, now)
         at_source = self._moment_by_source.get((symptom, source))
         if at_source is None:
-            return max(LEAST_BY_SYMPTOM[symptom], fleet)
+            return max(MIN_RATE_BY_SYMPTOM[symptom], fleet)
         there = at_source.value(fleet, SOURCE_GUESS_CALLS, now)
-        return max(LEAST_BY_SYMPTOM[symptom], fleet, there)
+        return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, there)
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         usual = self._usual(symptom, route, now)
