--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -33,7 +33,7 @@
 #: The least rate that is expected of a good version, however good the others are.
 MIN_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.01, Symptom.SLOWNESS: 0.04}
 #: What is taken to be usual where nothing is known.
-GUESS_BY_SYMPTOM = {Symptom.FAILURES: 0.02, Symptom.SLOWNESS: 0.08}
+PRIOR_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.02, Symptom.SLOWNESS: 0.08}
 #: The most that is taken to be usual.
 MOST_BY_SYMPTOM = {Symptom.FAILURES: 0.05, Symptom.SLOWNESS: 0.15}
 
@@ -122,7 +122,7 @@
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         known = self._usual_by_key.get((symptom, route))
-        guess = GUESS_BY_SYMPTOM[symptom]
+        guess = PRIOR_RATE_BY_SYMPTOM[symptom]
         if known is None:
             return guess
         value = known.value(guess, FLEET_GUESS_CALLS, now)
