--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -35,7 +35,7 @@
 #: What is taken to be usual where nothing is known.
 PRIOR_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.02, Symptom.SLOWNESS: 0.08}
 #: The most that is taken to be usual.
-MOST_BY_SYMPTOM = {Symptom.FAILURES: 0.05, Symptom.SLOWNESS: 0.15}
+MAX_LONG_TERM_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.05, Symptom.SLOWNESS: 0.15}
 
 
 class Rate:
@@ -126,4 +126,4 @@
         if known is None:
             return guess
         value = known.value(guess, FLEET_GUESS_CALLS, now)
-        return min(MOST_BY_SYMPTOM[symptom], value)
+        return min(MAX_LONG_TERM_RATE_BY_SYMPTOM[symptom], value)
