--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -17,7 +17,7 @@
 SHORT_TERM_S = 0.7
 LONG_TERM_S = 4.0
 #: Calls that what is usual counts as in the fleet's rate, and that in a gateway's.
-FLEET_GUESS_CALLS = 15.0
+FLEET_PRIOR_CALLS = 15.0
 SOURCE_GUESS_CALLS = 10.0
 #: Gateways from which on the worst one does not count in the fleet's rate.
 LEAST_SOURCES = 3
@@ -118,12 +118,12 @@
             moments.pop()
         calls = sum(moment.calls for moment in moments)
         bad = sum(moment.bad for moment in moments)
-        return (bad + usual * FLEET_GUESS_CALLS) / (calls + FLEET_GUESS_CALLS)
+        return (bad + usual * FLEET_PRIOR_CALLS) / (calls + FLEET_PRIOR_CALLS)
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         known = self._usual_by_key.get((symptom, route))
         guess = PRIOR_RATE_BY_SYMPTOM[symptom]
         if known is None:
             return guess
-        value = known.value(guess, FLEET_GUESS_CALLS, now)
+        value = known.value(guess, FLEET_PRIOR_CALLS, now)
         return min(MAX_LONG_TERM_RATE_BY_SYMPTOM[symptom], value)
