--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -18,7 +18,7 @@
 LONG_TERM_S = 4.0
 #: Calls that what is usual counts as in the fleet's rate, and that in a gateway's.
 FLEET_PRIOR_CALLS = 15.0
-SOURCE_GUESS_CALLS = 10.0
+SOURCE_PRIOR_CALLS = 10.0
 #: Gateways from which on the worst one does not count in the fleet's rate.
 LEAST_SOURCES = 3
 
@@ -105,7 +105,7 @@
         at_source = self._moment_by_source.get((symptom, source))
         if at_source is None:
             return max(MIN_RATE_BY_SYMPTOM[symptom], fleet)
-        there = at_source.value(fleet, SOURCE_GUESS_CALLS, now)
+        there = at_source.value(fleet, SOURCE_PRIOR_CALLS, now)
         return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, there)
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
