--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -20,7 +20,7 @@
 FLEET_PRIOR_CALLS = 15.0
 SOURCE_PRIOR_CALLS = 10.0
 #: Gateways from which on the worst one does not count in the fleet's rate.
-LEAST_SOURCES = 3
+MIN_SOURCES = 3
 
 
 class Symptom(enum.Enum):
@@ -114,7 +114,7 @@
         for moment in moments:
             moment.fade(now)
         moments.sort(key=lambda moment: moment.bad)
-        if len(moments) >= LEAST_SOURCES:
+        if len(moments) >= MIN_SOURCES:
             moments.pop()
         calls = sum(moment.calls for moment in moments)
         bad = sum(moment.bad for moment in moments)
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -68,7 +68,7 @@
             "gateway/rollout/sequential_test.LEAST_WORST_SHARE",
             "gateway/rollout/baseline_rates.SHORT_TERM_S",
             "gateway/rollout/baseline_rates.LONG_TERM_S",
-            "gateway/rollout/baseline_rates.LEAST_SOURCES",
+            "gateway/rollout/baseline_rates.MIN_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
             "gateway/rollout/baseline_latency.LEAST_ANSWERS",
             "gateway/rollout/baseline_latency.LEAST_WEIGHT",
