--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -49,16 +49,16 @@
 
     def add(self, tally: sequential_test.Tally, now: ids.Instant) -> None:
         """Take in calls."""
-        self.fade(now)
+        self.apply_decay(now)
         self.calls += tally.calls
         self.bad += tally.bad
 
     def value(self, guess: float, guess_calls: float, now: ids.Instant) -> float:
         """Return the share, where few are known mostly the guess."""
-        self.fade(now)
+        self.apply_decay(now)
         return (self.bad + guess * guess_calls) / (self.calls + guess_calls)
 
-    def fade(self, now: ids.Instant) -> None:
+    def apply_decay(self, now: ids.Instant) -> None:
         """Let older calls count less."""
         weight = latency.decay(max(0.0, now - self.at), self.time_constant_s)
         self.calls *= weight
@@ -112,7 +112,7 @@
         usual = self._usual(symptom, route, now)
         moments = list(self._moments_by_key.get((symptom, route), {}).values())
         for moment in moments:
-            moment.fade(now)
+            moment.apply_decay(now)
         moments.sort(key=lambda moment: moment.bad)
         if len(moments) >= MIN_SOURCES:
             moments.pop()
