--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -53,10 +53,10 @@
         self.calls += tally.calls
         self.bad += tally.bad
 
-    def value(self, guess: float, guess_calls: float, now: ids.Instant) -> float:
+    def value(self, prior: float, guess_calls: float, now: ids.Instant) -> float:
         """Return the share, where few are known mostly the guess."""
         self.apply_decay(now)
-        return (self.bad + guess * guess_calls) / (self.calls + guess_calls)
+        return (self.bad + prior * guess_calls) / (self.calls + guess_calls)
 
     def apply_decay(self, now: ids.Instant) -> None:
         """Let older calls count less."""
@@ -122,8 +122,8 @@
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         known = self._usual_by_key.get((symptom, route))
-        guess = PRIOR_RATE_BY_SYMPTOM[symptom]
+        prior = PRIOR_RATE_BY_SYMPTOM[symptom]
         if known is None:
-            return guess
-        value = known.value(guess, FLEET_PRIOR_CALLS, now)
+            return prior
+        value = known.value(prior, FLEET_PRIOR_CALLS, now)
         return min(MAX_LONG_TERM_RATE_BY_SYMPTOM[symptom], value)
