--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -53,10 +53,10 @@
         self.calls += tally.calls
         self.bad += tally.bad
 
-    def value(self, prior: float, guess_calls: float, now: ids.Instant) -> float:
+    def value(self, prior: float, prior_calls: float, now: ids.Instant) -> float:
         """Return the share, where few are known mostly the guess."""
         self.apply_decay(now)
-        return (self.bad + prior * guess_calls) / (self.calls + guess_calls)
+        return (self.bad + prior * prior_calls) / (self.calls + prior_calls)
 
     def apply_decay(self, now: ids.Instant) -> None:
         """Let older calls count less."""
