--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -73,7 +73,7 @@
     """The rates of other versions by route and gateway."""
 
     def __init__(self) -> None:
-        self._usual_by_key: dict[Key, Rate] = {}
+        self._long_term_by_key: dict[Key, Rate] = {}
         self._moments_by_key: dict[Key, dict[evidence_merging.Source, Rate]] = {}
         self._moment_by_source: dict[tuple[Symptom, evidence_merging.Source], Rate] = {}
 
@@ -87,7 +87,7 @@
     ) -> None:
         """Take in calls that a gateway placed on other versions."""
         key = (symptom, route)
-        self._usual_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
+        self._long_term_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
         moments = self._moments_by_key.setdefault(key, {})
         moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
@@ -121,7 +121,7 @@
         return (bad + usual * FLEET_PRIOR_CALLS) / (calls + FLEET_PRIOR_CALLS)
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
-        known = self._usual_by_key.get((symptom, route))
+        known = self._long_term_by_key.get((symptom, route))
         prior = PRIOR_RATE_BY_SYMPTOM[symptom]
         if known is None:
             return prior
