--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         self._long_term_by_key: dict[Key, Rate] = {}
-        self._moments_by_key: dict[Key, dict[evidence_merging.Source, Rate]] = {}
+        self._short_term_by_key: dict[Key, dict[evidence_merging.Source, Rate]] = {}
         self._moment_by_source: dict[tuple[Symptom, evidence_merging.Source], Rate] = {}
 
     def add(
@@ -88,7 +88,7 @@
         """Take in calls that a gateway placed on other versions."""
         key = (symptom, route)
         self._long_term_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
-        moments = self._moments_by_key.setdefault(key, {})
+        moments = self._short_term_by_key.setdefault(key, {})
         moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
         self._moment_by_source.setdefault(at_source, Rate(SHORT_TERM_S)).add(tally, now)
@@ -110,7 +110,7 @@
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         usual = self._usual(symptom, route, now)
-        moments = list(self._moments_by_key.get((symptom, route), {}).values())
+        moments = list(self._short_term_by_key.get((symptom, route), {}).values())
         for moment in moments:
             moment.apply_decay(now)
         moments.sort(key=lambda moment: moment.bad)
