--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -75,7 +75,9 @@
     def __init__(self) -> None:
         self._long_term_by_key: dict[Key, Rate] = {}
         self._short_term_by_key: dict[Key, dict[evidence_merging.Source, Rate]] = {}
-        self._moment_by_source: dict[tuple[Symptom, evidence_merging.Source], Rate] = {}
+        self._short_term_by_source: dict[
+            tuple[Symptom, evidence_merging.Source], Rate
+        ] = {}
 
     def add(
         self,
@@ -91,7 +93,9 @@
         moments = self._short_term_by_key.setdefault(key, {})
         moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
-        self._moment_by_source.setdefault(at_source, Rate(SHORT_TERM_S)).add(tally, now)
+        self._short_term_by_source.setdefault(at_source, Rate(SHORT_TERM_S)).add(
+            tally, now
+        )
 
     def rate(
         self,
@@ -102,7 +106,7 @@
     ) -> float:
         """Return what is expected of a good version on a route, at a gateway."""
         fleet = self._fleet_rate(symptom, route, now)
-        at_source = self._moment_by_source.get((symptom, source))
+        at_source = self._short_term_by_source.get((symptom, source))
         if at_source is None:
             return max(MIN_RATE_BY_SYMPTOM[symptom], fleet)
         there = at_source.value(fleet, SOURCE_PRIOR_CALLS, now)
