--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -90,8 +90,8 @@
         """Take in calls that a gateway placed on other versions."""
         key = (symptom, route)
         self._long_term_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
-        moments = self._short_term_by_key.setdefault(key, {})
-        moments.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
+        recent_rates = self._short_term_by_key.setdefault(key, {})
+        recent_rates.setdefault(source, Rate(SHORT_TERM_S)).add(tally, now)
         at_source = (symptom, source)
         self._short_term_by_source.setdefault(at_source, Rate(SHORT_TERM_S)).add(
             tally, now
@@ -114,14 +114,14 @@
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         usual = self._usual(symptom, route, now)
-        moments = list(self._short_term_by_key.get((symptom, route), {}).values())
-        for moment in moments:
+        recent_rates = list(self._short_term_by_key.get((symptom, route), {}).values())
+        for moment in recent_rates:
             moment.apply_decay(now)
-        moments.sort(key=lambda moment: moment.bad)
-        if len(moments) >= MIN_SOURCES:
-            moments.pop()
-        calls = sum(moment.calls for moment in moments)
-        bad = sum(moment.bad for moment in moments)
+        recent_rates.sort(key=lambda moment: moment.bad)
+        if len(recent_rates) >= MIN_SOURCES:
+            recent_rates.pop()
+        calls = sum(moment.calls for moment in recent_rates)
+        bad = sum(moment.bad for moment in recent_rates)
         return (bad + usual * FLEET_PRIOR_CALLS) / (calls + FLEET_PRIOR_CALLS)
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
