--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -115,13 +115,13 @@
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         usual = self._usual(symptom, route, now)
         recent_rates = list(self._short_term_by_key.get((symptom, route), {}).values())
-        for moment in recent_rates:
-            moment.apply_decay(now)
-        recent_rates.sort(key=lambda moment: moment.bad)
+        for recent_rate in recent_rates:
+            recent_rate.apply_decay(now)
+        recent_rates.sort(key=lambda recent_rate: recent_rate.bad)
         if len(recent_rates) >= MIN_SOURCES:
             recent_rates.pop()
-        calls = sum(moment.calls for moment in recent_rates)
-        bad = sum(moment.bad for moment in recent_rates)
+        calls = sum(recent_rate.calls for recent_rate in recent_rates)
+        bad = sum(recent_rate.bad for recent_rate in recent_rates)
         return (bad + usual * FLEET_PRIOR_CALLS) / (calls + FLEET_PRIOR_CALLS)
 
     def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
