--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -113,7 +113,7 @@
         return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, there)
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
-        long_term = self._usual(symptom, route, now)
+        long_term = self._long_term_rate(symptom, route, now)
         recent_rates = list(self._short_term_by_key.get((symptom, route), {}).values())
         for recent_rate in recent_rates:
             recent_rate.apply_decay(now)
@@ -124,7 +124,7 @@
         bad = sum(recent_rate.bad for recent_rate in recent_rates)
         return (bad + long_term * FLEET_PRIOR_CALLS) / (calls + FLEET_PRIOR_CALLS)
 
-    def _usual(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
+    def _long_term_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         known = self._long_term_by_key.get((symptom, route))
         prior = PRIOR_RATE_BY_SYMPTOM[symptom]
         if known is None:
