--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -109,8 +109,8 @@
         at_source = self._short_term_by_source.get((symptom, source))
         if at_source is None:
             return max(MIN_RATE_BY_SYMPTOM[symptom], fleet)
-        there = at_source.value(fleet, SOURCE_PRIOR_CALLS, now)
-        return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, there)
+        source_rate = at_source.value(fleet, SOURCE_PRIOR_CALLS, now)
+        return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, source_rate)
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         long_term = self._long_term_rate(symptom, route, now)
