--- a/spindlenotch/gateway/rollout/baseline_rates.py
+++ b/spindlenotch/gateway/rollout/baseline_rates.py
@@ -105,12 +105,12 @@
         now: ids.Instant,
     ) -> float:
         """Return what is expected of a good version on a route, at a gateway."""
-        fleet = self._fleet_rate(symptom, route, now)
+        fleet_rate = self._fleet_rate(symptom, route, now)
         at_source = self._short_term_by_source.get((symptom, source))
         if at_source is None:
-            return max(MIN_RATE_BY_SYMPTOM[symptom], fleet)
-        source_rate = at_source.value(fleet, SOURCE_PRIOR_CALLS, now)
-        return max(MIN_RATE_BY_SYMPTOM[symptom], fleet, source_rate)
+            return max(MIN_RATE_BY_SYMPTOM[symptom], fleet_rate)
+        source_rate = at_source.value(fleet_rate, SOURCE_PRIOR_CALLS, now)
+        return max(MIN_RATE_BY_SYMPTOM[symptom], fleet_rate, source_rate)
 
     def _fleet_rate(self, symptom: Symptom, route: str, now: ids.Instant) -> float:
         long_term = self._long_term_rate(symptom, route, now)
