--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -62,7 +62,7 @@
         self.test_by_key: dict[
             tuple[baseline_rates.Symptom, str], sequential_test.Test
         ] = {}
-        self._others = baseline_rates.BaselineRates()
+        self._baseline = baseline_rates.BaselineRates()
 
     def add(self, delta: evidence_merging.Delta, now: ids.Instant) -> None:
         """Take in what a process has counted: first the others, then the target."""
@@ -113,7 +113,7 @@
         now: ids.Instant,
     ) -> None:
         for symptom, tally in _tallies(counts).items():
-            self._others.add(symptom, route, source, tally, now)
+            self._baseline.add(symptom, route, source, tally, now)
 
     def _add_target(
         self,
@@ -124,7 +124,7 @@
         now: ids.Instant,
     ) -> None:
         for symptom, tally in _tallies(counts).items():
-            rate = self._others.rate(symptom, route, source, now)
+            rate = self._baseline.rate(symptom, route, source, now)
             effect = EFFECT_BY_SYMPTOM[symptom]
             for name in (route, ALL_ROUTES):
                 test = self.test_by_key.setdefault(
