--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -277,7 +277,7 @@
     for number in itertools.chain((1, 2) * 20):
         upstream_id = ids.UpstreamId(f"u{number}")
         test.add(upstream_id, sequential_test.Tally(1, 1), rate=0.01, effect=0.1)
-    assert test.likelihood > 5 * sequential_test.BOUND
+    assert test.likelihood > 5 * sequential_test.THRESHOLD
     assert test.suspicion() < 1.0
     for number in range(3, 9):
         upstream_id = ids.UpstreamId(f"u{number}")
--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -76,7 +76,7 @@
     def finding(self) -> Finding | None:
         """Return why the target is bad, None where nothing shows that."""
         for (symptom, route), test in self.test_by_key.items():
-            if test.likelihood >= sequential_test.BOUND and test.suspicion() >= 1.0:
+            if test.likelihood >= sequential_test.THRESHOLD and test.suspicion() >= 1.0:
                 return Finding(
                     symptom=symptom,
                     route=route,
@@ -95,7 +95,7 @@
     def doubt(self) -> float:
         """Return the highest likelihood without the worst upstreams, by the bound."""
         found = (test.without_worst() for test in self.test_by_key.values())
-        return max(found, default=0.0) / sequential_test.BOUND
+        return max(found, default=0.0) / sequential_test.THRESHOLD
 
     def bad_upstreams(self) -> set[ids.UpstreamId]:
         """Return the upstreams of the target that look bad by themselves."""
--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -14,7 +14,7 @@
 #: Logarithm of how much likelier "bad" has to be: 20,000 times. By Wald's inequality
 #: one test of a good version passes it with a probability below 1 in 20,000 for each
 #: time it begins anew, if the others' rate is known.
-BOUND = 9.9
+THRESHOLD = 9.9
 #: The same without the worst upstreams of the target, 20 times: weaker, as less
 #: evidence is left.
 BOUND_WITHOUT_WORST = 3.0
@@ -86,7 +86,7 @@
         """Return how near it is to a finding, 1 where it is one."""
         if self.likelihood <= 0.0:
             return 0.0
-        whole = self.likelihood / BOUND
+        whole = self.likelihood / THRESHOLD
         return max(0.0, min(whole, self.without_worst() / BOUND_WITHOUT_WORST))
 
     def bad_upstreams(self) -> list[ids.UpstreamId]:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -60,7 +60,7 @@
         " strikes all alike speaks against none. It has to hold without the worst"
         " upstreams, so that a few bad ones are not taken for their version.",
         constants=(
-            "gateway/rollout/sequential_test.BOUND",
+            "gateway/rollout/sequential_test.THRESHOLD",
             "gateway/rollout/sequential_test.BOUND_WITHOUT_WORST",
             "gateway/rollout/sequential_test.BOUND_OF_UPSTREAM",
             "gateway/rollout/sequential_test.WORST_SHARE",
