--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -17,7 +17,7 @@
 THRESHOLD = 9.9
 #: The same without the worst upstreams of the target, 20 times: weaker, as less
 #: evidence is left.
-BOUND_WITHOUT_WORST = 3.0
+THRESHOLD_WITHOUT_WORST = 3.0
 #: The same for one upstream, 20 times, from which others of the target are tried in its
 #: place.
 BOUND_OF_UPSTREAM = 3.0
@@ -87,7 +87,7 @@
         if self.likelihood <= 0.0:
             return 0.0
         whole = self.likelihood / THRESHOLD
-        return max(0.0, min(whole, self.without_worst() / BOUND_WITHOUT_WORST))
+        return max(0.0, min(whole, self.without_worst() / THRESHOLD_WITHOUT_WORST))
 
     def bad_upstreams(self) -> list[ids.UpstreamId]:
         """Return the upstreams that speak against the target by themselves."""
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -61,7 +61,7 @@
         " upstreams, so that a few bad ones are not taken for their version.",
         constants=(
             "gateway/rollout/sequential_test.THRESHOLD",
-            "gateway/rollout/sequential_test.BOUND_WITHOUT_WORST",
+            "gateway/rollout/sequential_test.THRESHOLD_WITHOUT_WORST",
             "gateway/rollout/sequential_test.BOUND_OF_UPSTREAM",
             "gateway/rollout/sequential_test.WORST_SHARE",
             "gateway/rollout/sequential_test.LEAST_WORST",
