--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -20,7 +20,7 @@
 THRESHOLD_WITHOUT_WORST = 3.0
 #: The same for one upstream, 20 times, from which others of the target are tried in its
 #: place.
-BOUND_OF_UPSTREAM = 3.0
+UPSTREAM_THRESHOLD = 3.0
 #: Share of the upstreams of the target that may be bad by themselves, rounded up.
 WORST_SHARE = 0.34
 #: The least number of them, and their share of all upstreams of the target where there
@@ -94,7 +94,7 @@
         return [
             upstream_id
             for upstream_id, likelihood in self._by_upstream.items()
-            if likelihood >= BOUND_OF_UPSTREAM
+            if likelihood >= UPSTREAM_THRESHOLD
         ]
 
     def _begin_anew(self) -> None:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -62,7 +62,7 @@
         constants=(
             "gateway/rollout/sequential_test.THRESHOLD",
             "gateway/rollout/sequential_test.THRESHOLD_WITHOUT_WORST",
-            "gateway/rollout/sequential_test.BOUND_OF_UPSTREAM",
+            "gateway/rollout/sequential_test.UPSTREAM_THRESHOLD",
             "gateway/rollout/sequential_test.WORST_SHARE",
             "gateway/rollout/sequential_test.LEAST_WORST",
             "gateway/rollout/sequential_test.LEAST_WORST_SHARE",
