--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -26,7 +26,7 @@
 #: The least number of them, and their share of all upstreams of the target where there
 #: are few: two of those that are tried first may be bad by chance.
 MIN_WORST = 2
-LEAST_WORST_SHARE = 0.5
+MIN_WORST_SHARE = 0.5
 #: The highest rate that counts as a good version's, so that logarithms stay finite.
 MOST_RATE = 0.9
 
@@ -77,7 +77,7 @@
     def without_worst(self) -> float:
         """Return the likelihood without the upstreams that speak most against it."""
         left = sorted(self._by_upstream.values())
-        least = min(MIN_WORST, int(LEAST_WORST_SHARE * self.available))
+        least = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
         worst = max(math.ceil(WORST_SHARE * len(left)), least)
         worst = min(worst, self.available - 1, len(left))
         return sum(left[: len(left) - worst])
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -65,7 +65,7 @@
             "gateway/rollout/sequential_test.UPSTREAM_THRESHOLD",
             "gateway/rollout/sequential_test.WORST_SHARE",
             "gateway/rollout/sequential_test.MIN_WORST",
-            "gateway/rollout/sequential_test.LEAST_WORST_SHARE",
+            "gateway/rollout/sequential_test.MIN_WORST_SHARE",
             "gateway/rollout/baseline_rates.SHORT_TERM_S",
             "gateway/rollout/baseline_rates.LONG_TERM_S",
             "gateway/rollout/baseline_rates.MIN_SOURCES",
