--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -28,7 +28,7 @@
 MIN_WORST = 2
 MIN_WORST_SHARE = 0.5
 #: The highest rate that counts as a good version's, so that logarithms stay finite.
-MOST_RATE = 0.9
+MAX_RATE = 0.9
 
 
 class Tally(msgspec.Struct, frozen=True):
@@ -57,8 +57,8 @@
         self, upstream_id: ids.UpstreamId, tally: Tally, rate: float, effect: float
     ) -> None:
         """Take in calls of an upstream of the target; ``rate`` is the others'."""
-        expected = min(MOST_RATE, rate)
-        if_bad = min((1.0 + MOST_RATE) / 2, expected + effect)
+        expected = min(MAX_RATE, rate)
+        if_bad = min((1.0 + MAX_RATE) / 2, expected + effect)
         added = tally.bad * math.log(if_bad / expected)
         added += (tally.calls - tally.bad) * math.log((1 - if_bad) / (1 - expected))
         self.likelihood += added
