--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -67,7 +67,7 @@
         known = self._by_upstream.get(upstream_id, 0.0)
         self._by_upstream[upstream_id] = known + added
         if self.likelihood <= 0.0:
-            self._begin_anew()
+            self._restart()
 
     @property
     def upstreams(self) -> int:
@@ -97,7 +97,7 @@
             if likelihood >= UPSTREAM_THRESHOLD
         ]
 
-    def _begin_anew(self) -> None:
+    def _restart(self) -> None:
         self.likelihood = 0.0
         self.calls = 0
         self.bad = 0
