--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -51,7 +51,7 @@
         self.likelihood = 0.0
         self.calls = 0
         self.bad = 0
-        self._by_upstream: dict[ids.UpstreamId, float] = {}
+        self._likelihood_by_upstream: dict[ids.UpstreamId, float] = {}
 
     def add(
         self, upstream_id: ids.UpstreamId, tally: Tally, rate: float, effect: float
@@ -64,19 +64,19 @@
         self.likelihood += added
         self.calls += tally.calls
         self.bad += tally.bad
-        known = self._by_upstream.get(upstream_id, 0.0)
-        self._by_upstream[upstream_id] = known + added
+        known = self._likelihood_by_upstream.get(upstream_id, 0.0)
+        self._likelihood_by_upstream[upstream_id] = known + added
         if self.likelihood <= 0.0:
             self._restart()
 
     @property
     def upstreams(self) -> int:
         """Return how many upstreams of the target had calls."""
-        return len(self._by_upstream)
+        return len(self._likelihood_by_upstream)
 
     def without_worst(self) -> float:
         """Return the likelihood without the upstreams that speak most against it."""
-        left = sorted(self._by_upstream.values())
+        left = sorted(self._likelihood_by_upstream.values())
         least = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
         worst = max(math.ceil(WORST_SHARE * len(left)), least)
         worst = min(worst, self.available - 1, len(left))
@@ -93,7 +93,7 @@
         """Return the upstreams that speak against the target by themselves."""
         return [
             upstream_id
-            for upstream_id, likelihood in self._by_upstream.items()
+            for upstream_id, likelihood in self._likelihood_by_upstream.items()
             if likelihood >= UPSTREAM_THRESHOLD
         ]
 
@@ -101,4 +101,4 @@
         self.likelihood = 0.0
         self.calls = 0
         self.bad = 0
-        self._by_upstream.clear()
+        self._likelihood_by_upstream.clear()
