--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -77,8 +77,8 @@
     def without_worst(self) -> float:
         """Return the likelihood without the upstreams that speak most against it."""
         left = sorted(self._likelihood_by_upstream.values())
-        least = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
-        worst = max(math.ceil(WORST_SHARE * len(left)), least)
+        min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
+        worst = max(math.ceil(WORST_SHARE * len(left)), min_worst)
         worst = min(worst, self.available - 1, len(left))
         return sum(left[: len(left) - worst])
 
