--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -78,9 +78,9 @@
         """Return the likelihood without the upstreams that speak most against it."""
         left = sorted(self._likelihood_by_upstream.values())
         min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
-        worst = max(math.ceil(WORST_SHARE * len(left)), min_worst)
-        worst = min(worst, self.available - 1, len(left))
-        return sum(left[: len(left) - worst])
+        worst_count = max(math.ceil(WORST_SHARE * len(left)), min_worst)
+        worst_count = min(worst_count, self.available - 1, len(left))
+        return sum(left[: len(left) - worst_count])
 
     def suspicion(self) -> float:
         """Return how near it is to a finding, 1 where it is one."""
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -416,7 +416,7 @@
     Mutant(
         "a bad upstream is taken for its version",
         "gateway/rollout/sequential_test",
-        "return sum(left[: len(left) - worst])",
+        "return sum(left[: len(left) - worst_count])",
         "return sum(left)",
         held_by="a few bad upstreams are not taken for their version",
     ),
