--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -76,11 +76,11 @@
 
     def without_worst(self) -> float:
         """Return the likelihood without the upstreams that speak most against it."""
-        left = sorted(self._likelihood_by_upstream.values())
+        remaining = sorted(self._likelihood_by_upstream.values())
         min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
-        worst_count = max(math.ceil(WORST_SHARE * len(left)), min_worst)
-        worst_count = min(worst_count, self.available - 1, len(left))
-        return sum(left[: len(left) - worst_count])
+        worst_count = max(math.ceil(WORST_SHARE * len(remaining)), min_worst)
+        worst_count = min(worst_count, self.available - 1, len(remaining))
+        return sum(remaining[: len(remaining) - worst_count])
 
     def suspicion(self) -> float:
         """Return how near it is to a finding, 1 where it is one."""
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -416,8 +416,8 @@
     Mutant(
         "a bad upstream is taken for its version",
         "gateway/rollout/sequential_test",
-        "return sum(left[: len(left) - worst_count])",
-        "return sum(left)",
+        "return sum(remaining[: len(remaining) - worst_count])",
+        "return sum(remaining)",
         held_by="a few bad upstreams are not taken for their version",
     ),
     Mutant(
