--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -86,8 +86,8 @@
         """Return how near it is to a finding, 1 where it is one."""
         if self.likelihood <= 0.0:
             return 0.0
-        whole = self.likelihood / THRESHOLD
-        return max(0.0, min(whole, self.without_worst() / THRESHOLD_WITHOUT_WORST))
+        overall = self.likelihood / THRESHOLD
+        return max(0.0, min(overall, self.without_worst() / THRESHOLD_WITHOUT_WORST))
 
     def bad_upstreams(self) -> list[ids.UpstreamId]:
         """Return the upstreams that speak against the target by themselves."""
