--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -58,9 +58,9 @@
     ) -> None:
         """Take in calls of an upstream of the target; ``rate`` is the others'."""
         expected = min(MAX_RATE, rate)
-        if_bad = min((1.0 + MAX_RATE) / 2, expected + effect)
-        added = tally.bad * math.log(if_bad / expected)
-        added += (tally.calls - tally.bad) * math.log((1 - if_bad) / (1 - expected))
+        bad_rate = min((1.0 + MAX_RATE) / 2, expected + effect)
+        added = tally.bad * math.log(bad_rate / expected)
+        added += (tally.calls - tally.bad) * math.log((1 - bad_rate) / (1 - expected))
         self.likelihood += added
         self.calls += tally.calls
         self.bad += tally.bad
