--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -57,10 +57,10 @@
         self, upstream_id: ids.UpstreamId, tally: Tally, rate: float, effect: float
     ) -> None:
         """Take in calls of an upstream of the target; ``rate`` is the others'."""
-        expected = min(MAX_RATE, rate)
-        bad_rate = min((1.0 + MAX_RATE) / 2, expected + effect)
-        added = tally.bad * math.log(bad_rate / expected)
-        added += (tally.calls - tally.bad) * math.log((1 - bad_rate) / (1 - expected))
+        good_rate = min(MAX_RATE, rate)
+        bad_rate = min((1.0 + MAX_RATE) / 2, good_rate + effect)
+        added = tally.bad * math.log(bad_rate / good_rate)
+        added += (tally.calls - tally.bad) * math.log((1 - bad_rate) / (1 - good_rate))
         self.likelihood += added
         self.calls += tally.calls
         self.bad += tally.bad
