--- a/spindlenotch/gateway/rollout/baseline_latency.py
+++ b/spindlenotch/gateway/rollout/baseline_latency.py
@@ -13,7 +13,7 @@
 LEAST_WEIGHT = 0.05
 
 
-class UsualTimes:
+class BaselineLatency:
     """The mean times by route, each at an upstream that nothing slows."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.counts_by_cell: dict[Cell, rollout_notes.Counts] = {}
         self._routes: set[str] = set()
-        self._usual_times = baseline_latency.UsualTimes()
+        self._usual_times = baseline_latency.BaselineLatency()
 
     @property
     def is_folded(self) -> bool:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -47,7 +47,7 @@
         question="When a version is bad",
         functions=(
             "gateway/rollout/evidence.judge",
-            "gateway/rollout/baseline_latency.UsualTimes.seconds",
+            "gateway/rollout/baseline_latency.BaselineLatency.seconds",
             "gateway/rollout/evidence_merging.Merged.take",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
