--- a/spindlenotch/gateway/rollout/baseline_latency.py
+++ b/spindlenotch/gateway/rollout/baseline_latency.py
@@ -8,7 +8,7 @@
 from spindlenotch.kernel import latency
 
 #: Answers of a route from which on its own estimate is used.
-LEAST_ANSWERS = 5
+MIN_ANSWERS = 5
 #: Least weight of the newest answer in the estimate; before, all count alike.
 LEAST_WEIGHT = 0.05
 
@@ -30,6 +30,6 @@
 
     def seconds(self, route: str, guess_s: float) -> float:
         """Return the usual time of a route; ``guess_s`` where too few have ended."""
-        if self._answers_by_route.get(route, 0) < LEAST_ANSWERS:
+        if self._answers_by_route.get(route, 0) < MIN_ANSWERS:
             return guess_s
         return self._mean_by_route[route].value
