--- a/spindlenotch/gateway/rollout/baseline_latency.py
+++ b/spindlenotch/gateway/rollout/baseline_latency.py
@@ -10,7 +10,7 @@
 #: Answers of a route from which on its own estimate is used.
 MIN_ANSWERS = 5
 #: Least weight of the newest answer in the estimate; before, all count alike.
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 
 
 class BaselineLatency:
@@ -25,7 +25,7 @@
         answers = self._answers_by_route.get(route, 0) + 1
         self._answers_by_route[route] = answers
         mean = self._mean_by_route.setdefault(route, latency.Mean(seconds))
-        mean.weight = max(LEAST_WEIGHT, 1.0 / answers)
+        mean.weight = max(MIN_WEIGHT, 1.0 / answers)
         mean.add(seconds)
 
     def seconds(self, route: str, guess_s: float) -> float:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -71,7 +71,7 @@
             "gateway/rollout/baseline_rates.MIN_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
             "gateway/rollout/baseline_latency.MIN_ANSWERS",
-            "gateway/rollout/baseline_latency.LEAST_WEIGHT",
+            "gateway/rollout/baseline_latency.MIN_WEIGHT",
         ),
         events=("ROLLOUT_ROLLED_BACK",),
         tests=(
