--- a/spindlenotch/gateway/rollout/baseline_latency.py
+++ b/spindlenotch/gateway/rollout/baseline_latency.py
@@ -28,8 +28,8 @@
         mean.weight = max(MIN_WEIGHT, 1.0 / answers)
         mean.add(seconds)
 
-    def seconds(self, route: str, guess_s: float) -> float:
-        """Return the usual time of a route; ``guess_s`` where too few have ended."""
+    def seconds(self, route: str, default_s: float) -> float:
+        """Return the usual time of a route; ``default_s`` where too few have ended."""
         if self._answers_by_route.get(route, 0) < MIN_ANSWERS:
-            return guess_s
+            return default_s
         return self._mean_by_route[route].value
