--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.counts_by_cell: dict[Cell, rollout_notes.Counts] = {}
         self._routes: set[str] = set()
-        self._usual_times = baseline_latency.BaselineLatency()
+        self._baseline_latency = baseline_latency.BaselineLatency()
 
     @property
     def is_folded(self) -> bool:
@@ -68,11 +68,11 @@
     ) -> None:
         """Take in the end of a call; see ``traffic_split.Observer``."""
         route = grant.call.latency_key
-        usual_s = self._usual_times.seconds(route, expected.typical_s)
+        usual_s = self._baseline_latency.seconds(route, expected.typical_s)
         counts = judge(grant, result, usual_s * expected.slowdown, now)
         if result is upstreams.Result.ANSWERED and not is_target:
             took_s = now - grant.sent_at
-            self._usual_times.add(route, took_s / expected.slowdown)
+            self._baseline_latency.add(route, took_s / expected.slowdown)
         if counts == rollout_notes.NO_COUNTS:
             return
         upstream_id = grant.upstream.spec.id if is_target else OTHER_VERSIONS
