--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -68,8 +68,8 @@
     ) -> None:
         """Take in the end of a call; see ``traffic_split.Observer``."""
         route = grant.call.latency_key
-        usual_s = self._baseline_latency.seconds(route, expected.typical_s)
-        counts = judge(grant, result, usual_s * expected.slowdown, now)
+        baseline_s = self._baseline_latency.seconds(route, expected.typical_s)
+        counts = judge(grant, result, baseline_s * expected.slowdown, now)
         if result is upstreams.Result.ANSWERED and not is_target:
             took_s = now - grant.sent_at
             self._baseline_latency.add(route, took_s / expected.slowdown)
