--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -19,7 +19,7 @@
 SLOW_FACTOR = 2.5
 #: Routes that are counted by themselves; the others are counted as one, so that the
 #: record stays within a message.
-MOST_ROUTES = 8
+MAX_ROUTES = 8
 #: Name under which the other routes are counted.
 OTHER_ROUTES = ""
 #: Those upstreams of the target beyond the rows of a record are counted as one.
@@ -88,12 +88,12 @@
         )
 
     def _cell(self, route: str, upstream_id: ids.UpstreamId) -> Cell:
-        if route not in self._routes and len(self._routes) >= MOST_ROUTES:
+        if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             route = OTHER_ROUTES
         self._routes.add(route)
         cell = (route, upstream_id)
         # Room is kept for each route's rows of other versions and other upstreams.
-        most = rollout_notes.ROWS_PER_RECORD - 2 * (MOST_ROUTES + 1)
+        most = rollout_notes.ROWS_PER_RECORD - 2 * (MAX_ROUTES + 1)
         is_new = cell not in self.counts_by_cell
         if is_new and upstream_id and len(self.counts_by_cell) >= most:
             return (route, OTHER_UPSTREAMS)
