--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -35,7 +35,7 @@
 }
 
 #: Upstreams of each version without which their reports are not compared.
-LEAST_TELLING = 3
+MIN_REPORTING_UPSTREAMS = 3
 
 Cell = tuple[str, ids.UpstreamId]
 
@@ -112,7 +112,7 @@
     """
     here = _reported(target)
     there = _reported(others)
-    if min(len(here), len(there)) < LEAST_TELLING:
+    if min(len(here), len(there)) < MIN_REPORTING_UPSTREAMS:
         return 1.0
     return max(1.0, statistics.median(here) / statistics.median(there))
 
