--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -100,7 +100,7 @@
         return cell
 
 
-def own_slowdown(
+def relative_slowdown(
     target: abc.Collection[upstreams.Upstream],
     others: abc.Collection[upstreams.Upstream],
 ) -> float:
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -161,7 +161,7 @@
         usable = pool.usable_order
         target = [u for u in usable if u.spec.version == self.order.target]
         others = [u for u in usable if self.is_other(u)]
-        self._own_slowdown = evidence.own_slowdown(target, others)
+        self._own_slowdown = evidence.relative_slowdown(target, others)
 
     def measure(self) -> None:
         """Bring the metrics up to date."""
