--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -58,7 +58,7 @@
             order.target, SHARE_MARGIN * share, f"{order.revision}", self, held
         )
         self._number = 0
-        self._own_slowdown = 1.0
+        self._relative_slowdown = 1.0
 
     def raise_phase(self, phase: rollout_notes.Phase) -> bool:
         """Go on to a phase; tell whether it is later than the one before."""
@@ -101,7 +101,7 @@
     ) -> None:
         """Count the end of a call; see ``traffic_split.Observer``."""
         if is_target:
-            slowdown = expected.slowdown / self._own_slowdown
+            slowdown = expected.slowdown / self._relative_slowdown
             expected = msgspec.structs.replace(expected, slowdown=slowdown)
         self.evidence.call_ended(
             grant, result, is_target=is_target, expected=expected, now=now
@@ -161,7 +161,7 @@
         usable = pool.usable_order
         target = [u for u in usable if u.spec.version == self.order.target]
         others = [u for u in usable if self.is_other(u)]
-        self._own_slowdown = evidence.relative_slowdown(target, others)
+        self._relative_slowdown = evidence.relative_slowdown(target, others)
 
     def measure(self) -> None:
         """Bring the metrics up to date."""
