--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -394,11 +394,11 @@
     upstream.ended(granted.call.id, upstreams.Result.ANSWERED, 0.1, back_at)
     assert upstream.cold.is_cold(back_at)
     answered = upstreams.Result.ANSWERED
-    assert evidence.judge(granted, answered, 0.1, back_at).slow == 1
+    assert evidence.count_call(granted, answered, 0.1, back_at).slow == 1
     # One that is sent while it is cold may take longer.
     again = msgspec.structs.replace(granted, sent_at=back_at, to_cold=True)
     later = ids.later(back_at, 1.0)
-    assert evidence.judge(again, answered, 0.1, later).timed == 0
+    assert evidence.count_call(again, answered, 0.1, later).timed == 0
 
 
 # Who writes what
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -69,7 +69,7 @@
         """Take in the end of a call; see ``traffic_split.Observer``."""
         route = grant.call.latency_key
         baseline_s = self._baseline_latency.seconds(route, expected.typical_s)
-        counts = judge(grant, result, baseline_s * expected.slowdown, now)
+        counts = count_call(grant, result, baseline_s * expected.slowdown, now)
         if result is upstreams.Result.ANSWERED and not is_target:
             took_s = now - grant.sent_at
             self._baseline_latency.add(route, took_s / expected.slowdown)
@@ -123,7 +123,7 @@
     return [slowdown for slowdown in told if slowdown is not None]
 
 
-def judge(
+def count_call(
     grant: verdicts.Grant,
     result: upstreams.Result,
     expected_s: float,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -46,7 +46,7 @@
     Rule(
         question="When a version is bad",
         functions=(
-            "gateway/rollout/evidence.judge",
+            "gateway/rollout/evidence.count_call",
             "gateway/rollout/baseline_latency.BaselineLatency.seconds",
             "gateway/rollout/evidence_merging.Merged.take",
             "gateway/rollout/analysis.Analysis.finding",
