--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -110,14 +110,14 @@
     Slow neighbours strike some upstreams; what most of the target's report is its own
     doing, and excuses no slow answer. 1 where too few tell to know.
     """
-    here = _reported(target)
-    there = _reported(others)
+    here = _reported_slowdowns(target)
+    there = _reported_slowdowns(others)
     if min(len(here), len(there)) < MIN_REPORTING_UPSTREAMS:
         return 1.0
     return max(1.0, statistics.median(here) / statistics.median(there))
 
 
-def _reported(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
+def _reported_slowdowns(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
     """Return the mean slowdown of each upstream that has reported any."""
     told = (upstream.reported_slowdown() for upstream in those)
     return [slowdown for slowdown in told if slowdown is not None]
