--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -110,11 +110,11 @@
     Slow neighbours strike some upstreams; what most of the target's report is its own
     doing, and excuses no slow answer. 1 where too few tell to know.
     """
-    here = _reported_slowdowns(target)
+    target_slowdowns = _reported_slowdowns(target)
     there = _reported_slowdowns(others)
-    if min(len(here), len(there)) < MIN_REPORTING_UPSTREAMS:
+    if min(len(target_slowdowns), len(there)) < MIN_REPORTING_UPSTREAMS:
         return 1.0
-    return max(1.0, statistics.median(here) / statistics.median(there))
+    return max(1.0, statistics.median(target_slowdowns) / statistics.median(there))
 
 
 def _reported_slowdowns(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
