--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -111,10 +111,12 @@
     doing, and excuses no slow answer. 1 where too few tell to know.
     """
     target_slowdowns = _reported_slowdowns(target)
-    there = _reported_slowdowns(others)
-    if min(len(target_slowdowns), len(there)) < MIN_REPORTING_UPSTREAMS:
+    other_slowdowns = _reported_slowdowns(others)
+    if min(len(target_slowdowns), len(other_slowdowns)) < MIN_REPORTING_UPSTREAMS:
         return 1.0
-    return max(1.0, statistics.median(target_slowdowns) / statistics.median(there))
+    return max(
+        1.0, statistics.median(target_slowdowns) / statistics.median(other_slowdowns)
+    )
 
 
 def _reported_slowdowns(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
