--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -119,9 +119,9 @@
     )
 
 
-def _reported_slowdowns(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
+def _reported_slowdowns(group: abc.Iterable[upstreams.Upstream]) -> list[float]:
     """Return the mean slowdown of each upstream that has reported any."""
-    told = (upstream.reported_slowdown() for upstream in those)
+    told = (upstream.reported_slowdown() for upstream in group)
     return [slowdown for slowdown in told if slowdown is not None]
 
 
