--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -121,8 +121,8 @@
 
 def _reported_slowdowns(group: abc.Iterable[upstreams.Upstream]) -> list[float]:
     """Return the mean slowdown of each upstream that has reported any."""
-    told = (upstream.reported_slowdown() for upstream in group)
-    return [slowdown for slowdown in told if slowdown is not None]
+    reported = (upstream.reported_slowdown() for upstream in group)
+    return [slowdown for slowdown in reported if slowdown is not None]
 
 
 def count_call(
