--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -93,9 +93,9 @@
         self._routes.add(route)
         cell = (route, upstream_id)
         # Room is kept for each route's rows of other versions and other upstreams.
-        most = rollout_notes.ROWS_PER_RECORD - 2 * (MAX_ROUTES + 1)
+        max_cells = rollout_notes.ROWS_PER_RECORD - 2 * (MAX_ROUTES + 1)
         is_new = cell not in self.counts_by_cell
-        if is_new and upstream_id and len(self.counts_by_cell) >= most:
+        if is_new and upstream_id and len(self.counts_by_cell) >= max_cells:
             return (route, OTHER_UPSTREAMS)
         return cell
 
