--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -22,7 +22,7 @@
 #: Seconds before an order's end until which gateways that are gone are waited for.
 LAST_CALL_S = 0.8
 #: Answers of the target that are enough, however many it was allowed.
-LEAST_ANSWERS = 10.0
+MIN_ANSWERS = 10.0
 #: Share of the calls it was allowed that it must have answered otherwise: a service
 #: with few requests still has to be able to change its version.
 LEAST_ANSWERED_SHARE = 0.5
@@ -96,7 +96,7 @@
         return Hindrance.NO_UPSTREAMS
     if ready.target_slots < LEAST_SLOTS_SHARE * ready.other_slots:
         return Hindrance.TOO_FEW_SLOTS
-    if ready.answers < min(LEAST_ANSWERS, LEAST_ANSWERED_SHARE * ready.allowed):
+    if ready.answers < min(MIN_ANSWERS, LEAST_ANSWERED_SHARE * ready.allowed):
         return Hindrance.FEW_ANSWERS
     if ready.suspicion >= MOST_SUSPICION:
         return Hindrance.SUSPECTED
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -115,7 +115,7 @@
             "gateway/rollout/promotion.MOST_SHARE",
             "gateway/rollout/promotion.LONG_WORK",
             "gateway/rollout/promotion.LAST_CALL_S",
-            "gateway/rollout/promotion.LEAST_ANSWERS",
+            "gateway/rollout/promotion.MIN_ANSWERS",
             "gateway/rollout/promotion.LEAST_SLOTS_SHARE",
             "gateway/rollout/promotion.MOST_SUSPICION",
             "gateway/rollout/promotion.MOST_DOUBT",
