--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -25,7 +25,7 @@
 MIN_ANSWERS = 10.0
 #: Share of the calls it was allowed that it must have answered otherwise: a service
 #: with few requests still has to be able to change its version.
-LEAST_ANSWERED_SHARE = 0.5
+MIN_ANSWERED_SHARE = 0.5
 #: Slots of the target by those of the others: fewer would not carry the load.
 LEAST_SLOTS_SHARE = 0.7
 #: Seconds for which it is watched after promotion, with all requests, before the others
@@ -96,7 +96,7 @@
         return Hindrance.NO_UPSTREAMS
     if ready.target_slots < LEAST_SLOTS_SHARE * ready.other_slots:
         return Hindrance.TOO_FEW_SLOTS
-    if ready.answers < min(MIN_ANSWERS, LEAST_ANSWERED_SHARE * ready.allowed):
+    if ready.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * ready.allowed):
         return Hindrance.FEW_ANSWERS
     if ready.suspicion >= MOST_SUSPICION:
         return Hindrance.SUSPECTED
