--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -27,7 +27,7 @@
 #: with few requests still has to be able to change its version.
 MIN_ANSWERED_SHARE = 0.5
 #: Slots of the target by those of the others: fewer would not carry the load.
-LEAST_SLOTS_SHARE = 0.7
+MIN_SLOTS_SHARE = 0.7
 #: Seconds for which it is watched after promotion, with all requests, before the others
 #: are given up: twice as long as records are old at most.
 WATCH_S = 0.4
@@ -94,7 +94,7 @@
         return Hindrance.EARLY
     if not ready.target_slots:
         return Hindrance.NO_UPSTREAMS
-    if ready.target_slots < LEAST_SLOTS_SHARE * ready.other_slots:
+    if ready.target_slots < MIN_SLOTS_SHARE * ready.other_slots:
         return Hindrance.TOO_FEW_SLOTS
     if ready.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * ready.allowed):
         return Hindrance.FEW_ANSWERS
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -116,7 +116,7 @@
             "gateway/rollout/promotion.LONG_WORK",
             "gateway/rollout/promotion.LAST_CALL_S",
             "gateway/rollout/promotion.MIN_ANSWERS",
-            "gateway/rollout/promotion.LEAST_SLOTS_SHARE",
+            "gateway/rollout/promotion.MIN_SLOTS_SHARE",
             "gateway/rollout/promotion.MOST_SUSPICION",
             "gateway/rollout/promotion.MOST_DOUBT",
             "gateway/rollout/promotion.DOUBT_S",
