--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -110,7 +110,7 @@
         " half of the fleet. Two that decide do no harm: each write has the status and"
         " the order that were read as its condition.",
         constants=(
-            "gateway/rollout/promotion.MESSAGES_S",
+            "gateway/rollout/promotion.PROPAGATION_S",
             "gateway/rollout/promotion.WATCH_S",
             "gateway/rollout/promotion.MOST_SHARE",
             "gateway/rollout/promotion.LONG_WORK",
