--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -16,7 +16,7 @@
 #: of the order came late, the phase and the records travel, the store is written.
 PROPAGATION_S = 2.0
 #: Most of an order's time that promotion may take.
-MOST_SHARE = 0.35
+MAX_PROMOTION_SHARE = 0.35
 #: How many times its usual time the work under way may take.
 LONG_WORK = 3.0
 #: Seconds before an order's end until which gateways that are gone are waited for.
@@ -85,7 +85,7 @@
     ``usual_s`` are the usual times of the service's routes.
     """
     longest_s = LONG_WORK * max(usual_s, default=0.0)
-    return min(MOST_SHARE * by_s, PROPAGATION_S + longest_s)
+    return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
 def hindrance(ready: Readiness, promote_at: ids.Instant, now: ids.Instant) -> Hindrance:
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -112,7 +112,7 @@
         constants=(
             "gateway/rollout/promotion.PROPAGATION_S",
             "gateway/rollout/promotion.WATCH_S",
-            "gateway/rollout/promotion.MOST_SHARE",
+            "gateway/rollout/promotion.MAX_PROMOTION_SHARE",
             "gateway/rollout/promotion.LONG_WORK",
             "gateway/rollout/promotion.LAST_CALL_S",
             "gateway/rollout/promotion.MIN_ANSWERS",
