--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -18,7 +18,7 @@
 #: Most of an order's time that promotion may take.
 MAX_PROMOTION_SHARE = 0.35
 #: How many times its usual time the work under way may take.
-LONG_WORK = 3.0
+LONG_CALL_FACTOR = 3.0
 #: Seconds before an order's end until which gateways that are gone are waited for.
 LAST_CALL_S = 0.8
 #: Answers of the target that are enough, however many it was allowed.
@@ -84,7 +84,7 @@
 
     ``usual_s`` are the usual times of the service's routes.
     """
-    longest_s = LONG_WORK * max(usual_s, default=0.0)
+    longest_s = LONG_CALL_FACTOR * max(usual_s, default=0.0)
     return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -113,7 +113,7 @@
             "gateway/rollout/promotion.PROPAGATION_S",
             "gateway/rollout/promotion.WATCH_S",
             "gateway/rollout/promotion.MAX_PROMOTION_SHARE",
-            "gateway/rollout/promotion.LONG_WORK",
+            "gateway/rollout/promotion.LONG_CALL_FACTOR",
             "gateway/rollout/promotion.LAST_CALL_S",
             "gateway/rollout/promotion.MIN_ANSWERS",
             "gateway/rollout/promotion.MIN_SLOTS_SHARE",
