--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -115,7 +115,7 @@
 
     world = worlds.played(worlds.Plan(seed=1, by_s=8.0, per_s=60.0, disturb=disturb))
     assert not rollout_trials.complaints(world), rollout_trials.complaints(world)
-    latest_s = world.plan.by_s - promotion.LAST_CALL_S
+    latest_s = world.plan.by_s - promotion.FINAL_WINDOW_S
     assert world.seen.statuses[-1][0] >= latest_s, world.seen.statuses
 
 
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -117,7 +117,7 @@
         """Return how doubtful the target is, less strictly as time passes."""
         if now < self._doubt_until:
             return self.run.analysis.doubt()
-        if now < end_at - promotion.LAST_CALL_S:
+        if now < end_at - promotion.FINAL_WINDOW_S:
             return self.run.analysis.suspicion()
         # Not shown to be bad in all its time.
         return 0.0
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -20,7 +20,7 @@
 #: How many times its usual time the work under way may take.
 LONG_CALL_FACTOR = 3.0
 #: Seconds before an order's end until which gateways that are gone are waited for.
-LAST_CALL_S = 0.8
+FINAL_WINDOW_S = 0.8
 #: Answers of the target that are enough, however many it was allowed.
 MIN_ANSWERS = 10.0
 #: Share of the calls it was allowed that it must have answered otherwise: a service
@@ -124,6 +124,6 @@
     missing = who.needed - who.empty
     if missing & who.in_view:
         return Hindrance.UNDER_WAY
-    if missing and now < end_at - LAST_CALL_S:
+    if missing and now < end_at - FINAL_WINDOW_S:
         return Hindrance.GATEWAYS_GONE
     return Hindrance.NONE
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -114,7 +114,7 @@
             "gateway/rollout/promotion.WATCH_S",
             "gateway/rollout/promotion.MAX_PROMOTION_SHARE",
             "gateway/rollout/promotion.LONG_CALL_FACTOR",
-            "gateway/rollout/promotion.LAST_CALL_S",
+            "gateway/rollout/promotion.FINAL_WINDOW_S",
             "gateway/rollout/promotion.MIN_ANSWERS",
             "gateway/rollout/promotion.MIN_SLOTS_SHARE",
             "gateway/rollout/promotion.MOST_SUSPICION",
