--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -97,7 +97,7 @@
         end_at = self.state.rollouts.end_at(self.run.order.service)
         if self._watch_until == ids.NEVER:
             self._watch_until = ids.later(now, promotion.WATCH_S)
-            self._doubt_until = ids.later(now, promotion.DOUBT_S)
+            self._doubt_until = ids.later(now, promotion.STRICT_WATCH_S)
         if now < self._watch_until:
             return False
         found = promotion.incompleteness(
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -33,7 +33,7 @@
 WATCH_S = 0.4
 #: Seconds after promotion in which some upstreams that look bad are doubt enough, after
 #: them it takes most; and a few may look bad for good.
-DOUBT_S = 1.2
+STRICT_WATCH_S = 1.2
 #: Share of the evidence that shows a bad target from which it is not promoted.
 MOST_SUSPICION = 0.4
 #: The same of the evidence without the worst upstreams, from which the others are not
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -119,7 +119,7 @@
             "gateway/rollout/promotion.MIN_SLOTS_SHARE",
             "gateway/rollout/promotion.MOST_SUSPICION",
             "gateway/rollout/promotion.MOST_DOUBT",
-            "gateway/rollout/promotion.DOUBT_S",
+            "gateway/rollout/promotion.STRICT_WATCH_S",
             "gateway/rollout/deciding.CANDIDATES",
         ),
         events=(
