--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -35,7 +35,7 @@
 #: them it takes most; and a few may look bad for good.
 STRICT_WATCH_S = 1.2
 #: Share of the evidence that shows a bad target from which it is not promoted.
-MOST_SUSPICION = 0.4
+MAX_SUSPICION = 0.4
 #: The same of the evidence without the worst upstreams, from which the others are not
 #: given up: with all requests it is soon known, and a few bad upstreams hinder nothing.
 MOST_DOUBT = 0.3
@@ -98,7 +98,7 @@
         return Hindrance.TOO_FEW_SLOTS
     if ready.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * ready.allowed):
         return Hindrance.FEW_ANSWERS
-    if ready.suspicion >= MOST_SUSPICION:
+    if ready.suspicion >= MAX_SUSPICION:
         return Hindrance.SUSPECTED
     return Hindrance.NONE
 
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -117,7 +117,7 @@
             "gateway/rollout/promotion.FINAL_WINDOW_S",
             "gateway/rollout/promotion.MIN_ANSWERS",
             "gateway/rollout/promotion.MIN_SLOTS_SHARE",
-            "gateway/rollout/promotion.MOST_SUSPICION",
+            "gateway/rollout/promotion.MAX_SUSPICION",
             "gateway/rollout/promotion.MOST_DOUBT",
             "gateway/rollout/promotion.STRICT_WATCH_S",
             "gateway/rollout/deciding.CANDIDATES",
