--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -38,7 +38,7 @@
 MAX_SUSPICION = 0.4
 #: The same of the evidence without the worst upstreams, from which the others are not
 #: given up: with all requests it is soon known, and a few bad upstreams hinder nothing.
-MOST_DOUBT = 0.3
+MAX_RESIDUAL_SUSPICION = 0.3
 
 
 class Hindrance(enum.Enum):
@@ -117,7 +117,7 @@
     ``is_met``: more than half of the fleet is in view. One that is cut off can't know
     who still uses the other versions.
     """
-    if doubt >= MOST_DOUBT:
+    if doubt >= MAX_RESIDUAL_SUSPICION:
         return Hindrance.SUSPECTED
     if not is_met:
         return Hindrance.NO_QUORUM
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -118,7 +118,7 @@
             "gateway/rollout/promotion.MIN_ANSWERS",
             "gateway/rollout/promotion.MIN_SLOTS_SHARE",
             "gateway/rollout/promotion.MAX_SUSPICION",
-            "gateway/rollout/promotion.MOST_DOUBT",
+            "gateway/rollout/promotion.MAX_RESIDUAL_SUSPICION",
             "gateway/rollout/promotion.STRICT_WATCH_S",
             "gateway/rollout/deciding.CANDIDATES",
         ),
