--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -44,7 +44,7 @@
         self.quorum = known_quorum
         self.writer = writer
         self.run = one
-        self._reported: set[promotion.Hindrance] = set()
+        self._reported: set[promotion.Blocker] = set()
         self._watch_until = ids.NEVER
         self._doubt_until = ids.NEVER
 
@@ -80,15 +80,15 @@
         end_at = self.state.rollouts.end_at(self.run.order.service)
         ready = self._readiness(pool, now)
         found = promotion.hindrance(ready, self._promote_at(end_at), now)
-        if found is promotion.Hindrance.NONE and not self.quorum.of_fleet():
+        if found is promotion.Blocker.NONE and not self.quorum.of_fleet():
             # It could not be completed, so all requests would move for nothing.
-            found = promotion.Hindrance.NO_QUORUM
-        if found is promotion.Hindrance.NONE:
+            found = promotion.Blocker.NO_QUORUM
+        if found is promotion.Blocker.NONE:
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             self._report_promotion(ready)
         elif now >= end_at:
             self._give_up(found)
-        elif found is not promotion.Hindrance.EARLY:
+        elif found is not promotion.Blocker.EARLY:
             self._report(found)
 
     def _is_complete(self, now: ids.Instant) -> bool:
@@ -107,7 +107,7 @@
             is_met=self.quorum.of_fleet(),
             doubt=self._doubt(end_at, now),
         )
-        if found is promotion.Hindrance.NONE:
+        if found is promotion.Blocker.NONE:
             return True
         if now >= end_at:
             self._report(found)
@@ -122,7 +122,7 @@
         # Not shown to be bad in all its time.
         return 0.0
 
-    def _give_up(self, found: promotion.Hindrance) -> None:
+    def _give_up(self, found: promotion.Blocker) -> None:
         """Roll back an order that was not promoted within its time."""
         if self.run.raise_phase(rollout_notes.Phase.ROLLED_BACK):
             self.run.reason = f"{TIME_OVER}: {found.value}"
@@ -191,7 +191,7 @@
     def _is_target(self, upstream: upstreams.Upstream) -> bool:
         return upstream.spec.version == self.run.order.target
 
-    def _report(self, found: promotion.Hindrance) -> None:
+    def _report(self, found: promotion.Blocker) -> None:
         """Log once why an order can't go on."""
         if found in self._reported:
             return
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -41,7 +41,7 @@
 MAX_RESIDUAL_SUSPICION = 0.3
 
 
-class Hindrance(enum.Enum):
+class Blocker(enum.Enum):
     """Why an order is not promoted or completed yet."""
 
     NONE = "none"
@@ -88,19 +88,19 @@
     return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
-def hindrance(ready: Readiness, promote_at: ids.Instant, now: ids.Instant) -> Hindrance:
+def hindrance(ready: Readiness, promote_at: ids.Instant, now: ids.Instant) -> Blocker:
     """Return why an order is not promoted now."""
     if now < promote_at:
-        return Hindrance.EARLY
+        return Blocker.EARLY
     if not ready.target_slots:
-        return Hindrance.NO_UPSTREAMS
+        return Blocker.NO_UPSTREAMS
     if ready.target_slots < MIN_SLOTS_SHARE * ready.other_slots:
-        return Hindrance.TOO_FEW_SLOTS
+        return Blocker.TOO_FEW_SLOTS
     if ready.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * ready.allowed):
-        return Hindrance.FEW_ANSWERS
+        return Blocker.FEW_ANSWERS
     if ready.suspicion >= MAX_SUSPICION:
-        return Hindrance.SUSPECTED
-    return Hindrance.NONE
+        return Blocker.SUSPECTED
+    return Blocker.NONE
 
 
 def incompleteness(
@@ -110,7 +110,7 @@
     *,
     is_met: bool,
     doubt: float,
-) -> Hindrance:
+) -> Blocker:
     """
     Return why a promoted order is not completed now.
 
@@ -118,12 +118,12 @@
     who still uses the other versions.
     """
     if doubt >= MAX_RESIDUAL_SUSPICION:
-        return Hindrance.SUSPECTED
+        return Blocker.SUSPECTED
     if not is_met:
-        return Hindrance.NO_QUORUM
+        return Blocker.NO_QUORUM
     missing = who.needed - who.empty
     if missing & who.in_view:
-        return Hindrance.UNDER_WAY
+        return Blocker.UNDER_WAY
     if missing and now < end_at - FINAL_WINDOW_S:
-        return Hindrance.GATEWAYS_GONE
-    return Hindrance.NONE
+        return Blocker.GATEWAYS_GONE
+    return Blocker.NONE
