--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -79,7 +79,7 @@
             return
         end_at = self.state.rollouts.end_at(self.run.order.service)
         ready = self._readiness(pool, now)
-        found = promotion.hindrance(ready, self._promote_at(end_at), now)
+        found = promotion.promotion_blocker(ready, self._promote_at(end_at), now)
         if found is promotion.Blocker.NONE and not self.quorum.of_fleet():
             # It could not be completed, so all requests would move for nothing.
             found = promotion.Blocker.NO_QUORUM
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -88,7 +88,9 @@
     return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
-def hindrance(ready: Readiness, promote_at: ids.Instant, now: ids.Instant) -> Blocker:
+def promotion_blocker(
+    ready: Readiness, promote_at: ids.Instant, now: ids.Instant
+) -> Blocker:
     """Return why an order is not promoted now."""
     if now < promote_at:
         return Blocker.EARLY
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -96,7 +96,7 @@
     Rule(
         question="When a version takes over, and who writes that",
         functions=(
-            "gateway/rollout/promotion.hindrance",
+            "gateway/rollout/promotion.promotion_blocker",
             "gateway/rollout/promotion.incompleteness",
             "gateway/rollout/deciding.candidates",
             "gateway/rollout/deciding.next_state",
