--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -100,7 +100,7 @@
             self._doubt_until = ids.later(now, promotion.STRICT_WATCH_S)
         if now < self._watch_until:
             return False
-        found = promotion.incompleteness(
+        found = promotion.completion_blocker(
             self._attendance(),
             end_at,
             now,
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -105,7 +105,7 @@
     return Blocker.NONE
 
 
-def incompleteness(
+def completion_blocker(
     who: Attendance,
     end_at: ids.Instant,
     now: ids.Instant,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -97,7 +97,7 @@
         question="When a version takes over, and who writes that",
         functions=(
             "gateway/rollout/promotion.promotion_blocker",
-            "gateway/rollout/promotion.incompleteness",
+            "gateway/rollout/promotion.completion_blocker",
             "gateway/rollout/deciding.candidates",
             "gateway/rollout/deciding.next_state",
         ),
