--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -160,7 +160,7 @@
             suspicion=self.run.analysis.suspicion(),
         )
 
-    def _attendance(self) -> promotion.Attendance:
+    def _attendance(self) -> promotion.DrainProgress:
         local = self.state.local_member.host
         known = self.state.gossip.known_by_host
         running = {host: peer.record.incarnation for host, peer in known.items()}
@@ -172,7 +172,7 @@
             for host, peer in known.items()
             if not peer.missed and not peer.suspected
         }
-        return promotion.Attendance(
+        return promotion.DrainProgress(
             needed=frozenset({local, *took_part, *self.fleet.active_zones()}),
             empty=frozenset(h for h, record in newest.items() if record.is_empty),
             in_view=frozenset({local, *in_view}),
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -70,7 +70,7 @@
     suspicion: float
 
 
-class Attendance(msgspec.Struct, frozen=True):
+class DrainProgress(msgspec.Struct, frozen=True):
     """Who has to have left the other versions, who has, and who is in view."""
 
     needed: frozenset[ids.HostId]
@@ -106,7 +106,7 @@
 
 
 def completion_blocker(
-    who: Attendance,
+    who: DrainProgress,
     end_at: ids.Instant,
     now: ids.Instant,
     *,
