--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -174,7 +174,7 @@
         }
         return promotion.DrainProgress(
             required=frozenset({local, *took_part, *self.fleet.active_zones()}),
-            empty=frozenset(h for h, record in newest.items() if record.is_empty),
+            drained=frozenset(h for h, record in newest.items() if record.is_empty),
             in_view=frozenset({local, *in_view}),
         )
 
@@ -203,7 +203,7 @@
             target=self.run.order.target,
             phase=self.run.phase.name,
             reason=found.value,
-            missing=",".join(sorted(attendance.required - attendance.empty)),
+            missing=",".join(sorted(attendance.required - attendance.drained)),
         )
 
     def _report_promotion(self, ready: promotion.Readiness) -> None:
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -74,7 +74,7 @@
     """Who has to have left the other versions, who has, and who is in view."""
 
     required: frozenset[ids.HostId]
-    empty: frozenset[ids.HostId]
+    drained: frozenset[ids.HostId]
     in_view: frozenset[ids.HostId]
 
 
@@ -123,7 +123,7 @@
         return Blocker.SUSPECTED
     if not is_met:
         return Blocker.NO_QUORUM
-    missing = who.required - who.empty
+    missing = who.required - who.drained
     if missing & who.in_view:
         return Blocker.UNDER_WAY
     if missing and now < end_at - FINAL_WINDOW_S:
