--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -167,7 +167,7 @@
         running[local] = self.state.gossip.local.incarnation
         newest = self.run.merged.newest_by_host(running)
         took_part = {h for h, record in newest.items() if record.answered}
-        in_view = {
+        reachable = {
             host
             for host, peer in known.items()
             if not peer.missed and not peer.suspected
@@ -175,7 +175,7 @@
         return promotion.DrainProgress(
             required=frozenset({local, *took_part, *self.fleet.active_zones()}),
             drained=frozenset(h for h, record in newest.items() if record.is_empty),
-            in_view=frozenset({local, *in_view}),
+            reachable=frozenset({local, *reachable}),
         )
 
     def _target_counts(self) -> rollout_notes.Counts:
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -75,7 +75,7 @@
 
     required: frozenset[ids.HostId]
     drained: frozenset[ids.HostId]
-    in_view: frozenset[ids.HostId]
+    reachable: frozenset[ids.HostId]
 
 
 def lead_s(by_s: float, usual_s: abc.Iterable[float]) -> float:
@@ -124,7 +124,7 @@
     if not is_met:
         return Blocker.NO_QUORUM
     missing = who.required - who.drained
-    if missing & who.in_view:
+    if missing & who.reachable:
         return Blocker.UNDER_WAY
     if missing and now < end_at - FINAL_WINDOW_S:
         return Blocker.GATEWAYS_GONE
