--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -106,7 +106,7 @@
 
 
 def completion_blocker(
-    who: DrainProgress,
+    progress: DrainProgress,
     end_at: ids.Instant,
     now: ids.Instant,
     *,
@@ -123,8 +123,8 @@
         return Blocker.SUSPECTED
     if not is_met:
         return Blocker.NO_QUORUM
-    missing = who.required - who.drained
-    if missing & who.reachable:
+    missing = progress.required - progress.drained
+    if missing & progress.reachable:
         return Blocker.UNDER_WAY
     if missing and now < end_at - FINAL_WINDOW_S:
         return Blocker.GATEWAYS_GONE
