--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -92,7 +92,7 @@
         """Return how near the nearest test is to a finding, 1 where it is one."""
         return max((test.suspicion() for test in self.test_by_key.values()), default=0)
 
-    def doubt(self) -> float:
+    def residual_suspicion(self) -> float:
         """Return the highest likelihood without the worst upstreams, by the bound."""
         found = (test.without_worst() for test in self.test_by_key.values())
         return max(found, default=0.0) / sequential_test.THRESHOLD
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -105,7 +105,7 @@
             end_at,
             now,
             is_met=self.quorum.of_fleet(),
-            doubt=self._doubt(end_at, now),
+            residual_suspicion=self._doubt(end_at, now),
         )
         if found is promotion.Blocker.NONE:
             return True
@@ -116,7 +116,7 @@
     def _doubt(self, end_at: ids.Instant, now: ids.Instant) -> float:
         """Return how doubtful the target is, less strictly as time passes."""
         if now < self._doubt_until:
-            return self.run.analysis.doubt()
+            return self.run.analysis.residual_suspicion()
         if now < end_at - promotion.FINAL_WINDOW_S:
             return self.run.analysis.suspicion()
         # Not shown to be bad in all its time.
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -111,7 +111,7 @@
     now: ids.Instant,
     *,
     is_met: bool,
-    doubt: float,
+    residual_suspicion: float,
 ) -> Blocker:
     """
     Return why a promoted order is not completed now.
@@ -119,7 +119,7 @@
     ``is_met``: more than half of the fleet is in view. One that is cut off can't know
     who still uses the other versions.
     """
-    if doubt >= MAX_RESIDUAL_SUSPICION:
+    if residual_suspicion >= MAX_RESIDUAL_SUSPICION:
         return Blocker.SUSPECTED
     if not is_met:
         return Blocker.NO_QUORUM
