--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -136,12 +136,12 @@
     def _promote_at(self, end_at: ids.Instant) -> ids.Instant:
         order = self.run.order
         table = self.state.table
-        usual_s = [
+        typical_s = [
             service_defaults.typical_latency_s(route)
             for route in (() if table is None else table.configuration.routes)
             if any(part.service == order.service for part in route.parts)
         ]
-        return ids.later(end_at, -promotion.lead_s(order.by_s, usual_s))
+        return ids.later(end_at, -promotion.lead_s(order.by_s, typical_s))
 
     def _readiness(
         self, pool: upstream_pool.Pool, now: ids.Instant
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -78,13 +78,13 @@
     reachable: frozenset[ids.HostId]
 
 
-def lead_s(by_s: float, usual_s: abc.Iterable[float]) -> float:
+def lead_s(by_s: float, typical_s: abc.Iterable[float]) -> float:
     """
     Return how many seconds before its end an order is promoted.
 
-    ``usual_s`` are the usual times of the service's routes.
+    ``typical_s`` are the usual times of the service's routes.
     """
-    longest_s = LONG_CALL_FACTOR * max(usual_s, default=0.0)
+    longest_s = LONG_CALL_FACTOR * max(typical_s, default=0.0)
     return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
