--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -105,7 +105,7 @@
             end_at,
             now,
             is_met=self.quorum.of_fleet(),
-            residual_suspicion=self._doubt(end_at, now),
+            residual_suspicion=self._residual_suspicion(end_at, now),
         )
         if found is promotion.Blocker.NONE:
             return True
@@ -113,7 +113,7 @@
             self._report(found)
         return False
 
-    def _doubt(self, end_at: ids.Instant, now: ids.Instant) -> float:
+    def _residual_suspicion(self, end_at: ids.Instant, now: ids.Instant) -> float:
         """Return how doubtful the target is, less strictly as time passes."""
         if now < self._doubt_until:
             return self.run.analysis.residual_suspicion()
