--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -46,7 +46,7 @@
         self.run = one
         self._reported: set[promotion.Blocker] = set()
         self._watch_until = ids.NEVER
-        self._doubt_until = ids.NEVER
+        self._strict_until = ids.NEVER
 
     def update(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
         """Promote, complete or roll back, and have the status written."""
@@ -97,7 +97,7 @@
         end_at = self.state.rollouts.end_at(self.run.order.service)
         if self._watch_until == ids.NEVER:
             self._watch_until = ids.later(now, promotion.WATCH_S)
-            self._doubt_until = ids.later(now, promotion.STRICT_WATCH_S)
+            self._strict_until = ids.later(now, promotion.STRICT_WATCH_S)
         if now < self._watch_until:
             return False
         found = promotion.completion_blocker(
@@ -115,7 +115,7 @@
 
     def _residual_suspicion(self, end_at: ids.Instant, now: ids.Instant) -> float:
         """Return how doubtful the target is, less strictly as time passes."""
-        if now < self._doubt_until:
+        if now < self._strict_until:
             return self.run.analysis.residual_suspicion()
         if now < end_at - promotion.FINAL_WINDOW_S:
             return self.run.analysis.suspicion()
