--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -101,7 +101,7 @@
         if now < self._watch_until:
             return False
         found = promotion.completion_blocker(
-            self._attendance(),
+            self._drain_progress(),
             end_at,
             now,
             is_met=self.quorum.of_fleet(),
@@ -160,7 +160,7 @@
             suspicion=self.run.analysis.suspicion(),
         )
 
-    def _attendance(self) -> promotion.DrainProgress:
+    def _drain_progress(self) -> promotion.DrainProgress:
         local = self.state.local_member.host
         known = self.state.gossip.known_by_host
         running = {host: peer.record.incarnation for host, peer in known.items()}
@@ -196,7 +196,7 @@
         if found in self._reported:
             return
         self._reported.add(found)
-        attendance = self._attendance()
+        attendance = self._drain_progress()
         events.emit(
             events.Event.ROLLOUT_HINDERED,
             service=self.run.order.service,
