--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -196,14 +196,14 @@
         if found in self._reported:
             return
         self._reported.add(found)
-        attendance = self._drain_progress()
+        progress = self._drain_progress()
         events.emit(
             events.Event.ROLLOUT_HINDERED,
             service=self.run.order.service,
             target=self.run.order.target,
             phase=self.run.phase.name,
             reason=found.value,
-            missing=",".join(sorted(attendance.required - attendance.drained)),
+            missing=",".join(sorted(progress.required - progress.drained)),
         )
 
     def _report_promotion(self, ready: promotion.Readiness) -> None:
