--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -87,7 +87,7 @@
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             self._report_promotion(ready)
         elif now >= end_at:
-            self._give_up(found)
+            self._roll_back_overdue(found)
         elif found is not promotion.Blocker.EARLY:
             self._report(found)
 
@@ -122,7 +122,7 @@
         # Not shown to be bad in all its time.
         return 0.0
 
-    def _give_up(self, found: promotion.Blocker) -> None:
+    def _roll_back_overdue(self, found: promotion.Blocker) -> None:
         """Roll back an order that was not promoted within its time."""
         if self.run.raise_phase(rollout_notes.Phase.ROLLED_BACK):
             self.run.reason = f"{TIME_OVER}: {found.value}"
