--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -146,15 +146,15 @@
     def _readiness(
         self, pool: upstream_pool.Pool, now: ids.Instant
     ) -> promotion.Readiness:
-        able = [
+        warm_upstreams = [
             u
             for u in pool.usable_order
             if u.state in USABLE and not u.cold.is_cold(now)
         ]
         counts = self._target_counts()
         return promotion.Readiness(
-            target_slots=sum(u.slots for u in able if self._is_target(u)),
-            other_slots=sum(u.slots for u in able if self.run.is_other(u)),
+            target_slots=sum(u.slots for u in warm_upstreams if self._is_target(u)),
+            other_slots=sum(u.slots for u in warm_upstreams if self.run.is_other(u)),
             answers=counts.judged,
             allowed=self.run.split.share * self.run.merged.answered(),
             suspicion=self.run.analysis.suspicion(),
