--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -79,17 +79,17 @@
             return
         end_at = self.state.rollouts.end_at(self.run.order.service)
         ready = self._readiness(pool, now)
-        found = promotion.promotion_blocker(ready, self._promote_at(end_at), now)
-        if found is promotion.Blocker.NONE and not self.quorum.of_fleet():
+        blocker = promotion.promotion_blocker(ready, self._promote_at(end_at), now)
+        if blocker is promotion.Blocker.NONE and not self.quorum.of_fleet():
             # It could not be completed, so all requests would move for nothing.
-            found = promotion.Blocker.NO_QUORUM
-        if found is promotion.Blocker.NONE:
+            blocker = promotion.Blocker.NO_QUORUM
+        if blocker is promotion.Blocker.NONE:
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             self._report_promotion(ready)
         elif now >= end_at:
-            self._roll_back_overdue(found)
-        elif found is not promotion.Blocker.EARLY:
-            self._report(found)
+            self._roll_back_overdue(blocker)
+        elif blocker is not promotion.Blocker.EARLY:
+            self._report(blocker)
 
     def _is_complete(self, now: ids.Instant) -> bool:
         if self.run.phase is not rollout_notes.Phase.PROMOTING:
@@ -100,17 +100,17 @@
             self._strict_until = ids.later(now, promotion.STRICT_WATCH_S)
         if now < self._watch_until:
             return False
-        found = promotion.completion_blocker(
+        blocker = promotion.completion_blocker(
             self._drain_progress(),
             end_at,
             now,
             is_met=self.quorum.of_fleet(),
             residual_suspicion=self._residual_suspicion(end_at, now),
         )
-        if found is promotion.Blocker.NONE:
+        if blocker is promotion.Blocker.NONE:
             return True
         if now >= end_at:
-            self._report(found)
+            self._report(blocker)
         return False
 
     def _residual_suspicion(self, end_at: ids.Instant, now: ids.Instant) -> float:
@@ -122,10 +122,10 @@
         # Not shown to be bad in all its time.
         return 0.0
 
-    def _roll_back_overdue(self, found: promotion.Blocker) -> None:
+    def _roll_back_overdue(self, blocker: promotion.Blocker) -> None:
         """Roll back an order that was not promoted within its time."""
         if self.run.raise_phase(rollout_notes.Phase.ROLLED_BACK):
-            self.run.reason = f"{TIME_OVER}: {found.value}"
+            self.run.reason = f"{TIME_OVER}: {blocker.value}"
             events.emit(
                 events.Event.ROLLOUT_ROLLED_BACK,
                 service=self.run.order.service,
@@ -191,18 +191,18 @@
     def _is_target(self, upstream: upstreams.Upstream) -> bool:
         return upstream.spec.version == self.run.order.target
 
-    def _report(self, found: promotion.Blocker) -> None:
+    def _report(self, blocker: promotion.Blocker) -> None:
         """Log once why an order can't go on."""
-        if found in self._reported:
+        if blocker in self._reported:
             return
-        self._reported.add(found)
+        self._reported.add(blocker)
         progress = self._drain_progress()
         events.emit(
             events.Event.ROLLOUT_HINDERED,
             service=self.run.order.service,
             target=self.run.order.target,
             phase=self.run.phase.name,
-            reason=found.value,
+            reason=blocker.value,
             missing=",".join(sorted(progress.required - progress.drained)),
         )
 
