--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -37,13 +37,13 @@
         gateway_fleet: fleet.Fleet,
         known_quorum: quorum.Quorum,
         writer: status_writer.StatusWriter,
-        one: runs.Run,
+        run: runs.Run,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.quorum = known_quorum
         self.writer = writer
-        self.run = one
+        self.run = run
         self._reported: set[promotion.Blocker] = set()
         self._watch_until = ids.NEVER
         self._strict_until = ids.NEVER
