--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -107,7 +107,7 @@
             self._decider(one).update(pool, now)
             if one.phase is not before:
                 self._announce()
-        self._tell(one, pool, candidates, now)
+        self._send_evidence(one, pool, candidates, now)
 
     def _rewrite_final_status(self, one: runs.Run, now: ids.Instant) -> None:
         candidates = deciding.candidates(one.order.service, self.fleet.view())
@@ -214,7 +214,7 @@
             self._announce_rounds -= 1
             self._send(list(self.state.gossip.known_by_host), None)
 
-    def _tell(
+    def _send_evidence(
         self,
         one: runs.Run,
         pool: upstream_pool.Pool,
