--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -100,7 +100,7 @@
         record = one.record(pool, self._left_s(one, now))
         one.take(evidence_merging.Source(local.host, local.incarnation), record, now)
         candidates = deciding.candidates(one.order.service, self.fleet.view())
-        self._note_duty(one, is_decider=candidates[:1] == [local.host])
+        self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
         self._judge(one)
         if one.order.service in self._deciding:
             before = one.phase
@@ -112,7 +112,7 @@
     def _rewrite_final_status(self, one: runs.Run, now: ids.Instant) -> None:
         candidates = deciding.candidates(one.order.service, self.fleet.view())
         local = self.state.gossip.local
-        self._note_duty(one, is_decider=candidates[:1] == [local.host])
+        self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
         if one.order.service in self._deciding:
             self._decider(one).rewrite_final_status(now)
 
@@ -164,7 +164,7 @@
             event, service=one.order.service, target=one.order.target, reason=reason
         )
 
-    def _note_duty(self, one: runs.Run, *, is_decider: bool) -> None:
+    def _set_decider_role(self, one: runs.Run, *, is_decider: bool) -> None:
         service = one.order.service
         if is_decider == (service in self._deciding):
             return
