--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -70,7 +70,7 @@
                 self._update_run(one, now)
             elif self.state.rollouts.lacks_final_status(one):
                 self._rewrite_final_status(one, now)
-        self._forget_old(every)
+        self._drop_old_deciders(every)
         self._publish(every)
 
     def message_received(
@@ -192,7 +192,7 @@
         every = self.state.rollouts.run_by_service.values()
         return sorted(every, key=lambda one: one.final is not None)
 
-    def _forget_old(self, every: list[runs.Run]) -> None:
+    def _drop_old_deciders(self, every: list[runs.Run]) -> None:
         for one in [one for one in self._decider_by_run if one not in every]:
             del self._decider_by_run[one]
 
