--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -63,15 +63,15 @@
     def update(self) -> None:
         """Judge, decide and tell, once."""
         now = self.state.clock.now()
-        every = self._runs()
-        for one in every:
+        all_runs = self._runs()
+        for one in all_runs:
             one.measure()
             if one.final is None:
                 self._update_run(one, now)
             elif self.state.rollouts.lacks_final_status(one):
                 self._rewrite_final_status(one, now)
-        self._drop_old_deciders(every)
-        self._publish(every)
+        self._drop_old_deciders(all_runs)
+        self._publish(all_runs)
 
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
@@ -189,11 +189,11 @@
 
     def _runs(self) -> list[runs.Run]:
         """Return all runs; those that have ended last, as notes are bounded."""
-        every = self.state.rollouts.run_by_service.values()
-        return sorted(every, key=lambda one: one.final is not None)
+        all_runs = self.state.rollouts.run_by_service.values()
+        return sorted(all_runs, key=lambda one: one.final is not None)
 
-    def _drop_old_deciders(self, every: list[runs.Run]) -> None:
-        for one in [one for one in self._decider_by_run if one not in every]:
+    def _drop_old_deciders(self, all_runs: list[runs.Run]) -> None:
+        for one in [one for one in self._decider_by_run if one not in all_runs]:
             del self._decider_by_run[one]
 
     # Telling peers
@@ -205,9 +205,11 @@
         self._announce_rounds = ANNOUNCE_ROUNDS
         self._publish(self._runs())
 
-    def _publish(self, every: list[runs.Run]) -> None:
+    def _publish(self, all_runs: list[runs.Run]) -> None:
         """Let all gossip carry the phases; announce new ones."""
-        later = [one for one in every if one.phase is not rollout_notes.Phase.RUNNING]
+        later = [
+            one for one in all_runs if one.phase is not rollout_notes.Phase.RUNNING
+        ]
         notes = tuple(one.note() for one in later[: rollout_notes.NOTES_PER_MESSAGE])
         self.state.gossip.rollout_phases = notes
         if self._announce_rounds:
