--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -126,20 +126,20 @@
             return
         if is_decider and self._may_be_completed(one):
             return
-        found = one.analysis.finding()
-        if found is None or not one.raise_phase(rollout_notes.Phase.ROLLED_BACK):
+        finding = one.analysis.finding()
+        if finding is None or not one.raise_phase(rollout_notes.Phase.ROLLED_BACK):
             return
-        one.reason = f"{found.symptom.value} on {found.route}"
+        one.reason = f"{finding.symptom.value} on {finding.route}"
         events.emit(
             events.Event.ROLLOUT_ROLLED_BACK,
             service=one.order.service,
             target=one.order.target,
             reason=one.reason,
-            likelihood=found.likelihood,
-            without_worst=found.without_worst,
-            calls=found.calls,
-            bad=found.bad,
-            upstreams=found.upstreams,
+            likelihood=finding.likelihood,
+            without_worst=finding.without_worst,
+            calls=finding.calls,
+            bad=finding.bad,
+            upstreams=finding.upstreams,
             sent=one.merged.sent(),
             answered=one.merged.answered(),
         )
