--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -78,7 +78,7 @@
     ) -> None:
         """Take in a peer's phases and what it counted."""
         for note in message.rollout_phases:
-            one = self.state.rollouts.take_note(note)
+            one = self.state.rollouts.apply_note(note)
             if one is not None:
                 self._report_phase(one, f"told by {message.sender.host}")
         record = message.evidence
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -61,7 +61,7 @@
         status = self.orders.status_of(one.order)
         return status is None or status.state is sources.RolloutState.RUNNING
 
-    def take_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
+    def apply_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
         """Take in a peer's phase; return the run where it is news."""
         one = self.run_by_service.get(note.service)
         if one is None or one.order.revision != note.revision:
