--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -48,25 +48,25 @@
         """Return when a service's order must have ended."""
         return self.orders.end_at_by_service.get(service, ids.NEVER)
 
-    def status_of(self, one: runs.Run) -> sources.RolloutStatus | None:
+    def status_of(self, run: runs.Run) -> sources.RolloutStatus | None:
         """Return the status of a run's order as far as it is known."""
-        return self.orders.status_of(one.order)
+        return self.orders.status_of(run.order)
 
-    def lacks_final_status(self, one: runs.Run) -> bool:
+    def lacks_final_status(self, run: runs.Run) -> bool:
         """Tell whether the source has lost the final status of a run's order."""
-        if one.final is None:
+        if run.final is None:
             return False
-        if self.orders.order_by_service.get(one.order.service) != one.order:
+        if self.orders.order_by_service.get(run.order.service) != run.order:
             return False
-        status = self.orders.status_of(one.order)
+        status = self.orders.status_of(run.order)
         return status is None or status.state is sources.RolloutState.RUNNING
 
     def apply_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
         """Take in a peer's phase; return the run where it is news."""
-        one = self.run_by_service.get(note.service)
-        if one is None or one.order.revision != note.revision:
+        run = self.run_by_service.get(note.service)
+        if run is None or run.order.revision != note.revision:
             return None
-        return one if one.raise_phase(note.phase) else None
+        return run if run.raise_phase(note.phase) else None
 
     def _follow(self, service: ids.ServiceName, chosen: balancer.Balancer) -> None:
         order = self.orders.order_by_service.get(service)
@@ -74,12 +74,12 @@
             self._end_run(service, chosen.pool)
         else:
             self._keep_run(order, chosen.pool)
-        one = self.run_by_service.get(service)
-        if one is None or one.final is sources.RolloutState.COMPLETED:
+        run = self.run_by_service.get(service)
+        if run is None or run.final is sources.RolloutState.COMPLETED:
             chosen.split = None
         else:
-            one.look_at(chosen.pool)
-            chosen.split = one.split
+            run.look_at(chosen.pool)
+            chosen.split = run.split
 
     def _keep_run(self, order: sources.RolloutOrder, pool: upstream_pool.Pool) -> None:
         """Begin the run of an order if there is none; take in its status."""
--- a/tools/restore_mutants.py
+++ b/tools/restore_mutants.py
@@ -45,7 +45,7 @@
     mutant_table.Mutant(
         "a final status lost in a restore is not rewritten",
         "gateway/rollout/registry",
-        "        if one.final is None:\n            return False\n",
+        "        if run.final is None:\n            return False\n",
         "        if True:\n            return False\n",
         "an order rewritten after a restore keeps its run",
     ),
