--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -106,9 +106,9 @@
 
     def _begin(self, order: sources.RolloutOrder, before: runs.Run | None) -> runs.Run:
         held = self._held_for(order, before)
-        begun = runs.Run(order, self.share, held, self.metrics)
-        self.run_by_service[order.service] = begun
-        return begun
+        run = runs.Run(order, self.share, held, self.metrics)
+        self.run_by_service[order.service] = run
+        return run
 
     def _held_for(
         self, order: sources.RolloutOrder, before: runs.Run | None
@@ -122,15 +122,15 @@
             held.add(status.target)
         return frozenset(held - {order.target})
 
-    def _report_begin(self, begun: runs.Run) -> None:
+    def _report_begin(self, run: runs.Run) -> None:
         events.emit(
             events.Event.ROLLOUT_BEGUN,
-            service=begun.order.service,
-            target=begun.order.target,
-            by_s=begun.order.by_s,
-            revision=begun.order.revision,
-            share=begun.split.share,
-            held=",".join(sorted(begun.split.held)),
+            service=run.order.service,
+            target=run.order.target,
+            by_s=run.order.by_s,
+            revision=run.order.revision,
+            share=run.split.share,
+            held=",".join(sorted(run.split.held)),
         )
 
     def _leave_replaced(
