--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -40,9 +40,9 @@
         """Bring runs and splits in step with the orders; called after each change."""
         services = self.orders.services() | set(self.run_by_service)
         for service in sorted(services):
-            chosen = balancer_by_service.get(service)
-            if chosen is not None:
-                self._follow(service, chosen)
+            service_balancer = balancer_by_service.get(service)
+            if service_balancer is not None:
+                self._follow(service, service_balancer)
 
     def end_at(self, service: ids.ServiceName) -> ids.Instant:
         """Return when a service's order must have ended."""
@@ -68,18 +68,20 @@
             return None
         return run if run.raise_phase(note.phase) else None
 
-    def _follow(self, service: ids.ServiceName, chosen: balancer.Balancer) -> None:
+    def _follow(
+        self, service: ids.ServiceName, service_balancer: balancer.Balancer
+    ) -> None:
         order = self.orders.order_by_service.get(service)
         if order is None:
-            self._end_run(service, chosen.pool)
+            self._end_run(service, service_balancer.pool)
         else:
-            self._keep_run(order, chosen.pool)
+            self._keep_run(order, service_balancer.pool)
         run = self.run_by_service.get(service)
         if run is None or run.final is sources.RolloutState.COMPLETED:
-            chosen.split = None
+            service_balancer.split = None
         else:
-            run.look_at(chosen.pool)
-            chosen.split = run.split
+            run.look_at(service_balancer.pool)
+            service_balancer.split = run.split
 
     def _keep_run(self, order: sources.RolloutOrder, pool: upstream_pool.Pool) -> None:
         """Begin the run of an order if there is none; take in its status."""
