--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -28,9 +28,9 @@
     or where it is completed.
     """
 
-    def __init__(self, share: float, measured: metrics.Metrics) -> None:
+    def __init__(self, share: float, gateway_metrics: metrics.Metrics) -> None:
         self.share = share
-        self.metrics = measured
+        self.metrics = gateway_metrics
         self.orders = orders.Orders()
         self.run_by_service: dict[ids.ServiceName, runs.Run] = {}
 
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -43,10 +43,10 @@
         order: sources.RolloutOrder,
         share: float,
         held: frozenset[ids.SoftwareVersion],
-        measured: metrics.Metrics,
+        gateway_metrics: metrics.Metrics,
     ) -> None:
         self.order = order
-        self.metrics = measured
+        self.metrics = gateway_metrics
         self.phase = rollout_notes.Phase.RUNNING
         self.final: sources.RolloutState | None = None
         self.reason = ""
