--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -186,11 +186,11 @@
         self.rollouts.orders.replace(snapshot, self.world.now)
         specs = [machine.spec for machine in self.world.machines]
         self.balancer.pool.set_listed(specs, self.world.now)
-        self.rollouts.follow({rollout_service.SERVICE: self.balancer})
+        self.rollouts.reconcile({rollout_service.SERVICE: self.balancer})
 
     def _status_written(self, status: sources.RolloutStatus) -> None:
         self.rollouts.orders.written(status)
-        self.rollouts.follow({rollout_service.SERVICE: self.balancer})
+        self.rollouts.reconcile({rollout_service.SERVICE: self.balancer})
 
     @property
     def run(self) -> runs.Run:
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -34,7 +34,7 @@
         self.orders = orders.Orders()
         self.run_by_service: dict[ids.ServiceName, runs.Run] = {}
 
-    def follow(
+    def reconcile(
         self, balancer_by_service: abc.Mapping[ids.ServiceName, balancer.Balancer]
     ) -> None:
         """Bring runs and splits in step with the orders; called after each change."""
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -358,7 +358,7 @@
 
     def _follow_rollouts(self) -> None:
         """Bring the splits of calls between versions in step with the orders."""
-        self.rollouts.follow(self.balancer_by_service)
+        self.rollouts.reconcile(self.balancer_by_service)
         self.services.report_changes()
         self._end_upstreams()
 
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -15,7 +15,7 @@
         functions=(
             "decisions/traffic_split.TrafficSplit.choose_target",
             "decisions/traffic_split.TrafficSplit.barred",
-            "gateway/rollout/registry.Registry.follow",
+            "gateway/rollout/registry.Registry.reconcile",
         ),
         inputs="requests of the service, and of each route, that this process saw"
         " answered since the order, and those it sent to the version; the operator's"
