--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -42,7 +42,7 @@
         for service in sorted(services):
             service_balancer = balancer_by_service.get(service)
             if service_balancer is not None:
-                self._follow(service, service_balancer)
+                self._reconcile_service(service, service_balancer)
 
     def end_at(self, service: ids.ServiceName) -> ids.Instant:
         """Return when a service's order must have ended."""
@@ -68,7 +68,7 @@
             return None
         return run if run.raise_phase(note.phase) else None
 
-    def _follow(
+    def _reconcile_service(
         self, service: ids.ServiceName, service_balancer: balancer.Balancer
     ) -> None:
         order = self.orders.order_by_service.get(service)
