--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -75,7 +75,7 @@
         if order is None:
             self._end_run(service, service_balancer.pool)
         else:
-            self._keep_run(order, service_balancer.pool)
+            self._ensure_run(order, service_balancer.pool)
         run = self.run_by_service.get(service)
         if run is None or run.final is sources.RolloutState.COMPLETED:
             service_balancer.split = None
@@ -83,7 +83,9 @@
             run.look_at(service_balancer.pool)
             service_balancer.split = run.split
 
-    def _keep_run(self, order: sources.RolloutOrder, pool: upstream_pool.Pool) -> None:
+    def _ensure_run(
+        self, order: sources.RolloutOrder, pool: upstream_pool.Pool
+    ) -> None:
         """Begin the run of an order if there is none; take in its status."""
         known = self.run_by_service.get(order.service)
         status = self.orders.status_of(order)
