--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -97,7 +97,7 @@
             if not is_final:
                 self._report_begin(known)
         elif is_final and known.final is None:
-            self._leave_replaced(known, status, pool)
+            self._retire_replaced(known, status, pool)
         # A rewritten order has another revision and era, but its run keeps its counts.
         known.order = order
         if status is not None and known.finish(status.state):
@@ -137,7 +137,7 @@
             held=",".join(sorted(run.split.held)),
         )
 
-    def _leave_replaced(
+    def _retire_replaced(
         self,
         known: runs.Run,
         status: sources.RolloutStatus | None,
