--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -108,19 +108,24 @@
                 state=status.state.value,
             )
 
-    def _begin(self, order: sources.RolloutOrder, before: runs.Run | None) -> runs.Run:
-        held = self._held_for(order, before)
+    def _begin(
+        self, order: sources.RolloutOrder, previous: runs.Run | None
+    ) -> runs.Run:
+        held = self._held_for(order, previous)
         run = runs.Run(order, self.share, held, self.metrics)
         self.run_by_service[order.service] = run
         return run
 
     def _held_for(
-        self, order: sources.RolloutOrder, before: runs.Run | None
+        self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> frozenset[ids.SoftwareVersion]:
         """Return the versions that earlier orders tried and did not complete."""
         held: set[ids.SoftwareVersion] = set()
-        if before is not None and before.final is not sources.RolloutState.COMPLETED:
-            held |= {before.order.target, *before.split.held}
+        if (
+            previous is not None
+            and previous.final is not sources.RolloutState.COMPLETED
+        ):
+            held |= {previous.order.target, *previous.split.held}
         status = self.orders.status_by_service.get(order.service)
         if status is not None and _is_open(status):
             held.add(status.target)
