--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -111,12 +111,12 @@
     def _begin(
         self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> runs.Run:
-        held = self._held_for(order, previous)
+        held = self._excluded_versions(order, previous)
         run = runs.Run(order, self.share, held, self.metrics)
         self.run_by_service[order.service] = run
         return run
 
-    def _held_for(
+    def _excluded_versions(
         self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> frozenset[ids.SoftwareVersion]:
         """Return the versions that earlier orders tried and did not complete."""
