--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -161,7 +161,7 @@
         """Spare the target of an order that has gone while it has upstreams."""
         known = self.run_by_service.get(service)
         if known is None:
-            known = self._begin_spared(service)
+            known = self._begin_without_order(service)
         if known is None:
             return
         target = known.order.target
@@ -171,7 +171,7 @@
         elif known.finish(sources.RolloutState.ROLLED_BACK):
             events.emit(events.Event.ROLLOUT_WITHDRAWN, service=service, target=target)
 
-    def _begin_spared(self, service: ids.ServiceName) -> runs.Run | None:
+    def _begin_without_order(self, service: ids.ServiceName) -> runs.Run | None:
         """Return the run that spares a version whose status is not completed."""
         status = self.orders.status_by_service.get(service)
         if status is None or not _is_open(status):
