--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -127,7 +127,7 @@
         ):
             held |= {previous.order.target, *previous.split.held}
         status = self.orders.status_by_service.get(order.service)
-        if status is not None and _is_open(status):
+        if status is not None and _is_incomplete(status):
             held.add(status.target)
         return frozenset(held - {order.target})
 
@@ -174,13 +174,13 @@
     def _begin_without_order(self, service: ids.ServiceName) -> runs.Run | None:
         """Return the run that spares a version whose status is not completed."""
         status = self.orders.status_by_service.get(service)
-        if status is None or not _is_open(status):
+        if status is None or not _is_incomplete(status):
             return None
         order = sources.RolloutOrder(service, status.target, 0.0, NO_REVISION)
         return self._begin(order, None)
 
 
-def _is_open(status: sources.RolloutStatus) -> bool:
+def _is_incomplete(status: sources.RolloutStatus) -> bool:
     """Tell whether a version was tried and did not take over."""
     is_completed = status.state is sources.RolloutState.COMPLETED
     return status.target != sources.NO_TARGET and not is_completed
