--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -165,8 +165,8 @@
         if known is None:
             return
         target = known.order.target
-        is_left = any(u.spec.version == target for u in pool.usable_order)
-        if known.final is sources.RolloutState.COMPLETED or not is_left:
+        has_target = any(u.spec.version == target for u in pool.usable_order)
+        if known.final is sources.RolloutState.COMPLETED or not has_target:
             self.run_by_service.pop(service, None)
         elif known.finish(sources.RolloutState.ROLLED_BACK):
             events.emit(events.Event.ROLLOUT_WITHDRAWN, service=service, target=target)
