--- a/spindlenotch/gateway/rollout/dump.py
+++ b/spindlenotch/gateway/rollout/dump.py
@@ -55,38 +55,38 @@
 ) -> dict[ids.ServiceName, RolloutDump]:
     """Return what this gateway knows of each order."""
     return {
-        service: _rollout(gateway_state, gateway_fleet, one)
-        for service, one in gateway_state.rollouts.run_by_service.items()
+        service: _rollout(gateway_state, gateway_fleet, run)
+        for service, run in gateway_state.rollouts.run_by_service.items()
     }
 
 
 def _rollout(
-    gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet, one: runs.Run
+    gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet, run: runs.Run
 ) -> RolloutDump:
-    service = one.order.service
-    status = gateway_state.rollouts.status_of(one)
+    service = run.order.service
+    status = gateway_state.rollouts.status_of(run)
     candidates = deciding.candidates(service, gateway_fleet.view())
     end_at = gateway_state.rollouts.end_at(service)
     left_s = None
     if end_at != ids.NEVER:
         left_s = round(end_at - gateway_state.clock.now(), DIGITS)
     return RolloutDump(
-        target=one.order.target,
-        phase=one.phase.name.lower(),
+        target=run.order.target,
+        phase=run.phase.name.lower(),
         status=NO_STATUS if status is None else status.state.value,
-        reason=one.reason,
+        reason=run.reason,
         ends_in_s=left_s,
         decider=candidates[0] if candidates else ids.HostId(""),
-        allowed=round(one.split.allowed(), DIGITS),
-        sent=one.split.sent,
-        answered=one.split.answered,
-        fleet_sent=one.merged.sent(),
-        fleet_answered=one.merged.answered(),
-        tests=_tests(one),
+        allowed=round(run.split.allowed(), DIGITS),
+        sent=run.split.sent,
+        answered=run.split.answered,
+        fleet_sent=run.merged.sent(),
+        fleet_answered=run.merged.answered(),
+        tests=_tests(run),
     )
 
 
-def _tests(one: runs.Run) -> list[TestDump]:
+def _tests(run: runs.Run) -> list[TestDump]:
     return [
         TestDump(
             symptom=symptom.value,
@@ -96,5 +96,5 @@
             calls=test.calls,
             bad=test.bad,
         )
-        for (symptom, route), test in one.analysis.test_by_key.items()
+        for (symptom, route), test in run.analysis.test_by_key.items()
     ]
