--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -80,7 +80,7 @@
         if run is None or run.final is sources.RolloutState.COMPLETED:
             service_balancer.split = None
         else:
-            run.look_at(service_balancer.pool)
+            run.update_upstreams(service_balancer.pool)
             service_balancer.split = run.split
 
     def _ensure_run(
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -78,7 +78,7 @@
         self._set_access()
         return True
 
-    def look_at(self, pool: upstream_pool.Pool) -> None:
+    def update_upstreams(self, pool: upstream_pool.Pool) -> None:
         """Note which upstreams there are."""
         self.had_others |= any(self.is_other(u) for u in pool.usable_order)
         versions = [u.spec.version for u in pool.usable_order]
