--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -96,7 +96,7 @@
     def _update_run(self, one: runs.Run, now: ids.Instant) -> None:
         pool = self.state.balancer_by_service[one.order.service].pool
         local = self.state.gossip.local
-        one.compare(pool)
+        one.update_relative_slowdown(pool)
         record = one.record(pool, self._left_s(one, now))
         one.take(evidence_merging.Source(local.host, local.incarnation), record, now)
         candidates = deciding.candidates(one.order.service, self.fleet.view())
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -156,7 +156,7 @@
         order = self.order
         return rollout_notes.PhaseNote(order.service, order.revision, self.phase)
 
-    def compare(self, pool: upstream_pool.Pool) -> None:
+    def update_relative_slowdown(self, pool: upstream_pool.Pool) -> None:
         """Learn from the upstreams' reports how slow the target itself is."""
         usable = pool.usable_order
         target = [u for u in usable if u.spec.version == self.order.target]
