--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -65,7 +65,7 @@
         now = self.state.clock.now()
         all_runs = self._runs()
         for one in all_runs:
-            one.measure()
+            one.update_metrics()
             if one.final is None:
                 self._update_run(one, now)
             elif self.state.rollouts.lacks_final_status(one):
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -163,7 +163,7 @@
         others = [u for u in usable if self.is_other(u)]
         self._relative_slowdown = evidence.relative_slowdown(target, others)
 
-    def measure(self) -> None:
+    def update_metrics(self) -> None:
         """Bring the metrics up to date."""
         labels = (self.order.service, self.order.target)
         is_completed = self.final is sources.RolloutState.COMPLETED
