--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -126,7 +126,7 @@
         evidence_merging.Source(host, ids.Incarnation(name)) for name in "ab"
     )
     merged = evidence_merging.Merged()
-    merged.take(first, record(1, 0))
+    merged.merge_record(first, record(1, 0))
     assert merged.newest_by_host({host: first.incarnation}) == {host: record(1, 0)}
     assert not merged.newest_by_host({host: second.incarnation})
     assert merged.newest_by_host({}) == {host: record(1, 0)}
@@ -264,7 +264,7 @@
     told = [(source, record(n, 3 * n)) for source in sources_of for n in range(1, 20)]
     total = 0
     for source, one in rng.choices(told, k=300) + told[-1:] + told[18:19]:
-        delta = merged.take(source, one)
+        delta = merged.merge_record(source, one)
         if delta is not None:
             total += sum(counts.failed for counts in delta.counts_by_cell.values())
     assert total == 2 * 3 * 19, total
--- a/spindlenotch/gateway/rollout/evidence_merging.py
+++ b/spindlenotch/gateway/rollout/evidence_merging.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.record_by_source: dict[Source, rollout_notes.EvidenceRecord] = {}
 
-    def take(
+    def merge_record(
         self, source: Source, record: rollout_notes.EvidenceRecord
     ) -> Delta | None:
         """Take in a record; return what is new in it, None where it is not newer."""
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -89,7 +89,9 @@
             return
         sender = message.sender
         now = self.state.clock.now()
-        one.take(evidence_merging.Source(sender.host, sender.incarnation), record, now)
+        one.merge_record(
+            evidence_merging.Source(sender.host, sender.incarnation), record, now
+        )
         self.state.rollouts.orders.told_left(record.service, record.left_s, now)
         self._judge(one)
 
@@ -98,7 +100,9 @@
         local = self.state.gossip.local
         one.update_relative_slowdown(pool)
         record = one.record(pool, self._left_s(one, now))
-        one.take(evidence_merging.Source(local.host, local.incarnation), record, now)
+        one.merge_record(
+            evidence_merging.Source(local.host, local.incarnation), record, now
+        )
         candidates = deciding.candidates(one.order.service, self.fleet.view())
         self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
         self._judge(one)
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -139,14 +139,14 @@
             left_s=left_s,
         )
 
-    def take(
+    def merge_record(
         self,
         source: evidence_merging.Source,
         record: rollout_notes.EvidenceRecord,
         now: ids.Instant,
     ) -> None:
         """Take in a record of this process or of another one."""
-        delta = self.merged.take(source, record)
+        delta = self.merged.merge_record(source, record)
         if delta is not None:
             self.analysis.add(delta, now)
             self.split.passed_over |= self.analysis.bad_upstreams()
