--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -351,7 +351,7 @@
     current.raise_phase(rollout_notes.Phase.ROLLED_BACK)
     known[SERVICE] = current
     gateway.loop.update()
-    assert current.note() in gateway.state.gossip.rollout_phases
+    assert current.phase_note() in gateway.state.gossip.rollout_phases
 
 
 # A version that was slow with 6 of 10 requests was promoted after gateways had started
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -77,8 +77,8 @@
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
         """Take in a peer's phases and what it counted."""
-        for note in message.rollout_phases:
-            one = self.state.rollouts.apply_note(note)
+        for phase_note in message.rollout_phases:
+            one = self.state.rollouts.apply_note(phase_note)
             if one is not None:
                 self._report_phase(one, f"told by {message.sender.host}")
         record = message.evidence
@@ -214,7 +214,9 @@
         later = [
             one for one in all_runs if one.phase is not rollout_notes.Phase.RUNNING
         ]
-        notes = tuple(one.note() for one in later[: rollout_notes.NOTES_PER_MESSAGE])
+        notes = tuple(
+            one.phase_note() for one in later[: rollout_notes.NOTES_PER_MESSAGE]
+        )
         self.state.gossip.rollout_phases = notes
         if self._announce_rounds:
             self._announce_rounds -= 1
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -151,7 +151,7 @@
             self.analysis.add(delta, now)
             self.split.passed_over |= self.analysis.bad_upstreams()
 
-    def note(self) -> rollout_notes.PhaseNote:
+    def phase_note(self) -> rollout_notes.PhaseNote:
         """Return what peers are told of the phase."""
         order = self.order
         return rollout_notes.PhaseNote(order.service, order.revision, self.phase)
