--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -404,8 +404,8 @@
     )
     later = ids.later(NOW, 4.0)
     peer = orders.Orders()
-    assert peer.take_marks(known.marked([one], later), later) == [one]
+    assert peer.apply_marks(known.marked([one], later), later) == [one]
     assert peer.order_by_service == {SERVICE: ORDER}
     assert peer.end_at_by_service[SERVICE] == ids.later(NOW, ORDER.by_s)
-    peer.take_marks([one], later)
+    peer.apply_marks([one], later)
     assert not peer.services()
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -121,7 +121,7 @@
         mark_by_service = {name: self._mark(name, now) for name in self.services()}
         return tuple(_marked(one, mark_by_service.get(one.service)) for one in listed)
 
-    def take_marks(
+    def apply_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> list[sources.ListedUpstream]:
         """
