--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -135,7 +135,7 @@
             mark_by_service[one.service] = one.rollout
             plain.append(_marked(one, None))
         for service, mark in mark_by_service.items():
-            self._take_mark(service, mark or sources.RolloutMark(), now)
+            self._apply_mark(service, mark or sources.RolloutMark(), now)
         return plain
 
     def _mark(self, service: ids.ServiceName, now: ids.Instant) -> sources.RolloutMark:
@@ -146,7 +146,7 @@
             status=self.status_by_service.get(service),
         )
 
-    def _take_mark(
+    def _apply_mark(
         self, service: ids.ServiceName, mark: sources.RolloutMark, now: ids.Instant
     ) -> None:
         before = self.order_by_service.get(service)
