--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -92,7 +92,7 @@
         one.merge_record(
             evidence_merging.Source(sender.host, sender.incarnation), record, now
         )
-        self.state.rollouts.orders.told_left(record.service, record.left_s, now)
+        self.state.rollouts.orders.limit_remaining(record.service, record.left_s, now)
         self._judge(one)
 
     def _update_run(self, one: runs.Run, now: ids.Instant) -> None:
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -95,7 +95,7 @@
         if known is None or known.revision < status.revision:
             self._set_status(status.service, status)
 
-    def told_left(
+    def limit_remaining(
         self, service: ids.ServiceName, left_s: float, now: ids.Instant
     ) -> None:
         """Take in a peer's word on how long an order may run; the shortest counts."""
@@ -152,7 +152,7 @@
         before = self.order_by_service.get(service)
         self._set_order(service, mark.order, now)
         if mark.order is not None:
-            self.told_left(service, mark.left_s, now)
+            self.limit_remaining(service, mark.left_s, now)
         # What this gateway has written itself may be newer than the peer's list.
         known = self.status_of(before)
         is_same = before is not None and before == mark.order
