--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -156,8 +156,8 @@
         # What this gateway has written itself may be newer than the peer's list.
         known = self.status_of(before)
         is_same = before is not None and before == mark.order
-        told = 0 if mark.status is None else mark.status.revision
-        if known is None or not is_same or told > known.revision:
+        received_revision = 0 if mark.status is None else mark.status.revision
+        if known is None or not is_same or received_revision > known.revision:
             self._set_status(service, mark.status)
 
     def _set_order(
