--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -337,8 +337,8 @@
     known = reading.state.rollouts.orders
     listed = reading.state.listing.listed(reading.clock.now())
     mark = sources.RolloutMark(newer, newer.by_s, status)
-    marked = [msgspec.structs.replace(one, rollout=mark) for one in listed]
-    reading.state.apply_listing(marked, 50)
+    with_marks = [msgspec.structs.replace(one, rollout=mark) for one in listed]
+    reading.state.apply_listing(with_marks, 50)
     by_id = {one.id: one for one in listed}
     gone = {newer.service: None}
     for older in (
@@ -404,7 +404,7 @@
     )
     later = ids.later(NOW, 4.0)
     peer = orders.Orders()
-    assert peer.apply_marks(known.marked([one], later), later) == [one]
+    assert peer.apply_marks(known.with_marks([one], later), later) == [one]
     assert peer.order_by_service == {SERVICE: ORDER}
     assert peer.end_at_by_service[SERVICE] == ids.later(NOW, ORDER.by_s)
     peer.apply_marks([one], later)
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -114,7 +114,7 @@
             return None
         return status if status.revision > order.revision else None
 
-    def marked(
+    def with_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> tuple[sources.ListedUpstream, ...]:
         """Return a list for peers, with what is known on each upstream it is about."""
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -261,7 +261,7 @@
     def listed_for_peers(self) -> tuple[sources.ListedUpstream, ...]:
         """Return the list of upstreams, with orders, as peers are to know it."""
         now = self.clock.now()
-        return self.rollouts.orders.marked(self.listing.listed(now), now)
+        return self.rollouts.orders.with_marks(self.listing.listed(now), now)
 
     def rollout_status_written(self, status: sources.RolloutStatus) -> None:
         """Take in a status that this gateway has written into the source."""
