--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -119,7 +119,9 @@
     ) -> tuple[sources.ListedUpstream, ...]:
         """Return a list for peers, with what is known on each upstream it is about."""
         mark_by_service = {name: self._mark(name, now) for name in self.services()}
-        return tuple(_marked(one, mark_by_service.get(one.service)) for one in listed)
+        return tuple(
+            _with_mark(one, mark_by_service.get(one.service)) for one in listed
+        )
 
     def apply_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
@@ -133,7 +135,7 @@
         mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
         for one in listed:
             mark_by_service[one.service] = one.rollout
-            plain.append(_marked(one, None))
+            plain.append(_with_mark(one, None))
         for service, mark in mark_by_service.items():
             self._apply_mark(service, mark or sources.RolloutMark(), now)
         return plain
@@ -225,7 +227,7 @@
     return {name for name, one in known_by_service.items() if one.revision > revision}
 
 
-def _marked(
+def _with_mark(
     one: sources.ListedUpstream, mark: sources.RolloutMark | None
 ) -> sources.ListedUpstream:
     if one.rollout == mark:
