--- a/features/steps/gateway_reborn.py
+++ b/features/steps/gateway_reborn.py
@@ -137,7 +137,7 @@
     # A whole reading that a peer's list overtook.
     by_id = {one.id: one for one in older}
     late = sources.Snapshot(read_at + 1, None, by_id)
-    playing.state.apply_snapshot(late, is_overtaken=True)
+    playing.state.apply_snapshot(late, is_stale=True)
     assert playing.upstream is second
     # An older list of a peer.
     kind = documents.DocumentKind.HOSTS
--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -343,7 +343,7 @@
     gone = {newer.service: None}
     for older in (
         lambda: reading.state.apply_snapshot(
-            sources.Snapshot(30, None, by_id), is_overtaken=True
+            sources.Snapshot(30, None, by_id), is_stale=True
         ),
         lambda: reading.state.apply_changes(
             sources.Changes(35, order_by_service=gone, status_by_service=gone)
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -37,17 +37,17 @@
         snapshot: sources.Snapshot,
         now: ids.Instant,
         *,
-        is_overtaken: bool = False,
+        is_stale: bool = False,
     ) -> None:
         """
         Put what the source holds in place of what is known.
 
-        Where it ``is_overtaken``, a peer's newer list came while it was read, and what
+        Where it ``is_stale``, a peer's newer list came while it was read, and what
         is known of changes since then stays.
         """
         orders = self.order_by_service
         newer = self._orders_after(snapshot.revision, snapshot.era)
-        newer = newer if is_overtaken else set()
+        newer = newer if is_stale else set()
         found = {n: o for n, o in snapshot.order_by_service.items() if n not in newer}
         for service in orders.keys() - found.keys() - newer:
             if _is_later_era(snapshot.era, orders[service].era):
@@ -59,7 +59,7 @@
         for service, order in found.items():
             self._set_order(service, _with_era(order, snapshot.era), now)
         known = self.status_by_service
-        newer = _newer_than(snapshot.revision, known) if is_overtaken else set()
+        newer = _newer_than(snapshot.revision, known) if is_stale else set()
         self.status_by_service = {
             **snapshot.status_by_service,
             **{service: known[service] for service in newer},
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -127,11 +127,11 @@
         self.revision = snapshot.revision
         self.era = snapshot.era
         # Only where a peer's list came meanwhile: a source that was set back counts.
-        is_overtaken = (
+        is_stale = (
             listing.era,
             listing.revision,
         ) != before and listing.is_newer_than(snapshot.revision, snapshot.era)
-        self.state.apply_snapshot(snapshot, is_overtaken=is_overtaken)
+        self.state.apply_snapshot(snapshot, is_stale=is_stale)
         self.publisher.publish(snapshot.revision, snapshot.era)
         return None
 
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -172,12 +172,12 @@
         self._end_listeners.append(listener)
 
     def apply_snapshot(
-        self, snapshot: sources.Snapshot, *, is_overtaken: bool = False
+        self, snapshot: sources.Snapshot, *, is_stale: bool = False
     ) -> None:
         """
         Put everything that the source holds in force.
 
-        Where it ``is_overtaken``, a peer's newer list came while it was read, and its
+        Where it ``is_stale``, a peer's newer list came while it was read, and its
         upstreams stay: an older list would bring back those that have ended.
         """
         self._source_events.report_bad(snapshot.bad, self.clock.now())
@@ -188,10 +188,10 @@
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
         now = self.clock.now()
-        self.rollouts.orders.replace(snapshot, now, is_overtaken=is_overtaken)
+        self.rollouts.orders.replace(snapshot, now, is_stale=is_stale)
         self.quarantines.replace(snapshot)
         before = self.listing.evacuated_zones
-        if is_overtaken:
+        if is_stale:
             # What of it was taken back since then comes as a change.
             self.listing.evacuate(before | snapshot.evacuated_zones, now)
         else:
