--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -131,14 +131,14 @@
 
         Of a service without upstreams the list says nothing, and what is known stays.
         """
-        plain = []
+        unmarked = []
         mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
         for one in listed:
             mark_by_service[one.service] = one.rollout
-            plain.append(_with_mark(one, None))
+            unmarked.append(_with_mark(one, None))
         for service, mark in mark_by_service.items():
             self._apply_mark(service, mark or sources.RolloutMark(), now)
-        return plain
+        return unmarked
 
     def _mark(self, service: ids.ServiceName, now: ids.Instant) -> sources.RolloutMark:
         end_at = self.end_at_by_service.get(service, now)
