--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -120,7 +120,7 @@
         """Return a list for peers, with what is known on each upstream it is about."""
         mark_by_service = {name: self._mark(name, now) for name in self.services()}
         return tuple(
-            _with_mark(one, mark_by_service.get(one.service)) for one in listed
+            _with_mark(entry, mark_by_service.get(entry.service)) for entry in listed
         )
 
     def apply_marks(
@@ -133,9 +133,9 @@
         """
         unmarked = []
         mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
-        for one in listed:
-            mark_by_service[one.service] = one.rollout
-            unmarked.append(_with_mark(one, None))
+        for entry in listed:
+            mark_by_service[entry.service] = entry.rollout
+            unmarked.append(_with_mark(entry, None))
         for service, mark in mark_by_service.items():
             self._apply_mark(service, mark or sources.RolloutMark(), now)
         return unmarked
@@ -224,12 +224,14 @@
     ],
 ) -> set[ids.ServiceName]:
     """Return the services whose order or status was written after a revision."""
-    return {name for name, one in known_by_service.items() if one.revision > revision}
+    return {
+        name for name, entry in known_by_service.items() if entry.revision > revision
+    }
 
 
 def _with_mark(
-    one: sources.ListedUpstream, mark: sources.RolloutMark | None
+    entry: sources.ListedUpstream, mark: sources.RolloutMark | None
 ) -> sources.ListedUpstream:
-    if one.rollout == mark:
-        return one
-    return msgspec.structs.replace(one, rollout=mark)
+    if entry.rollout == mark:
+        return entry
+    return msgspec.structs.replace(entry, rollout=mark)
