--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -59,7 +59,7 @@
         for service, order in found.items():
             self._set_order(service, _with_era(order, snapshot.era), now)
         known = self.status_by_service
-        newer = _newer_than(snapshot.revision, known) if is_stale else set()
+        newer = _written_after(snapshot.revision, known) if is_stale else set()
         self.status_by_service = {
             **snapshot.status_by_service,
             **{service: known[service] for service in newer},
@@ -76,7 +76,7 @@
             if service not in newer:
                 changed = None if order is None else _with_era(order, changes.era)
                 self._set_order(service, changed, now)
-        newer = _newer_than(changes.revision, self.status_by_service)
+        newer = _written_after(changes.revision, self.status_by_service)
         for service, status in changes.status_by_service.items():
             if service not in newer:
                 self._set_status(service, status)
@@ -182,7 +182,7 @@
         """Return the services whose order was written after a source position."""
         return {
             service
-            for service in _newer_than(revision, self.order_by_service)
+            for service in _written_after(revision, self.order_by_service)
             if not _is_later_era(era, self.order_by_service[service].era)
         }
 
@@ -217,7 +217,7 @@
     return msgspec.structs.replace(order, era=era)
 
 
-def _newer_than(
+def _written_after(
     revision: int,
     known_by_service: abc.Mapping[
         ids.ServiceName, sources.RolloutOrder | sources.RolloutStatus
