--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -125,7 +125,7 @@
     first, second = (
         evidence_merging.Source(host, ids.Incarnation(name)) for name in "ab"
     )
-    merged = evidence_merging.Merged()
+    merged = evidence_merging.MergedEvidence()
     merged.merge_record(first, record(1, 0))
     assert merged.newest_by_host({host: first.incarnation}) == {host: record(1, 0)}
     assert not merged.newest_by_host({host: second.incarnation})
@@ -257,7 +257,7 @@
 @kernel.PROPERTIES.register("no evidence counts twice, however often it is told")
 def counted_once() -> None:
     rng = random.Random(1)
-    merged = evidence_merging.Merged()
+    merged = evidence_merging.MergedEvidence()
     sources_of = [
         evidence_merging.Source(ids.HostId("h"), ids.Incarnation(name)) for name in "ab"
     ]
--- a/spindlenotch/gateway/rollout/evidence_merging.py
+++ b/spindlenotch/gateway/rollout/evidence_merging.py
@@ -29,7 +29,7 @@
     counts_by_cell: dict[evidence.Cell, rollout_notes.Counts]
 
 
-class Merged:
+class MergedEvidence:
     """The newest records by process."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -52,7 +52,7 @@
         self.reason = ""
         self.had_others = False
         self.evidence = evidence.Evidence()
-        self.merged = evidence_merging.Merged()
+        self.merged = evidence_merging.MergedEvidence()
         self.analysis = analysis.Analysis()
         self.split = traffic_split.TrafficSplit(
             order.target, SHARE_MARGIN * share, f"{order.revision}", self, held
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -48,7 +48,7 @@
         functions=(
             "gateway/rollout/evidence.count_call",
             "gateway/rollout/baseline_latency.BaselineLatency.seconds",
-            "gateway/rollout/evidence_merging.Merged.merge_record",
+            "gateway/rollout/evidence_merging.MergedEvidence.merge_record",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
             "gateway/rollout/baseline_rates.BaselineRates.rate",
