--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -16,7 +16,7 @@
 #: Bounds of the pause before a write is repeated, in seconds: half a second is far
 #: above a store's usual answer, and some tries fit into an order's last seconds.
 MIN_PAUSE_S = 0.3
-MOST_PAUSE_S = 2.0
+MAX_PAUSE_S = 2.0
 #: Seconds that what was written has to come back from the source before it is written
 #: again, which does nothing but meet a conflict.
 ECHO_S = 3.0
@@ -50,7 +50,7 @@
         self._tasks = tasks
         self._is_writing = False
         self._next_at = ids.Instant(float("-inf"))
-        self._pauses = backoff.Backoff(gateway_state.rng, MIN_PAUSE_S, MOST_PAUSE_S)
+        self._pauses = backoff.Backoff(gateway_state.rng, MIN_PAUSE_S, MAX_PAUSE_S)
 
     @property
     def unsettled(self) -> sources.RolloutState | None:
