--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -19,7 +19,7 @@
 MAX_PAUSE_S = 2.0
 #: Seconds that what was written has to come back from the source before it is written
 #: again, which does nothing but meet a conflict.
-ECHO_S = 3.0
+READ_BACK_S = 3.0
 #: Faults after which a write is known not to have been done: turned away or refused.
 KNOWN_NOT_DONE = (
     sources.SourceFault.OVER_LIMIT,
@@ -100,7 +100,7 @@
             return
         self._open = None
         self._pauses.reset()
-        self._next_at = ids.later(now, ECHO_S)
+        self._next_at = ids.later(now, READ_BACK_S)
         written = sources.RolloutStatus(
             status.service, status.target, status.state, outcome
         )
