--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -21,7 +21,7 @@
 #: again, which does nothing but meet a conflict.
 READ_BACK_S = 3.0
 #: Faults after which a write is known not to have been done: turned away or refused.
-KNOWN_NOT_DONE = (
+NOT_APPLIED_FAULTS = (
     sources.SourceFault.OVER_LIMIT,
     sources.SourceFault.HISTORY_GONE,
     sources.SourceFault.CONFLICT,
@@ -83,7 +83,7 @@
         try:
             self.state.metrics.store_calls.labels("rollout").inc()
             outcome = await self.source.write_rollout_status(self.order, status)
-            if outcome in KNOWN_NOT_DONE:
+            if outcome in NOT_APPLIED_FAULTS:
                 # But an earlier one under the same condition may be.
                 self._open = before
             self._settle(status, outcome)
