--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -32,7 +32,7 @@
     """
     Writes the status of one order.
 
-    Invariant: ``_open`` is a write whose end is not known, None where there is none;
+    Invariant: ``_pending`` is a write whose end is not known, None where there is none;
     it counts until what it was to replace has changed.
     """
 
@@ -46,7 +46,7 @@
         self.state = gateway_state
         self.source = source
         self.order = order
-        self._open: sources.RolloutStatus | None = None
+        self._pending: sources.RolloutStatus | None = None
         self._tasks = tasks
         self._is_writing = False
         self._next_at = ids.Instant(float("-inf"))
@@ -55,22 +55,22 @@
     @property
     def unsettled(self) -> sources.RolloutState | None:
         """Return the state of a write whose end is not known; None: there is none."""
-        if self._open is None or self._open.revision != self._known_revision():
+        if self._pending is None or self._pending.revision != self._known_revision():
             # What it was to replace has changed: it was done, or never will be.
             return None
-        return self._open.state
+        return self._pending.state
 
     def write(self, wanted: sources.RolloutState, now: ids.Instant) -> None:
         """Begin to write a state, unless a write is under way or was just made."""
         if self._is_writing or now < self._next_at:
             return
         self._is_writing = True
-        before = None if self.unsettled is None else self._open
+        before = None if self.unsettled is None else self._pending
         # It replaces what was known when it was decided on, nothing read since.
         status = sources.RolloutStatus(
             self.order.service, self.order.target, wanted, self._known_revision()
         )
-        self._open = status
+        self._pending = status
         self._tasks.spawn(self._write(status, before))
 
     def _known_revision(self) -> int:
@@ -85,7 +85,7 @@
             outcome = await self.source.write_rollout_status(self.order, status)
             if outcome in NOT_APPLIED_FAULTS:
                 # But an earlier one under the same condition may be.
-                self._open = before
+                self._pending = before
             self._settle(status, outcome)
         finally:
             self._is_writing = False
@@ -98,7 +98,7 @@
             self._next_at = ids.later(now, self._pauses.next())
             self._report_fault(status, outcome)
             return
-        self._open = None
+        self._pending = None
         self._pauses.reset()
         self._next_at = ids.later(now, READ_BACK_S)
         written = sources.RolloutStatus(
