--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -159,9 +159,9 @@
             )
         )
         source = typing.cast(sources.Source, WrittenStatuses(*faults))
-        unsettled = asyncio.run(written_again(reading, source, len(faults)))
+        pending_state = asyncio.run(written_again(reading, source, len(faults)))
         expected = State.COMPLETED if fault.UNAVAILABLE in faults else None
-        assert unsettled() is expected, faults
+        assert pending_state() is expected, faults
         known.written(
             sources.RolloutStatus(
                 SERVICE,
@@ -170,7 +170,7 @@
                 22,
             )
         )
-        assert unsettled() is None, faults
+        assert pending_state() is None, faults
 
 
 async def written_again(
@@ -185,7 +185,7 @@
             ids.later(NOW, 10.0 * number),
         )
         await asyncio.sleep(0.01)
-    return lambda: writer.unsettled
+    return lambda: writer.pending_state
 
 
 @kernel.PROPERTIES.register("of two that decide one writes, and neither goes back")
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -51,7 +51,7 @@
     def update(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
         """Promote, complete or roll back, and have the status written."""
         self.writer.order = self.run.order
-        is_settled = self.writer.unsettled is not sources.RolloutState.COMPLETED
+        is_settled = self.writer.pending_state is not sources.RolloutState.COMPLETED
         if self.run.phase is rollout_notes.Phase.RUNNING:
             self._promote(pool, now)
         is_complete = not is_settled or self._is_complete(now)
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -156,7 +156,7 @@
         known = self._decider_by_run.get(one)
         if known is None:
             return False
-        return known.writer.unsettled is sources.RolloutState.COMPLETED
+        return known.writer.pending_state is sources.RolloutState.COMPLETED
 
     def _report_phase(self, one: runs.Run, reason: str) -> None:
         if one.phase is rollout_notes.Phase.ROLLED_BACK:
--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -53,7 +53,7 @@
         self._pauses = backoff.Backoff(gateway_state.rng, MIN_PAUSE_S, MAX_PAUSE_S)
 
     @property
-    def unsettled(self) -> sources.RolloutState | None:
+    def pending_state(self) -> sources.RolloutState | None:
         """Return the state of a write whose end is not known; None: there is none."""
         if self._pending is None or self._pending.revision != self._known_revision():
             # What it was to replace has changed: it was done, or never will be.
@@ -65,7 +65,7 @@
         if self._is_writing or now < self._next_at:
             return
         self._is_writing = True
-        before = None if self.unsettled is None else self._pending
+        before = None if self.pending_state is None else self._pending
         # It replaces what was known when it was decided on, nothing read since.
         status = sources.RolloutStatus(
             self.order.service, self.order.target, wanted, self._known_revision()
