--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -65,27 +65,27 @@
         if self._is_writing or now < self._next_at:
             return
         self._is_writing = True
-        before = None if self.pending_state is None else self._pending
+        earlier = None if self.pending_state is None else self._pending
         # It replaces what was known when it was decided on, nothing read since.
         status = sources.RolloutStatus(
             self.order.service, self.order.target, wanted, self._known_revision()
         )
         self._pending = status
-        self._tasks.spawn(self._write(status, before))
+        self._tasks.spawn(self._write(status, earlier))
 
     def _known_revision(self) -> int:
         known = self.state.rollouts.orders.status_by_service.get(self.order.service)
         return 0 if known is None else known.revision
 
     async def _write(
-        self, status: sources.RolloutStatus, before: sources.RolloutStatus | None
+        self, status: sources.RolloutStatus, earlier: sources.RolloutStatus | None
     ) -> None:
         try:
             self.state.metrics.store_calls.labels("rollout").inc()
             outcome = await self.source.write_rollout_status(self.order, status)
             if outcome in NOT_APPLIED_FAULTS:
                 # But an earlier one under the same condition may be.
-                self._pending = before
+                self._pending = earlier
             self._settle(status, outcome)
         finally:
             self._is_writing = False
