--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -86,11 +86,11 @@
             if outcome in NOT_APPLIED_FAULTS:
                 # But an earlier one under the same condition may be.
                 self._pending = earlier
-            self._settle(status, outcome)
+            self._handle_outcome(status, outcome)
         finally:
             self._is_writing = False
 
-    def _settle(
+    def _handle_outcome(
         self, status: sources.RolloutStatus, outcome: int | sources.SourceFault
     ) -> None:
         now = self.state.clock.now()
