--- a/spindlenotch/gateway/quarantine/writer.py
+++ b/spindlenotch/gateway/quarantine/writer.py
@@ -43,9 +43,9 @@
         """Write what is missing until cancelled."""
         while True:
             await self.state.wakeups.sleep(LOOK_PERIOD_S)
-            await self.look()
+            await self.check()
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Write the records that are missing, if it is time."""
         now = self.state.clock.now()
         missing = self.state.quarantines.unstored()
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -22,7 +22,7 @@
             "decisions/silence.seems_ended",
             "forwarding/recent_answers.RecentAnswers.holds",
             "forwarding/trials.Trials.admit",
-            "gateway/quarantine/writer.QuarantineWriter.look",
+            "gateway/quarantine/writer.QuarantineWriter.check",
         ),
         inputs="upstreams that ended under a request (method, host, target, body, and"
         " its caller), what was known of it when each try was sent, whether it was"
