--- a/spindlenotch/gateway/quarantine/writer.py
+++ b/spindlenotch/gateway/quarantine/writer.py
@@ -13,7 +13,7 @@
 from spindlenotch.gateway.source import sources
 
 #: Seconds between two looks at what is to be written.
-LOOK_PERIOD_S = 0.4
+CHECK_PERIOD_S = 0.4
 #: Most seconds that a reader waits, so that another's record may come: a change is read
 #: about 0.1 s after it was written.
 MOST_WAIT_S = 1.2
@@ -42,7 +42,7 @@
     async def run(self) -> None:
         """Write what is missing until cancelled."""
         while True:
-            await self.state.wakeups.sleep(LOOK_PERIOD_S)
+            await self.state.wakeups.sleep(CHECK_PERIOD_S)
             await self.check()
 
     async def check(self) -> None:
