--- a/spindlenotch/gateway/quarantine/writer.py
+++ b/spindlenotch/gateway/quarantine/writer.py
@@ -16,7 +16,7 @@
 CHECK_PERIOD_S = 0.4
 #: Most seconds that a reader waits, so that another's record may come: a change is read
 #: about 0.1 s after it was written.
-MOST_WAIT_S = 1.2
+MAX_WAIT_S = 1.2
 #: Seconds between two writes that fail.
 RETRY_S = 2.0
 
@@ -53,7 +53,7 @@
             self._write_at = ids.NEVER
             return
         if self._write_at == ids.NEVER:
-            wait_s = self.state.rng.uniform(0.0, MOST_WAIT_S)
+            wait_s = self.state.rng.uniform(0.0, MAX_WAIT_S)
             self._write_at = ids.later(now, wait_s)
         if now >= self._write_at:
             for quarantine in missing:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -46,7 +46,7 @@
             "forwarding/trials.TRIAL_S",
             "forwarding/trials.MOST_RETRY_AFTER_S",
             "gateway/quarantine/sharing.RECENT_S",
-            "gateway/quarantine/writer.MOST_WAIT_S",
+            "gateway/quarantine/writer.MAX_WAIT_S",
         ),
         events=(
             "UPSTREAM_ENDED_UNDER_REQUEST",
