--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -23,14 +23,14 @@
     def replace(self, snapshot: sources.Snapshot) -> None:
         """Take in all that the source holds."""
         self.stored_by_fingerprint.clear()
-        self._take(snapshot.quarantines)
+        self._apply(snapshot.quarantines)
 
     def change(self, changes: sources.Changes) -> None:
         """Take in what has changed in the source; operators release by deleting."""
         for fingerprint in changes.released:
             self.stored_by_fingerprint.pop(fingerprint, None)
             self.known.clear(fingerprint, self.clock.now())
-        self._take(changes.quarantines)
+        self._apply(changes.quarantines)
 
     def unstored(self) -> list[sources.StoredQuarantine]:
         """Return what the source does not hold yet: quarantines, and their ends."""
@@ -47,7 +47,7 @@
             and quarantine.standing_of(note) is not quarantine.Standing.QUARANTINED
         ]
 
-    def _take(self, found: abc.Iterable[sources.StoredQuarantine]) -> None:
+    def _apply(self, found: abc.Iterable[sources.StoredQuarantine]) -> None:
         now = self.clock.now()
         for stored in found:
             self.stored_by_fingerprint[stored.note.fingerprint] = stored
