--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -47,9 +47,11 @@
             and quarantine.standing_of(note) is not quarantine.Standing.QUARANTINED
         ]
 
-    def _apply(self, found: abc.Iterable[sources.StoredQuarantine]) -> None:
+    def _apply(
+        self, stored_quarantines: abc.Iterable[sources.StoredQuarantine]
+    ) -> None:
         now = self.clock.now()
-        for stored in found:
+        for stored in stored_quarantines:
             self.stored_by_fingerprint[stored.note.fingerprint] = stored
             left_s = stored.until_unix_s - self.clock.unix_s()
             if not stored.note.depth:
