--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -41,7 +41,7 @@
         self.fleet = gateway_fleet
         self.link = link
         self.watch = watch
-        self._news: dict[ids.Fingerprint, crash_notes.CrashNote] = {}
+        self._unsent_notes: dict[ids.Fingerprint, crash_notes.CrashNote] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
@@ -113,15 +113,15 @@
 
     def _add_news(self, note: crash_notes.CrashNote) -> None:
         """Send a note that this gateway has made, with those of the same moment."""
-        if not self._news:
+        if not self._unsent_notes:
             asyncio.get_running_loop().call_soon(self._send_news)
-        self._news[note.fingerprint] = note
+        self._unsent_notes[note.fingerprint] = note
         until = ids.later(self.state.clock.now(), RECENT_S)
         self._recent_until[note.fingerprint] = until
 
     def _send_news(self) -> None:
-        notes = tuple(self._news.values())
-        self._news.clear()
+        notes = tuple(self._unsent_notes.values())
+        self._unsent_notes.clear()
         self._send(notes, self._active())
 
     def _in_turn(self) -> tuple[crash_notes.CrashNote, ...]:
