--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -114,12 +114,12 @@
     def _add_news(self, note: crash_notes.CrashNote) -> None:
         """Send a note that this gateway has made, with those of the same moment."""
         if not self._unsent_notes:
-            asyncio.get_running_loop().call_soon(self._send_news)
+            asyncio.get_running_loop().call_soon(self._send_unsent_notes)
         self._unsent_notes[note.fingerprint] = note
         until = ids.later(self.state.clock.now(), RECENT_S)
         self._recent_until[note.fingerprint] = until
 
-    def _send_news(self) -> None:
+    def _send_unsent_notes(self) -> None:
         notes = tuple(self._unsent_notes.values())
         self._unsent_notes.clear()
         self._send(notes, self._active())
