--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -46,7 +46,7 @@
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
         self._turn = 0
-        watch.add_listener(self._add_news)
+        watch.add_listener(self._add_note)
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -111,7 +111,7 @@
 
     # Telling
 
-    def _add_news(self, note: crash_notes.CrashNote) -> None:
+    def _add_note(self, note: crash_notes.CrashNote) -> None:
         """Send a note that this gateway has made, with those of the same moment."""
         if not self._unsent_notes:
             asyncio.get_running_loop().call_soon(self._send_unsent_notes)
