--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -67,7 +67,7 @@
         self._take_changes(now)
         for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
             del self._recent_until[fingerprint]
-        self.state.gossip.crashes = self._in_turn()
+        self.state.gossip.crashes = self._notes_to_gossip()
         if self._announce_rounds:
             self._announce_rounds -= 1
             self._send(self.state.gossip.crashes, list(self._everyone()))
@@ -124,7 +124,7 @@
         self._unsent_notes.clear()
         self._send(notes, self._active())
 
-    def _in_turn(self) -> tuple[crash_notes.CrashNote, ...]:
+    def _notes_to_gossip(self) -> tuple[crash_notes.CrashNote, ...]:
         """Return the notes that changed lately, and one quarantined request in turn."""
         most = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-most:]
