--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -70,7 +70,7 @@
         self.state.gossip.crashes = self._notes_to_gossip()
         if self._announce_rounds:
             self._announce_rounds -= 1
-            self._send(self.state.gossip.crashes, list(self._everyone()))
+            self._send(self.state.gossip.crashes, list(self._all_addresses()))
 
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
@@ -145,7 +145,7 @@
         ]
         return near + self._far()
 
-    def _everyone(self) -> list[ids.Address]:
+    def _all_addresses(self) -> list[ids.Address]:
         known = self.state.gossip.known_by_host.values()
         return [peer.record.peer_address for peer in known] + self._far()
 
