--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -122,7 +122,7 @@
     def _send_unsent_notes(self) -> None:
         notes = tuple(self._unsent_notes.values())
         self._unsent_notes.clear()
-        self._send(notes, self._active())
+        self._send(notes, self._active_addresses())
 
     def _notes_to_gossip(self) -> tuple[crash_notes.CrashNote, ...]:
         """Return the notes that changed lately, and one quarantined request in turn."""
@@ -135,7 +135,7 @@
             notes[held[self._turn].fingerprint] = held[self._turn]
         return tuple(notes.values())
 
-    def _active(self) -> list[ids.Address]:
+    def _active_addresses(self) -> list[ids.Address]:
         """Return the gateways that get callers, as far as they are known."""
         known = self.state.gossip.known_by_host
         near = [
