--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -143,13 +143,15 @@
             for host in self.fleet.active_zones()
             if host in known
         ]
-        return near + self._far()
+        return near + self._other_region_addresses()
 
     def _all_addresses(self) -> list[ids.Address]:
         known = self.state.gossip.known_by_host.values()
-        return [peer.record.peer_address for peer in known] + self._far()
+        return [
+            peer.record.peer_address for peer in known
+        ] + self._other_region_addresses()
 
-    def _far(self) -> list[ids.Address]:
+    def _other_region_addresses(self) -> list[ids.Address]:
         """Return the active gateways of other regions that their summaries name."""
         links = self.state.links
         if links is None:
