--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -45,7 +45,7 @@
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
-        self._turn = 0
+        self._next_index = 0
         watch.add_listener(self._add_note)
 
     @property
@@ -131,8 +131,8 @@
         notes = {one: self.known.note(one) for one in newest}
         held = list(self.known.quarantined())
         if held:
-            self._turn = (self._turn + 1) % len(held)
-            notes[held[self._turn].fingerprint] = held[self._turn]
+            self._next_index = (self._next_index + 1) % len(held)
+            notes[held[self._next_index].fingerprint] = held[self._next_index]
         return tuple(notes.values())
 
     def _active_addresses(self) -> list[ids.Address]:
