--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -43,7 +43,7 @@
         self.watch = watch
         self._unsent_notes: dict[ids.Fingerprint, crash_notes.CrashNote] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
-        self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
+        self._sender_by_fingerprint: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
         self._next_index = 0
         watch.add_listener(self._add_note)
@@ -79,13 +79,13 @@
         now = self.state.clock.now()
         for note in message.crashes:
             if self.known.merge(note, now):
-                self._told_by_host[note.fingerprint] = message.sender.host
+                self._sender_by_fingerprint[note.fingerprint] = message.sender.host
                 self._recent_until[note.fingerprint] = ids.later(now, RECENT_S)
 
     def _take_changes(self, now: ids.Instant) -> None:
         for change in self.known.changes:
             fingerprint = change.note.fingerprint
-            told_by = self._told_by_host.pop(fingerprint, None)
+            told_by = self._sender_by_fingerprint.pop(fingerprint, None)
             self._report(change, "" if told_by is None else told_by)
             self._recent_until[fingerprint] = ids.later(now, RECENT_S)
             if told_by is None:
@@ -93,7 +93,7 @@
                 # messages by the square of the fleet.
                 self._announce_rounds = ANNOUNCE_ROUNDS
         self.known.changes.clear()
-        self._told_by_host.clear()
+        self._sender_by_fingerprint.clear()
         count = sum(1 for _ in self.known.quarantined())
         self.state.metrics.quarantined_requests.set(count)
 
