--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -126,8 +126,8 @@
 
     def _notes_to_gossip(self) -> tuple[crash_notes.CrashNote, ...]:
         """Return the notes that changed lately, and one quarantined request in turn."""
-        most = messages.CRASH_NOTES_PER_MESSAGE - 1
-        newest = list(self._recent_until)[-most:]
+        max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
+        newest = list(self._recent_until)[-max_notes:]
         notes = {one: self.known.note(one) for one in newest}
         held = list(self.known.quarantined())
         if held:
@@ -167,12 +167,12 @@
     ) -> None:
         if not targets:
             return
-        most = messages.CRASH_NOTES_PER_MESSAGE
-        for start in range(0, len(notes), most):
+        max_notes = messages.CRASH_NOTES_PER_MESSAGE
+        for start in range(0, len(notes), max_notes):
             message = messages.Message(
                 self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
-                crashes=notes[start : start + most],
+                crashes=notes[start : start + max_notes],
             )
             self.link.send(message, targets)
