--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -129,10 +129,12 @@
         max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_notes:]
         notes = {one: self.known.note(one) for one in newest}
-        held = list(self.known.quarantined())
-        if held:
-            self._next_index = (self._next_index + 1) % len(held)
-            notes[held[self._next_index].fingerprint] = held[self._next_index]
+        quarantined = list(self.known.quarantined())
+        if quarantined:
+            self._next_index = (self._next_index + 1) % len(quarantined)
+            notes[quarantined[self._next_index].fingerprint] = quarantined[
+                self._next_index
+            ]
         return tuple(notes.values())
 
     def _active_addresses(self) -> list[ids.Address]:
