--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -98,10 +98,10 @@
         self.state.metrics.quarantined_requests.set(count)
 
     def _report(self, change: quarantine.Change, told_by: str) -> None:
-        is_held = change.standing is quarantine.Standing.QUARANTINED
+        is_quarantined = change.standing is quarantine.Standing.QUARANTINED
         events.emit(
             events.Event.REQUEST_QUARANTINED
-            if is_held
+            if is_quarantined
             else events.Event.QUARANTINE_ENDED,
             fingerprint=change.note.fingerprint,
             depth=change.note.depth,
