--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -140,12 +140,12 @@
     def _active_addresses(self) -> list[ids.Address]:
         """Return the gateways that get callers, as far as they are known."""
         known = self.state.gossip.known_by_host
-        near = [
+        same_region = [
             known[host].record.peer_address
             for host in self.fleet.active_zones()
             if host in known
         ]
-        return near + self._other_region_addresses()
+        return same_region + self._other_region_addresses()
 
     def _all_addresses(self) -> list[ids.Address]:
         known = self.state.gossip.known_by_host.values()
