--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -64,7 +64,7 @@
         now = self.state.clock.now()
         self.known.expire(now)
         self.watch.check_ended()
-        self._take_changes(now)
+        self._process_changes(now)
         for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
             del self._recent_until[fingerprint]
         self.state.gossip.crashes = self._notes_to_gossip()
@@ -82,7 +82,7 @@
                 self._sender_by_fingerprint[note.fingerprint] = message.sender.host
                 self._recent_until[note.fingerprint] = ids.later(now, RECENT_S)
 
-    def _take_changes(self, now: ids.Instant) -> None:
+    def _process_changes(self, now: ids.Instant) -> None:
         for change in self.known.changes:
             fingerprint = change.note.fingerprint
             told_by = self._sender_by_fingerprint.pop(fingerprint, None)
