--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -17,7 +17,7 @@
 from spindlenotch.decisions import verdicts
 from spindlenotch.gateway.rollout import (
     analysis,
-    deciding,
+    decider_rules,
     evidence,
     evidence_merging,
     loop,
@@ -332,7 +332,7 @@
         world.play(seconds)
         rounds = seconds / loop.PERIOD_S + 1
         most = max(link.count for link in links)
-        assert most <= rounds * (1 + deciding.OTHERS_PER_ROUND), (gateways, most)
+        assert most <= rounds * (1 + decider_rules.OTHERS_PER_ROUND), (gateways, most)
 
 
 @kernel.PROPERTIES.register("orders that have ended crowd out no news of others")
--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -16,7 +16,7 @@
 )
 from spindlenotch import ids
 from spindlenotch.gateway.rollout import (
-    deciding,
+    decider_rules,
     orders,
     status_writer,
 )
@@ -39,11 +39,11 @@
     for known in (State.COMPLETED, State.ROLLED_BACK):
         for phase in rollout_notes.Phase:
             for is_complete in (False, True):
-                wanted = deciding.next_state(known, phase, is_complete=is_complete)
+                wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
                 assert wanted is None, (known, phase)
     back = rollout_notes.Phase.ROLLED_BACK
-    assert deciding.next_state(None, back, is_complete=False) is State.ROLLED_BACK
-    assert deciding.next_state(None, back, is_complete=True) is State.ROLLED_BACK
+    assert decider_rules.next_state(None, back, is_complete=False) is State.ROLLED_BACK
+    assert decider_rules.next_state(None, back, is_complete=True) is State.ROLLED_BACK
 
 
 class Client:
--- a/spindlenotch/gateway/rollout/__init__.py
+++ b/spindlenotch/gateway/rollout/__init__.py
@@ -1,7 +1,9 @@
 """
-A service changes its version by an operator's order: canary, promotion or rollback.
+Rollouts of new service versions by an operator's order: canary, promotion, rollback.
 
-``orders`` keeps what is ordered, ``runs`` what one process does for one order; the
-evidence is counted in ``evidence`` and judged in ``analysis``; ``promotion`` says when
-an order may end and ``deciding`` what is written; ``loop`` talks to peers and store.
+``orders`` holds the orders, ``runs`` the state of one process for one order. Evidence
+is counted in ``evidence``, combined in ``evidence_merging`` and evaluated in
+``analysis``. ``promotion`` says when an order may be promoted and completed,
+``decider_rules`` which gateway decides and what status it writes; ``loop`` communicates
+with peers and the store.
 """
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -1,9 +1,9 @@
 """
-Decides on one order while that is this gateway's duty.
+Decides on one order while this gateway is its decider.
 
-Puts together what is known (the run, the upstreams, who has left the other versions)
-and asks ``promotion`` and ``deciding``; has the status written. Owns the writer and
-which hindrances were logged.
+Combines what is known (the run, the upstreams, which gateways have left the other
+versions), applies ``promotion`` and ``decider_rules``, and has the status written. Owns
+the status writer and the set of blockers that were logged.
 """
 
 import functools
@@ -12,7 +12,7 @@
 from spindlenotch.gateway import service_defaults, state
 from spindlenotch.gateway.cluster import fleet, quorum
 from spindlenotch.gateway.rollout import (
-    deciding,
+    decider_rules,
     evidence,
     promotion,
     runs,
@@ -61,7 +61,7 @@
         if not is_settled:
             # It may be done already: nothing else is right before that is known.
             phase = rollout_notes.Phase.PROMOTING
-        wanted = deciding.next_state(known, phase, is_complete=is_complete)
+        wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
         if wanted is not None:
             self.writer.write(wanted, now)
 
--- a/spindlenotch/gateway/rollout/dump.py
+++ b/spindlenotch/gateway/rollout/dump.py
@@ -9,7 +9,7 @@
 from spindlenotch import ids
 from spindlenotch.gateway import state
 from spindlenotch.gateway.cluster import fleet
-from spindlenotch.gateway.rollout import deciding, runs
+from spindlenotch.gateway.rollout import decider_rules, runs
 
 #: Decimal places.
 DIGITS = 2
@@ -65,7 +65,7 @@
 ) -> RolloutDump:
     service = run.order.service
     status = gateway_state.rollouts.status_of(run)
-    candidates = deciding.candidates(service, gateway_fleet.view())
+    candidates = decider_rules.candidates(service, gateway_fleet.view())
     end_at = gateway_state.rollouts.end_at(service)
     left_s = None
     if end_at != ids.NEVER:
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -12,7 +12,7 @@
 from spindlenotch.gateway.cluster import fleet, quorum
 from spindlenotch.gateway.rollout import (
     decider,
-    deciding,
+    decider_rules,
     evidence_merging,
     runs,
     status_writer,
@@ -103,7 +103,7 @@
         one.merge_record(
             evidence_merging.Source(local.host, local.incarnation), record, now
         )
-        candidates = deciding.candidates(one.order.service, self.fleet.view())
+        candidates = decider_rules.candidates(one.order.service, self.fleet.view())
         self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
         self._judge(one)
         if one.order.service in self._deciding:
@@ -114,7 +114,7 @@
         self._send_evidence(one, pool, candidates, now)
 
     def _rewrite_final_status(self, one: runs.Run, now: ids.Instant) -> None:
-        candidates = deciding.candidates(one.order.service, self.fleet.view())
+        candidates = decider_rules.candidates(one.order.service, self.fleet.view())
         local = self.state.gossip.local
         self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
         if one.order.service in self._deciding:
@@ -236,7 +236,7 @@
             return
         # Made anew: it also says whether this gateway follows a phase of just now.
         record = one.record(pool, self._left_s(one, now))
-        told = deciding.told({*active} - {local}, candidates, self.state.rng)
+        told = decider_rules.told({*active} - {local}, candidates, self.state.rng)
         self._send(told, record)
 
     def _send(
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -394,7 +394,7 @@
     ),
     Mutant(
         "a final status is written over",
-        "gateway/rollout/deciding",
+        "gateway/rollout/decider_rules",
         "(sources.RolloutState.COMPLETED, sources.RolloutState.ROLLED_BACK)",
         "(sources.RolloutState.COMPLETED,)",
         held_by="a status only goes forward, and is written under conditions",
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -98,8 +98,8 @@
         functions=(
             "gateway/rollout/promotion.promotion_blocker",
             "gateway/rollout/promotion.completion_blocker",
-            "gateway/rollout/deciding.candidates",
-            "gateway/rollout/deciding.next_state",
+            "gateway/rollout/decider_rules.candidates",
+            "gateway/rollout/decider_rules.next_state",
         ),
         inputs="the order's end (instant), usual times of the routes, answers of the"
         " version and how suspicious it is, usable slots of both versions, which"
@@ -120,7 +120,7 @@
             "gateway/rollout/promotion.MAX_SUSPICION",
             "gateway/rollout/promotion.MAX_RESIDUAL_SUSPICION",
             "gateway/rollout/promotion.STRICT_WATCH_S",
-            "gateway/rollout/deciding.CANDIDATES",
+            "gateway/rollout/decider_rules.CANDIDATES",
         ),
         events=(
             "ROLLOUT_PROMOTING",
