--- a/spindlenotch/gateway/rollout/decider_rules.py
+++ b/spindlenotch/gateway/rollout/decider_rules.py
@@ -35,7 +35,7 @@
     return chosen + _chosen(service, ready - standby, missing)
 
 
-def told(
+def recipients(
     active: abc.Collection[ids.HostId],
     known_candidates: abc.Sequence[ids.HostId],
     rng: random.Random,
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -236,8 +236,10 @@
             return
         # Made anew: it also says whether this gateway follows a phase of just now.
         record = one.record(pool, self._left_s(one, now))
-        told = decider_rules.told({*active} - {local}, candidates, self.state.rng)
-        self._send(told, record)
+        recipients = decider_rules.recipients(
+            {*active} - {local}, candidates, self.state.rng
+        )
+        self._send(recipients, record)
 
     def _send(
         self, hosts: list[ids.HostId], record: rollout_notes.EvidenceRecord | None
