--- a/spindlenotch/gateway/rollout/decider_rules.py
+++ b/spindlenotch/gateway/rollout/decider_rules.py
@@ -18,7 +18,7 @@
 #: Salt of the hash; part of the choice, so gateways of two releases must agree on it.
 SALT = "rollout"
 #: The decider and those that take over from it.
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 #: Gateways beside the decider that get a record each round, drawn anew each time: so
 #: each may judge for itself soon in a small fleet, and what one sends does not grow.
 OTHERS_PER_ROUND = 2
@@ -30,8 +30,8 @@
     """Return who decides on a service's order, and who would next."""
     ready = {record.host for record in view.ready}
     standby = ready - view.active_zones.keys()
-    chosen = _chosen(service, standby, CANDIDATES)
-    missing = CANDIDATES - len(chosen)
+    chosen = _chosen(service, standby, CANDIDATE_COUNT)
+    missing = CANDIDATE_COUNT - len(chosen)
     return chosen + _chosen(service, ready - standby, missing)
 
 
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -120,7 +120,7 @@
             "gateway/rollout/promotion.MAX_SUSPICION",
             "gateway/rollout/promotion.MAX_RESIDUAL_SUSPICION",
             "gateway/rollout/promotion.STRICT_WATCH_S",
-            "gateway/rollout/decider_rules.CANDIDATES",
+            "gateway/rollout/decider_rules.CANDIDATE_COUNT",
         ),
         events=(
             "ROLLOUT_PROMOTING",
