--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -210,7 +210,7 @@
 def announced_by_few() -> None:
     def disturb(world: worlds.World) -> None:
         for gateway in world.gateways[1:]:
-            gateway.loop._judge = lambda one: None  # type: ignore[method-assign]
+            gateway.loop._roll_back_if_bad = lambda one: None  # type: ignore[method-assign]
 
     plan = worlds.Plan(seed=1, gateways=8, harm=worlds.Harm(fails=0.9), per_s=100.0)
     plan.disturb = disturb
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -93,7 +93,7 @@
             evidence_merging.Source(sender.host, sender.incarnation), record, now
         )
         self.state.rollouts.orders.limit_remaining(record.service, record.left_s, now)
-        self._judge(one)
+        self._roll_back_if_bad(one)
 
     def _update_run(self, one: runs.Run, now: ids.Instant) -> None:
         pool = self.state.balancer_by_service[one.order.service].pool
@@ -105,7 +105,7 @@
         )
         candidates = decider_rules.candidates(one.order.service, self.fleet.view())
         self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
-        self._judge(one)
+        self._roll_back_if_bad(one)
         if one.order.service in self._deciding:
             before = one.phase
             self._decider(one).update(pool, now)
@@ -120,7 +120,7 @@
         if one.order.service in self._deciding:
             self._decider(one).rewrite_final_status(now)
 
-    def _judge(self, one: runs.Run) -> None:
+    def _roll_back_if_bad(self, one: runs.Run) -> None:
         """Roll back at once where the evidence shows that the target is bad."""
         if one.final is not None or one.phase is rollout_notes.Phase.ROLLED_BACK:
             return
