--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -64,12 +64,12 @@
         """Judge, decide and tell, once."""
         now = self.state.clock.now()
         all_runs = self._runs()
-        for one in all_runs:
-            one.update_metrics()
-            if one.final is None:
-                self._update_run(one, now)
-            elif self.state.rollouts.lacks_final_status(one):
-                self._rewrite_final_status(one, now)
+        for run in all_runs:
+            run.update_metrics()
+            if run.final is None:
+                self._update_run(run, now)
+            elif self.state.rollouts.lacks_final_status(run):
+                self._rewrite_final_status(run, now)
         self._drop_old_deciders(all_runs)
         self._publish(all_runs)
 
@@ -78,47 +78,47 @@
     ) -> None:
         """Take in a peer's phases and what it counted."""
         for phase_note in message.rollout_phases:
-            one = self.state.rollouts.apply_note(phase_note)
-            if one is not None:
-                self._report_phase(one, f"told by {message.sender.host}")
+            run = self.state.rollouts.apply_note(phase_note)
+            if run is not None:
+                self._report_phase(run, f"told by {message.sender.host}")
         record = message.evidence
         if record is None:
             return
-        one = self.state.rollouts.run_by_service.get(record.service)
-        if one is None or one.order.revision != record.revision:
+        run = self.state.rollouts.run_by_service.get(record.service)
+        if run is None or run.order.revision != record.revision:
             return
         sender = message.sender
         now = self.state.clock.now()
-        one.merge_record(
+        run.merge_record(
             evidence_merging.Source(sender.host, sender.incarnation), record, now
         )
         self.state.rollouts.orders.limit_remaining(record.service, record.left_s, now)
-        self._roll_back_if_bad(one)
+        self._roll_back_if_bad(run)
 
-    def _update_run(self, one: runs.Run, now: ids.Instant) -> None:
-        pool = self.state.balancer_by_service[one.order.service].pool
+    def _update_run(self, run: runs.Run, now: ids.Instant) -> None:
+        pool = self.state.balancer_by_service[run.order.service].pool
         local = self.state.gossip.local
-        one.update_relative_slowdown(pool)
-        record = one.record(pool, self._left_s(one, now))
-        one.merge_record(
+        run.update_relative_slowdown(pool)
+        record = run.record(pool, self._left_s(run, now))
+        run.merge_record(
             evidence_merging.Source(local.host, local.incarnation), record, now
         )
-        candidates = decider_rules.candidates(one.order.service, self.fleet.view())
-        self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
-        self._roll_back_if_bad(one)
-        if one.order.service in self._deciding:
-            before = one.phase
-            self._decider(one).update(pool, now)
-            if one.phase is not before:
+        candidates = decider_rules.candidates(run.order.service, self.fleet.view())
+        self._set_decider_role(run, is_decider=candidates[:1] == [local.host])
+        self._roll_back_if_bad(run)
+        if run.order.service in self._deciding:
+            before = run.phase
+            self._decider(run).update(pool, now)
+            if run.phase is not before:
                 self._announce()
-        self._send_evidence(one, pool, candidates, now)
+        self._send_evidence(run, pool, candidates, now)
 
-    def _rewrite_final_status(self, one: runs.Run, now: ids.Instant) -> None:
-        candidates = decider_rules.candidates(one.order.service, self.fleet.view())
+    def _rewrite_final_status(self, run: runs.Run, now: ids.Instant) -> None:
+        candidates = decider_rules.candidates(run.order.service, self.fleet.view())
         local = self.state.gossip.local
-        self._set_decider_role(one, is_decider=candidates[:1] == [local.host])
-        if one.order.service in self._deciding:
-            self._decider(one).rewrite_final_status(now)
+        self._set_decider_role(run, is_decider=candidates[:1] == [local.host])
+        if run.order.service in self._deciding:
+            self._decider(run).rewrite_final_status(now)
 
     def _roll_back_if_bad(self, one: runs.Run) -> None:
         """Roll back at once where the evidence shows that the target is bad."""
@@ -149,27 +149,27 @@
         )
         self._announce()
 
-    def _left_s(self, one: runs.Run, now: ids.Instant) -> float:
-        return self.state.rollouts.end_at(one.order.service) - now
+    def _left_s(self, run: runs.Run, now: ids.Instant) -> float:
+        return self.state.rollouts.end_at(run.order.service) - now
 
-    def _may_be_completed(self, one: runs.Run) -> bool:
-        known = self._decider_by_run.get(one)
+    def _may_be_completed(self, run: runs.Run) -> bool:
+        known = self._decider_by_run.get(run)
         if known is None:
             return False
         return known.writer.pending_state is sources.RolloutState.COMPLETED
 
-    def _report_phase(self, one: runs.Run, reason: str) -> None:
-        if one.phase is rollout_notes.Phase.ROLLED_BACK:
-            one.reason = one.reason or reason
+    def _report_phase(self, run: runs.Run, reason: str) -> None:
+        if run.phase is rollout_notes.Phase.ROLLED_BACK:
+            run.reason = run.reason or reason
             event = events.Event.ROLLOUT_ROLLED_BACK
         else:
             event = events.Event.ROLLOUT_PROMOTING
         events.emit(
-            event, service=one.order.service, target=one.order.target, reason=reason
+            event, service=run.order.service, target=run.order.target, reason=reason
         )
 
-    def _set_decider_role(self, one: runs.Run, *, is_decider: bool) -> None:
-        service = one.order.service
+    def _set_decider_role(self, run: runs.Run, *, is_decider: bool) -> None:
+        service = run.order.service
         if is_decider == (service in self._deciding):
             return
         if is_decider:
@@ -181,24 +181,24 @@
             events.Event.ROLLOUT_DECIDER, service=service, decides=int(is_decider)
         )
 
-    def _decider(self, one: runs.Run) -> decider.Decider:
-        if one not in self._decider_by_run:
+    def _decider(self, run: runs.Run) -> decider.Decider:
+        if run not in self._decider_by_run:
             writer = status_writer.StatusWriter(
-                self.state, self.source, one.order, self.tasks
+                self.state, self.source, run.order, self.tasks
             )
-            self._decider_by_run[one] = decider.Decider(
-                self.state, self.fleet, self.quorum, writer, one
+            self._decider_by_run[run] = decider.Decider(
+                self.state, self.fleet, self.quorum, writer, run
             )
-        return self._decider_by_run[one]
+        return self._decider_by_run[run]
 
     def _runs(self) -> list[runs.Run]:
         """Return all runs; those that have ended last, as notes are bounded."""
         all_runs = self.state.rollouts.run_by_service.values()
-        return sorted(all_runs, key=lambda one: one.final is not None)
+        return sorted(all_runs, key=lambda run: run.final is not None)
 
     def _drop_old_deciders(self, all_runs: list[runs.Run]) -> None:
-        for one in [one for one in self._decider_by_run if one not in all_runs]:
-            del self._decider_by_run[one]
+        for run in [run for run in self._decider_by_run if run not in all_runs]:
+            del self._decider_by_run[run]
 
     # Telling peers
 
@@ -212,10 +212,10 @@
     def _publish(self, all_runs: list[runs.Run]) -> None:
         """Let all gossip carry the phases; announce new ones."""
         later = [
-            one for one in all_runs if one.phase is not rollout_notes.Phase.RUNNING
+            run for run in all_runs if run.phase is not rollout_notes.Phase.RUNNING
         ]
         notes = tuple(
-            one.phase_note() for one in later[: rollout_notes.NOTES_PER_MESSAGE]
+            run.phase_note() for run in later[: rollout_notes.NOTES_PER_MESSAGE]
         )
         self.state.gossip.rollout_phases = notes
         if self._announce_rounds:
@@ -224,7 +224,7 @@
 
     def _send_evidence(
         self,
-        one: runs.Run,
+        run: runs.Run,
         pool: upstream_pool.Pool,
         candidates: list[ids.HostId],
         now: ids.Instant,
@@ -232,10 +232,10 @@
         """Tell the decider, and some others, what was counted."""
         active = self.fleet.active_zones()
         local = self.state.local_member.host
-        if not one.split.answered and local not in active:
+        if not run.split.answered and local not in active:
             return
         # Made anew: it also says whether this gateway follows a phase of just now.
-        record = one.record(pool, self._left_s(one, now))
+        record = run.record(pool, self._left_s(run, now))
         recipients = decider_rules.recipients(
             {*active} - {local}, candidates, self.state.rng
         )
