--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -104,7 +104,7 @@
             self._drain_progress(),
             end_at,
             now,
-            is_met=self.quorum.of_fleet(),
+            has_quorum=self.quorum.of_fleet(),
             residual_suspicion=self._residual_suspicion(end_at, now),
         )
         if blocker is promotion.Blocker.NONE:
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -110,18 +110,18 @@
     end_at: ids.Instant,
     now: ids.Instant,
     *,
-    is_met: bool,
+    has_quorum: bool,
     residual_suspicion: float,
 ) -> Blocker:
     """
     Return why a promoted order is not completed now.
 
-    ``is_met``: more than half of the fleet is in view. One that is cut off can't know
-    who still uses the other versions.
+    ``has_quorum``: more than half of the fleet is reachable. A gateway that is
+    partitioned can't know which ones still use the other versions.
     """
     if residual_suspicion >= MAX_RESIDUAL_SUSPICION:
         return Blocker.SUSPECTED
-    if not is_met:
+    if not has_quorum:
         return Blocker.NO_QUORUM
     missing = progress.required - progress.drained
     if missing & progress.reachable:
