--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -273,7 +273,7 @@
 @kernel.PROPERTIES.register("a few bad upstreams are not taken for their version")
 def not_the_version() -> None:
     test = sequential_test.Test()
-    test.available = 10
+    test.target_upstreams = 10
     for number in itertools.chain((1, 2) * 20):
         upstream_id = ids.UpstreamId(f"u{number}")
         test.add(upstream_id, sequential_test.Tally(1, 1), rate=0.01, effect=0.1)
@@ -289,7 +289,7 @@
 def alike() -> None:
     rng = random.Random(5)
     judged = analysis.Analysis()
-    judged.available = 8
+    judged.target_upstreams = 8
     source = evidence_merging.Source(ids.HostId("h"), ids.Incarnation("a"))
     for step in range(100):
         at_s = 0.2 * step
--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -51,14 +51,13 @@
 
 class Analysis:
     """
-    The tests of one target, and the rates of the other versions.
+    The tests of one target, and the baseline rates of the other versions.
 
-    ``add`` takes in what one process has newly counted; ``available`` is how many
-    upstreams the target has.
+    ``target_upstreams`` is the number of upstreams of the target.
     """
 
     def __init__(self) -> None:
-        self.available = 1
+        self.target_upstreams = 1
         self.test_by_key: dict[
             tuple[baseline_rates.Symptom, str], sequential_test.Test
         ] = {}
@@ -130,7 +129,7 @@
                 test = self.test_by_key.setdefault(
                     (symptom, name), sequential_test.Test()
                 )
-                test.available = self.available
+                test.target_upstreams = self.target_upstreams
                 test.add(upstream_id, tally, rate, effect)
 
 
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -82,7 +82,7 @@
         """Note which upstreams there are."""
         self.had_others |= any(self.is_other(u) for u in pool.usable_order)
         versions = [u.spec.version for u in pool.usable_order]
-        self.analysis.available = max(1, versions.count(self.order.target))
+        self.analysis.target_upstreams = max(1, versions.count(self.order.target))
         self._set_access()
 
     def is_other(self, upstream: upstreams.Upstream) -> bool:
--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -43,11 +43,11 @@
     One CUSUM test; ``likelihood`` is never below zero.
 
     Invariant: it is the sum over the upstreams since the test began anew.
-    ``available`` is how many upstreams the target has.
+    ``target_upstreams`` is how many upstreams the target has.
     """
 
     def __init__(self) -> None:
-        self.available = 1
+        self.target_upstreams = 1
         self.likelihood = 0.0
         self.calls = 0
         self.bad = 0
@@ -77,9 +77,9 @@
     def without_worst(self) -> float:
         """Return the likelihood without the upstreams that speak most against it."""
         remaining = sorted(self._likelihood_by_upstream.values())
-        min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.available))
+        min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.target_upstreams))
         worst_count = max(math.ceil(WORST_SHARE * len(remaining)), min_worst)
-        worst_count = min(worst_count, self.available - 1, len(remaining))
+        worst_count = min(worst_count, self.target_upstreams - 1, len(remaining))
         return sum(remaining[: len(remaining) - worst_count])
 
     def suspicion(self) -> float:
