--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -3,7 +3,7 @@
 
 For each route, and for all of them, two tests run, on failures and on slow answers
 (``sequential_test``), against what the others did in the same moments
-(``baseline_rates``). So faults that strike all versions, and a gateway with a bad link,
+(``others_rates``). So faults that strike all versions, and a gateway with a bad link,
 speak for nothing.
 
 Pure. Relies on ``evidence_merging`` for what is new.
@@ -13,9 +13,9 @@
 
 from spindlenotch import ids
 from spindlenotch.gateway.rollout import (
-    baseline_rates,
     evidence,
     evidence_merging,
+    others_rates,
     sequential_test,
 )
 from spindlenotch.peers import rollout_notes
@@ -27,8 +27,8 @@
 #: How far above the others' rate a bad target's is: of the smallest harm that is to be
 #: found for certain. A version "several times slower" is slow far oftener than that.
 EFFECT_BY_SYMPTOM = {
-    baseline_rates.Symptom.FAILURES: 0.1,
-    baseline_rates.Symptom.SLOWNESS: 0.3,
+    others_rates.Symptom.FAILURES: 0.1,
+    others_rates.Symptom.SLOWNESS: 0.3,
 }
 
 
@@ -40,7 +40,7 @@
     worst upstreams; ``calls`` and ``bad`` are those since the test began anew.
     """
 
-    symptom: baseline_rates.Symptom
+    symptom: others_rates.Symptom
     route: str
     likelihood: float
     without_worst: float
@@ -59,9 +59,9 @@
     def __init__(self) -> None:
         self.target_upstreams = 1
         self.test_by_key: dict[
-            tuple[baseline_rates.Symptom, str], sequential_test.Test
+            tuple[others_rates.Symptom, str], sequential_test.Test
         ] = {}
-        self._baseline = baseline_rates.BaselineRates()
+        self._baseline = others_rates.BaselineRates()
 
     def add(self, delta: evidence_merging.Delta, now: ids.Instant) -> None:
         """Take in what a process has counted: first the others, then the target."""
@@ -135,12 +135,10 @@
 
 def _tallies(
     counts: rollout_notes.Counts,
-) -> dict[baseline_rates.Symptom, sequential_test.Tally]:
+) -> dict[others_rates.Symptom, sequential_test.Tally]:
     return {
-        baseline_rates.Symptom.FAILURES: sequential_test.Tally(
+        others_rates.Symptom.FAILURES: sequential_test.Tally(
             counts.judged, counts.failed
         ),
-        baseline_rates.Symptom.SLOWNESS: sequential_test.Tally(
-            counts.timed, counts.slow
-        ),
+        others_rates.Symptom.SLOWNESS: sequential_test.Tally(counts.timed, counts.slow),
     }
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -436,7 +436,7 @@
     ),
     Mutant(
         "the others' failures in the moment count for nothing",
-        "gateway/rollout/baseline_rates",
+        "gateway/rollout/others_rates",
         "MIN_RATE_BY_SYMPTOM[symptom], fleet_rate, source_rate)",
         "MIN_RATE_BY_SYMPTOM[symptom], 0.0)",
         held_by="what strikes all versions alike speaks against none",
