--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -10,7 +10,7 @@
 
 from spindlenotch import ids
 from spindlenotch.decisions import traffic_split, verdicts
-from spindlenotch.gateway.rollout import baseline_latency
+from spindlenotch.gateway.rollout import usual_times
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import rollout_notes
 
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.counts_by_cell: dict[Cell, rollout_notes.Counts] = {}
         self._routes: set[str] = set()
-        self._baseline_latency = baseline_latency.BaselineLatency()
+        self._baseline_latency = usual_times.BaselineLatency()
 
     @property
     def is_folded(self) -> bool:
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -422,7 +422,7 @@
     ),
     Mutant(
         "a tried version is judged by the guess that a process begins with",
-        "gateway/rollout/baseline_latency",
+        "gateway/rollout/usual_times",
         "if self._answers_by_route.get(route, 0) < MIN_ANSWERS:",
         "if True:",
         "a version that is slow in part is found by any gateway",
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -47,7 +47,7 @@
         question="When a version is bad",
         functions=(
             "gateway/rollout/evidence.count_call",
-            "gateway/rollout/baseline_latency.BaselineLatency.seconds",
+            "gateway/rollout/usual_times.BaselineLatency.seconds",
             "gateway/rollout/evidence_merging.MergedEvidence.merge_record",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
@@ -70,8 +70,8 @@
             "gateway/rollout/others_rates.LONG_TERM_S",
             "gateway/rollout/others_rates.MIN_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
-            "gateway/rollout/baseline_latency.MIN_ANSWERS",
-            "gateway/rollout/baseline_latency.MIN_WEIGHT",
+            "gateway/rollout/usual_times.MIN_ANSWERS",
+            "gateway/rollout/usual_times.MIN_WEIGHT",
         ),
         events=("ROLLOUT_ROLLED_BACK",),
         tests=(
