--- a/spindlenotch/gateway/quarantine/__init__.py
+++ b/spindlenotch/gateway/quarantine/__init__.py
@@ -1,7 +1,7 @@
 """
-Requests that end the upstreams that run them, over a fleet of gateways.
+Quarantine of requests that crash the upstreams that run them, across the fleet.
 
-What one gateway learns of such a request the others have to know at once, and a fleet
-that starts anew as well: notes go between gateways, and what is quarantined lies in the
-source. What is decided lies in ``decisions.quarantine``.
+All other gateways, and a fleet that is started anew, must learn of such a request at
+once: gateways exchange crash notes, and quarantined requests are stored in the source.
+The rules are in ``decisions.quarantine``.
 """
--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -1,8 +1,9 @@
 """
-The quarantined requests of one gateway, in step with what the source holds of them.
+The quarantined requests of one gateway, kept in step with those in the source.
 
-Owns which of them the source holds; relies on ``decisions.quarantine``. No input or
-output but the clock: records tell the wall-clock time until which they hold.
+Owns the copy of the records that the source holds; the rules are in
+``decisions.quarantine``. No I/O except reading the clock: records carry the wall-clock
+time at which they expire.
 """
 
 from collections import abc
@@ -13,7 +14,7 @@
 
 
 class Registry:
-    """What is known here, and what of it the source holds."""
+    """Quarantined requests known to this gateway, and those the source holds."""
 
     def __init__(self, host: ids.HostId, gateway_clock: clock.Clock) -> None:
         self.clock = gateway_clock
@@ -21,19 +22,19 @@
         self.stored_by_fingerprint: dict[ids.Fingerprint, sources.StoredQuarantine] = {}
 
     def replace(self, snapshot: sources.Snapshot) -> None:
-        """Take in all that the source holds."""
+        """Replace the stored records with those of a snapshot."""
         self.stored_by_fingerprint.clear()
         self._apply(snapshot.quarantines)
 
     def change(self, changes: sources.Changes) -> None:
-        """Take in what has changed in the source; operators release by deleting."""
+        """Apply changes from the source; operators release a request by deleting it."""
         for fingerprint in changes.released:
             self.stored_by_fingerprint.pop(fingerprint, None)
             self.known.clear(fingerprint, self.clock.now())
         self._apply(changes.quarantines)
 
     def unstored(self) -> list[sources.StoredQuarantine]:
-        """Return what the source does not hold yet: quarantines, and their ends."""
+        """Return the quarantines, and ends of quarantines, that the source lacks."""
         missing = [
             self._to_store(note.fingerprint)
             for note in self.known.quarantined()
@@ -55,7 +56,7 @@
             self.stored_by_fingerprint[stored.note.fingerprint] = stored
             left_s = stored.until_unix_s - self.clock.unix_s()
             if not stored.note.depth:
-                # A quarantine that has ended: older notes of it count no longer.
+                # The quarantine has ended: older notes of it no longer count.
                 self.known.merge(stored.note, now)
             elif left_s > 0.0:
                 self.known.merge(stored.note, now, ids.later(now, left_s))
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -1,11 +1,11 @@
 """
-Tells other gateways under which requests upstreams ended, and takes in what they tell.
+Exchanges notes on requests that crash upstreams with other gateways.
 
-Each news goes at once to the gateways that get callers, of other regions too, and for
-some seconds with all gossip; that a request is quarantined goes to everyone, from those
-that found it out. After that one note goes with each message in turn, so that who was
-cut off or has started learns all of them. Relies on ``forwarding.crash_watch`` for what
-this gateway sees itself.
+A new note is sent at once to the active gateways, those of other regions included, and
+goes with all gossip for some seconds. A new quarantine is announced to every gateway by
+those that detected it. After that each message carries one quarantined request in
+rotation, so that a gateway that was partitioned or has just started learns all of them.
+Relies on ``forwarding.crash_watch`` for the crashes that this gateway observes itself.
 """
 
 import asyncio
@@ -18,17 +18,17 @@
 from spindlenotch.kernel import crash_notes
 from spindlenotch.peers import gossip, messages, peer_link
 
-#: Seconds between two rounds; that of the shortest loops that wake together.
+#: Seconds between two updates: the period of the shortest loops, which wake together.
 PERIOD_S = 0.2
-#: Seconds for which all messages carry a note that has changed: some periods of gossip,
-#: in which every member of a large fleet is asked by several others.
+#: Seconds for which all messages carry a note that has changed: several gossip periods,
+#: in which every member of a large fleet is contacted by several others.
 RECENT_S = 5.0
-#: Rounds in which everyone is told of a quarantine, as datagrams get lost.
+#: Updates in which a quarantine is announced to every gateway, as datagrams get lost.
 ANNOUNCE_ROUNDS = 2
 
 
 class QuarantineSharing:
-    """Sends and receives notes; logs which requests are quarantined."""
+    """Sends and receives crash notes; logs which requests are quarantined."""
 
     def __init__(
         self,
@@ -50,17 +50,17 @@
 
     @property
     def known(self) -> quarantine.Quarantine:
-        """Return what is known of such requests."""
+        """Return what this gateway knows of such requests."""
         return self.state.quarantines.known
 
     async def run(self) -> None:
-        """Look after the notes until cancelled."""
+        """Update until cancelled."""
         while True:
             self.update()
             await self.state.wakeups.sleep(PERIOD_S)
 
     def update(self) -> None:
-        """Let go of old notes, log changes, and choose what gossip carries now."""
+        """Expire old notes, log changes and choose the notes that gossip carries."""
         now = self.state.clock.now()
         self.known.expire(now)
         self.watch.check_ended()
@@ -75,7 +75,7 @@
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Take in a peer's notes."""
+        """Merge the notes in a peer's message."""
         now = self.state.clock.now()
         for note in message.crashes:
             if self.known.merge(note, now):
@@ -89,8 +89,8 @@
             self._report(change, "" if told_by is None else told_by)
             self._recent_until[fingerprint] = ids.later(now, RECENT_S)
             if told_by is None:
-                # Were those that are told to tell everyone, one request would cost
-                # messages by the square of the fleet.
+                # Receivers do not announce it again: messages would grow with the
+                # square of the fleet size.
                 self._announce_rounds = ANNOUNCE_ROUNDS
         self.known.changes.clear()
         self._sender_by_fingerprint.clear()
@@ -109,10 +109,10 @@
             told_by=told_by,
         )
 
-    # Telling
+    # Sending
 
     def _add_note(self, note: crash_notes.CrashNote) -> None:
-        """Send a note that this gateway has made, with those of the same moment."""
+        """Queue a note of this gateway, to be sent with those of the same moment."""
         if not self._unsent_notes:
             asyncio.get_running_loop().call_soon(self._send_unsent_notes)
         self._unsent_notes[note.fingerprint] = note
@@ -125,7 +125,7 @@
         self._send(notes, self._active_addresses())
 
     def _notes_to_gossip(self) -> tuple[crash_notes.CrashNote, ...]:
-        """Return the notes that changed lately, and one quarantined request in turn."""
+        """Return recently changed notes and one quarantined request in rotation."""
         max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_notes:]
         notes = {one: self.known.note(one) for one in newest}
@@ -138,7 +138,7 @@
         return tuple(notes.values())
 
     def _active_addresses(self) -> list[ids.Address]:
-        """Return the gateways that get callers, as far as they are known."""
+        """Return the addresses of the active gateways, as far as they are known."""
         known = self.state.gossip.known_by_host
         same_region = [
             known[host].record.peer_address
@@ -154,7 +154,7 @@
         ] + self._other_region_addresses()
 
     def _other_region_addresses(self) -> list[ids.Address]:
-        """Return the active gateways of other regions that their summaries name."""
+        """Return the addresses of active gateways in the summaries of other regions."""
         links = self.state.links
         if links is None:
             return []
--- a/spindlenotch/gateway/quarantine/writer.py
+++ b/spindlenotch/gateway/quarantine/writer.py
@@ -1,9 +1,10 @@
 """
-Writes quarantined requests into the source, for gateways that start anew together.
+Writes quarantined requests to the source, for a fleet that is started anew.
 
-Only who reads the source writes, after a time that differs, so that mostly one reader
-does: calls grow with such requests and not with hosts. A write that meets another's
-changes nothing; its record comes with the next reading.
+Only gateways that read the source write, each after a random delay, so that usually a
+single one does: the number of calls grows with such requests and not with hosts. A
+write that conflicts with another gateway's changes nothing; the other's record arrives
+with the next read.
 """
 
 from collections import abc
@@ -12,20 +13,20 @@
 from spindlenotch.gateway import state
 from spindlenotch.gateway.source import sources
 
-#: Seconds between two looks at what is to be written.
+#: Seconds between two checks for records to be written.
 CHECK_PERIOD_S = 0.4
-#: Most seconds that a reader waits, so that another's record may come: a change is read
-#: about 0.1 s after it was written.
+#: Upper bound of a reader's delay in seconds, so that another reader's record may
+#: arrive first: a change is read about 0.1 s after it was written.
 MAX_WAIT_S = 1.2
-#: Seconds between two writes that fail.
+#: Seconds between two attempts to write while they fail.
 RETRY_S = 2.0
 
 
 class QuarantineWriter:
     """
-    Writes what the source does not hold yet.
+    Writes the records that the source lacks.
 
-    Invariant: one write at a time, and none sooner than ``_write_at``.
+    Invariant: one write at a time, and none before ``_write_at``.
     """
 
     def __init__(
@@ -40,13 +41,13 @@
         self._write_at = ids.NEVER
 
     async def run(self) -> None:
-        """Write what is missing until cancelled."""
+        """Write missing records until cancelled."""
         while True:
             await self.state.wakeups.sleep(CHECK_PERIOD_S)
             await self.check()
 
     async def check(self) -> None:
-        """Write the records that are missing, if it is time."""
+        """Write the missing records once the delay has passed."""
         now = self.state.clock.now()
         missing = self.state.quarantines.unstored()
         if not (missing and self.state.reads_source and self.is_reader()):
