--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -1,12 +1,12 @@
 """
-Whether the target of an order is bad: a sequential test against the other versions.
+Detects a bad target of an order by sequential tests against the other versions.
 
 For each route, and for all of them, two tests run, on failures and on slow answers
-(``sequential_test``), against what the others did in the same moments
-(``others_rates``). So faults that strike all versions, and a gateway with a bad link,
-speak for nothing.
+(``sequential_test``), against what the other versions did at the same time
+(``others_rates``). So faults that affect all versions, and a gateway with a bad link,
+are no evidence against the target.
 
-Pure. Relies on ``evidence_merging`` for what is new.
+Pure. ``evidence_merging`` provides the new counts.
 """
 
 import msgspec
@@ -24,8 +24,8 @@
 ALL_ROUTES = "*"
 
 
-#: How far above the others' rate a bad target's is: of the smallest harm that is to be
-#: found for certain. A version "several times slower" is slow far oftener than that.
+#: Difference between a bad target's rate and the baseline: the smallest harm that must
+#: be detected reliably. A version "several times slower" is slow far more often.
 EFFECT_BY_SYMPTOM = {
     others_rates.Symptom.FAILURES: 0.1,
     others_rates.Symptom.SLOWNESS: 0.3,
@@ -36,8 +36,8 @@
     """
     Why a target is bad.
 
-    ``likelihood`` is the logarithm of the test, ``without_worst`` that without the
-    worst upstreams; ``calls`` and ``bad`` are those since the test began anew.
+    ``likelihood`` is the log-likelihood ratio of the test, ``without_worst`` that
+    without the worst upstreams; ``calls`` and ``bad`` count since the test restarted.
     """
 
     symptom: others_rates.Symptom
@@ -64,7 +64,7 @@
         self._baseline = others_rates.BaselineRates()
 
     def add(self, delta: evidence_merging.Delta, now: ids.Instant) -> None:
-        """Take in what a process has counted: first the others, then the target."""
+        """Add a process's new counts: the other versions first, then the target."""
         for (route, upstream_id), counts in delta.counts_by_cell.items():
             if upstream_id == evidence.OTHER_VERSIONS:
                 self._add_others(delta.source, route, counts, now)
@@ -73,7 +73,7 @@
                 self._add_target(delta.source, route, upstream_id, counts, now)
 
     def finding(self) -> Finding | None:
-        """Return why the target is bad, None where nothing shows that."""
+        """Return why the target is bad, None if the evidence does not show that."""
         for (symptom, route), test in self.test_by_key.items():
             if test.likelihood >= sequential_test.THRESHOLD and test.suspicion() >= 1.0:
                 return Finding(
@@ -88,16 +88,16 @@
         return None
 
     def suspicion(self) -> float:
-        """Return how near the nearest test is to a finding, 1 where it is one."""
+        """Return the highest suspicion of the tests, 1 if one is a finding."""
         return max((test.suspicion() for test in self.test_by_key.values()), default=0)
 
     def residual_suspicion(self) -> float:
-        """Return the highest likelihood without the worst upstreams, by the bound."""
+        """Return the highest ``without_worst`` of the tests, by the threshold."""
         found = (test.without_worst() for test in self.test_by_key.values())
         return max(found, default=0.0) / sequential_test.THRESHOLD
 
     def bad_upstreams(self) -> set[ids.UpstreamId]:
-        """Return the upstreams of the target that look bad by themselves."""
+        """Return the upstreams of the target that look bad individually."""
         return {
             upstream_id
             for test in self.test_by_key.values()
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -1,8 +1,9 @@
 """
-What one process counts of a service's calls since an order, by version and route.
+Counts of a service's calls in one process since an order, by version and route.
 
-Pure. Owns the counts and the record that tells them to peers. Of the target each
-upstream is counted by itself, so that a few bad ones are not taken for their version.
+Pure. Owns the counts and the record in which they are sent to peers. Each upstream of
+the target is counted separately, so that a few bad ones are not mistaken for a bad
+version.
 """
 
 import statistics
@@ -14,27 +15,28 @@
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import rollout_notes
 
-#: A call is slow that takes longer than this many times what was expected of it: above
-#: nearly all calls of a service whose times vary, below "several times slower".
+#: Multiple of its expected time above which a call is slow: above nearly all calls of a
+#: service whose times vary, below "several times slower".
 SLOW_FACTOR = 2.5
-#: Routes that are counted by themselves; the others are counted as one, so that the
-#: record stays within a message.
+#: Routes that are counted separately; the others are counted as one, so that the record
+#: fits into a message.
 MAX_ROUTES = 8
 #: Name under which the other routes are counted.
 OTHER_ROUTES = ""
-#: Those upstreams of the target beyond the rows of a record are counted as one.
+#: Id under which upstreams of the target beyond the rows of a record are counted
+#: together.
 OTHER_UPSTREAMS = ids.UpstreamId("*")
-#: The upstreams of other versions are not told apart.
+#: Id under which all upstreams of other versions are counted together.
 OTHER_VERSIONS = ids.UpstreamId("")
 
-#: Results that say whether the upstream did its work, and whether it failed.
+#: Results that show whether the upstream did its work: 1 if it failed, 0 if not.
 FAILED_BY_RESULT = {
     upstreams.Result.ANSWERED: 0,
     upstreams.Result.FAILED: 1,
     upstreams.Result.CONNECT_FAILED: 1,
 }
 
-#: Upstreams of each version without which their reports are not compared.
+#: Least upstreams of each version that must report a slowdown for a comparison.
 MIN_REPORTING_UPSTREAMS = 3
 
 Cell = tuple[str, ids.UpstreamId]
@@ -44,7 +46,7 @@
     """
     The counts of one process by route and upstream.
 
-    Invariant: they only grow, and there are at most ``ROWS_PER_RECORD`` of them.
+    Invariant: counts only grow, and there are at most ``ROWS_PER_RECORD`` rows.
     """
 
     def __init__(self) -> None:
@@ -54,7 +56,7 @@
 
     @property
     def is_folded(self) -> bool:
-        """Tell whether some routes are not counted by themselves."""
+        """Return whether some routes are counted together."""
         return OTHER_ROUTES in self._routes
 
     def call_ended(
@@ -66,7 +68,7 @@
         expected: traffic_split.Expected,
         now: ids.Instant,
     ) -> None:
-        """Take in the end of a call; see ``traffic_split.Observer``."""
+        """Count the end of a call; see ``traffic_split.Observer``."""
         route = grant.call.latency_key
         baseline_s = self._baseline_latency.seconds(route, expected.typical_s)
         counts = count_call(grant, result, baseline_s * expected.slowdown, now)
@@ -81,7 +83,7 @@
         self.counts_by_cell[cell] = known.plus(counts)
 
     def rows(self) -> tuple[rollout_notes.Row, ...]:
-        """Return the counts in the form that goes to peers."""
+        """Return the counts as rows of a record for peers."""
         return tuple(
             rollout_notes.Row(route, upstream_id, counts)
             for (route, upstream_id), counts in self.counts_by_cell.items()
@@ -92,7 +94,7 @@
             route = OTHER_ROUTES
         self._routes.add(route)
         cell = (route, upstream_id)
-        # Room is kept for each route's rows of other versions and other upstreams.
+        # Rows are reserved for each route's other versions and other upstreams.
         max_cells = rollout_notes.ROWS_PER_RECORD - 2 * (MAX_ROUTES + 1)
         is_new = cell not in self.counts_by_cell
         if is_new and upstream_id and len(self.counts_by_cell) >= max_cells:
@@ -105,10 +107,11 @@
     others: abc.Collection[upstreams.Upstream],
 ) -> float:
     """
-    Return how much slower than the others the target's upstreams say they work.
+    Return the target's slowdown relative to that of the other versions.
 
-    Slow neighbours strike some upstreams; what most of the target's report is its own
-    doing, and excuses no slow answer. 1 where too few tell to know.
+    Upstreams report their slowdown. Noisy neighbours affect some upstreams; a slowdown
+    that most of the target's report is caused by the version, and excuses no slow
+    answer. 1 if too few upstreams report.
     """
     target_slowdowns = _reported_slowdowns(target)
     other_slowdowns = _reported_slowdowns(others)
@@ -132,14 +135,14 @@
     now: ids.Instant,
 ) -> rollout_notes.Counts:
     """
-    Return what the end of one call counts.
+    Return the counts for the end of one call.
 
-    One whose caller left counts only if it was overdue by then, and one that the
-    upstream refused without running it not at all.
+    A call whose caller left counts only if it was overdue by then; one that the
+    upstream refused without running it does not count.
     """
     is_slow = now - grant.sent_at > SLOW_FACTOR * expected_s
-    # Not what is known by now: what takes long makes its upstream ejected and, with its
-    # answer, taken to be cold, so that no slow answer would be timed.
+    # By what was known when the call was sent: a long call gets its upstream ejected
+    # and, once answered, taken to be cold, so that no slow answer would be timed.
     is_timed = not grant.to_cold
     if result is upstreams.Result.CANCELLED:
         overdue = int(is_slow and is_timed)
--- a/spindlenotch/gateway/rollout/evidence_merging.py
+++ b/spindlenotch/gateway/rollout/evidence_merging.py
@@ -1,9 +1,9 @@
 """
-The evidence of all gateways put together, none of it counted twice.
+Combines the evidence of all gateways, counting none of it twice.
 
-Pure. Each process tells what it counted since the order, so the newest record of
-each replaces its earlier ones and only the difference is new; one that starts again
-is another process. Owns the newest record of each process.
+Pure. Records are cumulative since the order, so the newest record of each process
+replaces its earlier ones and only the difference is new; a restarted process is another
+process. Owns the newest record of each process.
 """
 
 from collections import abc
@@ -16,21 +16,21 @@
 
 
 class Source(msgspec.Struct, frozen=True):
-    """A process that counts: one run of a gateway on a host."""
+    """A process that reports counts: one incarnation of a gateway on a host."""
 
     host: ids.HostId
     incarnation: ids.Incarnation
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """What a process has counted since its record before, by route and upstream."""
+    """What a process has counted since its previous record, by route and upstream."""
 
     source: Source
     counts_by_cell: dict[evidence.Cell, rollout_notes.Counts]
 
 
 class MergedEvidence:
-    """The newest records by process."""
+    """The newest record of each process."""
 
     def __init__(self) -> None:
         self.record_by_source: dict[Source, rollout_notes.EvidenceRecord] = {}
@@ -38,7 +38,7 @@
     def merge_record(
         self, source: Source, record: rollout_notes.EvidenceRecord
     ) -> Delta | None:
-        """Take in a record; return what is new in it, None where it is not newer."""
+        """Add a record; return what is new in it, None if it is not newer."""
         known = self.record_by_source.get(source)
         if known is not None and known.number >= record.number:
             return None
@@ -55,10 +55,10 @@
         self, incarnation_by_host: abc.Mapping[ids.HostId, ids.Incarnation]
     ) -> dict[ids.HostId, rollout_notes.EvidenceRecord]:
         """
-        Return the record of each host's process.
+        Return the record of each host's running process.
 
-        ``incarnation_by_host`` are the processes that are known to run: what an earlier
-        one on the host had under way ended with it.
+        ``incarnation_by_host`` are the processes known to be running: calls in flight
+        at an earlier process of the host ended with it.
         """
         return {
             source.host: record
@@ -68,11 +68,11 @@
         }
 
     def sent(self) -> int:
-        """Return how many calls were placed on the target while it was tried."""
+        """Return how many calls were placed on the target while it was on trial."""
         return sum(record.sent for record in self.record_by_source.values())
 
     def answered(self) -> int:
-        """Return how many calls of the service all gateways saw answered."""
+        """Return how many calls of the service were answered, over all gateways."""
         return sum(record.answered for record in self.record_by_source.values())
 
 
--- a/spindlenotch/gateway/rollout/others_rates.py
+++ b/spindlenotch/gateway/rollout/others_rates.py
@@ -1,10 +1,10 @@
 """
-How often other versions fail or are slow just now: what a good version may do as well.
+Baseline rates of failures and slow answers: those of the other versions now.
 
-Pure. The rate is the worse of two: on the same route in the fleet, and at the gateway
-that tells, whose link may be bad. One such gateway does not count in the fleet's, or it
-would hide what a bad version does elsewhere. Rates follow the moment, up and down;
-what is known of longer is bounded, so that a fault that is over hides nothing.
+Pure. The rate is the higher of two: on the same route in the fleet, and at the
+reporting gateway, whose link may be bad. One such gateway is left out of the fleet's
+rate, or it would hide what a bad version does elsewhere. Rates follow short-term
+changes, up and down; the long-term rate is bounded, so that a past fault hides nothing.
 """
 
 import enum
@@ -13,33 +13,35 @@
 from spindlenotch.gateway.rollout import evidence_merging, sequential_test
 from spindlenotch.kernel import latency
 
-#: Time constants, in seconds, of the rates: of the moment, and of what is usual.
+#: Time constant of the short-term rates, in seconds.
 SHORT_TERM_S = 0.7
+#: Time constant of the long-term rates, in seconds.
 LONG_TERM_S = 4.0
-#: Calls that what is usual counts as in the fleet's rate, and that in a gateway's.
+#: Weight of the long-term rate in the fleet's rate, as a number of calls.
 FLEET_PRIOR_CALLS = 15.0
+#: Weight of the fleet's rate in a gateway's rate, as a number of calls.
 SOURCE_PRIOR_CALLS = 10.0
-#: Gateways from which on the worst one does not count in the fleet's rate.
+#: Least number of gateways to leave the worst one out of the fleet's rate.
 MIN_SOURCES = 3
 
 
 class Symptom(enum.Enum):
-    """What may be worse in the target."""
+    """What may be worse at the target."""
 
     FAILURES = "failures"
     SLOWNESS = "slowness"
 
 
-#: The least rate that is expected of a good version, however good the others are.
+#: Lowest rate that is expected of a good version, however good the others are.
 MIN_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.01, Symptom.SLOWNESS: 0.04}
-#: What is taken to be usual where nothing is known.
+#: Long-term rate that is assumed before there are calls.
 PRIOR_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.02, Symptom.SLOWNESS: 0.08}
-#: The most that is taken to be usual.
+#: Upper bound of the long-term rate.
 MAX_LONG_TERM_RATE_BY_SYMPTOM = {Symptom.FAILURES: 0.05, Symptom.SLOWNESS: 0.15}
 
 
 class Rate:
-    """The share of bad calls among others' calls; older ones count less."""
+    """The share of bad calls among the others' calls, with decay of older ones."""
 
     def __init__(self, time_constant_s: float) -> None:
         self.time_constant_s = time_constant_s
@@ -48,18 +50,18 @@
         self.at = ids.Instant(0.0)
 
     def add(self, tally: sequential_test.Tally, now: ids.Instant) -> None:
-        """Take in calls."""
+        """Add calls."""
         self.apply_decay(now)
         self.calls += tally.calls
         self.bad += tally.bad
 
     def value(self, prior: float, prior_calls: float, now: ids.Instant) -> float:
-        """Return the share, where few are known mostly the guess."""
+        """Return the share, which is mostly the prior while calls are few."""
         self.apply_decay(now)
         return (self.bad + prior * prior_calls) / (self.calls + prior_calls)
 
     def apply_decay(self, now: ids.Instant) -> None:
-        """Let older calls count less."""
+        """Reduce the weight of older calls."""
         weight = latency.decay(max(0.0, now - self.at), self.time_constant_s)
         self.calls *= weight
         self.bad *= weight
@@ -87,7 +89,7 @@
         tally: sequential_test.Tally,
         now: ids.Instant,
     ) -> None:
-        """Take in calls that a gateway placed on other versions."""
+        """Add calls that a gateway placed on other versions."""
         key = (symptom, route)
         self._long_term_by_key.setdefault(key, Rate(LONG_TERM_S)).add(tally, now)
         recent_rates = self._short_term_by_key.setdefault(key, {})
@@ -104,7 +106,7 @@
         source: evidence_merging.Source,
         now: ids.Instant,
     ) -> float:
-        """Return what is expected of a good version on a route, at a gateway."""
+        """Return the rate expected of a good version on a route, at a gateway."""
         fleet_rate = self._fleet_rate(symptom, route, now)
         at_source = self._short_term_by_source.get((symptom, source))
         if at_source is None:
--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -1,8 +1,8 @@
 """
-A sequential test whether a version fails more often than others do: CUSUM.
+A sequential test whether a version fails more often than the others: CUSUM.
 
-It adds up the logarithm of how much likelier what was seen is if the version is bad
-than if it is as good as the others, and begins anew whenever that speaks for it. Pure.
+Sums the log-likelihood ratio of "the version is bad" to "it is as good as the others",
+and restarts at zero whenever the sum favours the version. Pure.
 """
 
 import math
@@ -11,28 +11,29 @@
 
 from spindlenotch import ids
 
-#: Logarithm of how much likelier "bad" has to be: 20,000 times. By Wald's inequality
-#: one test of a good version passes it with a probability below 1 in 20,000 for each
-#: time it begins anew, if the others' rate is known.
+#: Log-likelihood ratio of a finding: a ratio of 20,000. By Wald's inequality one test
+#: of a good version exceeds it with a probability below 1 in 20,000 for each restart,
+#: if the others' rate is known.
 THRESHOLD = 9.9
-#: The same without the worst upstreams of the target, 20 times: weaker, as less
+#: The same without the worst upstreams of the target, a ratio of 20: lower, as less
 #: evidence is left.
 THRESHOLD_WITHOUT_WORST = 3.0
-#: The same for one upstream, 20 times, from which others of the target are tried in its
-#: place.
+#: The same for one upstream, a ratio of 20, from which other upstreams of the target
+#: are tried in its place.
 UPSTREAM_THRESHOLD = 3.0
-#: Share of the upstreams of the target that may be bad by themselves, rounded up.
+#: Share of the target's upstreams that may be bad individually, rounded up.
 WORST_SHARE = 0.34
-#: The least number of them, and their share of all upstreams of the target where there
-#: are few: two of those that are tried first may be bad by chance.
+#: Least number of them: two of those that are tried first may be bad by chance.
 MIN_WORST = 2
+#: Upper bound of that least number, as a share of the target's upstreams, for targets
+#: with few.
 MIN_WORST_SHARE = 0.5
-#: The highest rate that counts as a good version's, so that logarithms stay finite.
+#: Highest rate that counts as a good version's, so that logarithms stay finite.
 MAX_RATE = 0.9
 
 
 class Tally(msgspec.Struct, frozen=True):
-    """Calls that were looked at, and bad ones of them."""
+    """Numbers of examined calls, and of bad ones among them."""
 
     calls: int
     bad: int
@@ -40,10 +41,10 @@
 
 class Test:
     """
-    One CUSUM test; ``likelihood`` is never below zero.
+    One CUSUM test; ``likelihood``, a log-likelihood ratio, is never below zero.
 
-    Invariant: it is the sum over the upstreams since the test began anew.
-    ``target_upstreams`` is how many upstreams the target has.
+    Invariant: it is the sum over the upstreams since the last restart.
+    ``target_upstreams`` is the number of upstreams of the target.
     """
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
     def add(
         self, upstream_id: ids.UpstreamId, tally: Tally, rate: float, effect: float
     ) -> None:
-        """Take in calls of an upstream of the target; ``rate`` is the others'."""
+        """Add calls of an upstream of the target; ``rate`` is the others'."""
         good_rate = min(MAX_RATE, rate)
         bad_rate = min((1.0 + MAX_RATE) / 2, good_rate + effect)
         added = tally.bad * math.log(bad_rate / good_rate)
@@ -71,11 +72,11 @@
 
     @property
     def upstreams(self) -> int:
-        """Return how many upstreams of the target had calls."""
+        """Return the number of upstreams of the target that had calls."""
         return len(self._likelihood_by_upstream)
 
     def without_worst(self) -> float:
-        """Return the likelihood without the upstreams that speak most against it."""
+        """Return the likelihood without that of the worst upstreams."""
         remaining = sorted(self._likelihood_by_upstream.values())
         min_worst = min(MIN_WORST, int(MIN_WORST_SHARE * self.target_upstreams))
         worst_count = max(math.ceil(WORST_SHARE * len(remaining)), min_worst)
@@ -83,14 +84,14 @@
         return sum(remaining[: len(remaining) - worst_count])
 
     def suspicion(self) -> float:
-        """Return how near it is to a finding, 1 where it is one."""
+        """Return how close the test is to a finding, 1 if it is one."""
         if self.likelihood <= 0.0:
             return 0.0
         overall = self.likelihood / THRESHOLD
         return max(0.0, min(overall, self.without_worst() / THRESHOLD_WITHOUT_WORST))
 
     def bad_upstreams(self) -> list[ids.UpstreamId]:
-        """Return the upstreams that speak against the target by themselves."""
+        """Return the upstreams with enough evidence against them individually."""
         return [
             upstream_id
             for upstream_id, likelihood in self._likelihood_by_upstream.items()
--- a/spindlenotch/gateway/rollout/usual_times.py
+++ b/spindlenotch/gateway/rollout/usual_times.py
@@ -1,27 +1,27 @@
 """
-How long the calls of a service take at the versions that an order replaces.
+Mean latency of a service's calls at the versions that an order replaces.
 
-Pure. What the target is judged by must not come from its own answers, nor for long from
-the guess that a process starts with. Owns one estimate for each route.
+Pure. The target must not be measured against its own answers, nor for long against the
+default that a process starts with. Owns one estimate for each route.
 """
 
 from spindlenotch.kernel import latency
 
-#: Answers of a route from which on its own estimate is used.
+#: Number of answers from which a route's own estimate is used.
 MIN_ANSWERS = 5
-#: Least weight of the newest answer in the estimate; before, all count alike.
+#: Least weight of the newest answer in the estimate; until then all weigh the same.
 MIN_WEIGHT = 0.05
 
 
 class BaselineLatency:
-    """The mean times by route, each at an upstream that nothing slows."""
+    """Mean latencies by route, each normalised to an upstream without slowdown."""
 
     def __init__(self) -> None:
         self._mean_by_route: dict[str, latency.Mean] = {}
         self._answers_by_route: dict[str, int] = {}
 
     def add(self, route: str, seconds: float) -> None:
-        """Take in an answer of another version than the target."""
+        """Add an answer of a version other than the target."""
         answers = self._answers_by_route.get(route, 0) + 1
         self._answers_by_route[route] = answers
         mean = self._mean_by_route.setdefault(route, latency.Mean(seconds))
@@ -29,7 +29,7 @@
         mean.add(seconds)
 
     def seconds(self, route: str, default_s: float) -> float:
-        """Return the usual time of a route; ``default_s`` where too few have ended."""
+        """Return a route's latency in seconds, ``default_s`` with too few answers."""
         if self._answers_by_route.get(route, 0) < MIN_ANSWERS:
             return default_s
         return self._mean_by_route[route].value
