--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -22,9 +22,9 @@
 from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import rollout_notes
 
-#: States in which an upstream counts as able to carry requests.
+#: States in which an upstream can carry requests.
 USABLE = (upstreams.State.ACTIVE, upstreams.State.PROBATION)
-#: Why an order is rolled back that was not promoted in time.
+#: Reason for rolling back an order that was not promoted in time.
 TIME_OVER = "time over"
 
 
@@ -59,7 +59,7 @@
         known = None if status is None else status.state
         phase = self.run.phase
         if not is_settled:
-            # It may be done already: nothing else is right before that is known.
+            # The write may have been applied: until that is known nothing else is safe.
             phase = rollout_notes.Phase.PROMOTING
         wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
         if wanted is not None:
@@ -72,16 +72,16 @@
             self.writer.write(self.run.final, now)
 
     def _promote(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
-        """Let all requests move to the target if it is time and nothing hinders."""
+        """Move all requests to the target if it is time and nothing blocks it."""
         if not self.run.had_others and any(map(self._is_target, pool.usable_order)):
-            # There is nothing to be replaced.
+            # There is no other version to be replaced.
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             return
         end_at = self.state.rollouts.end_at(self.run.order.service)
         ready = self._readiness(pool, now)
         blocker = promotion.promotion_blocker(ready, self._promote_at(end_at), now)
         if blocker is promotion.Blocker.NONE and not self.quorum.of_fleet():
-            # It could not be completed, so all requests would move for nothing.
+            # Without a quorum the order could not be completed after the move.
             blocker = promotion.Blocker.NO_QUORUM
         if blocker is promotion.Blocker.NONE:
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
@@ -114,12 +114,12 @@
         return False
 
     def _residual_suspicion(self, end_at: ids.Instant, now: ids.Instant) -> float:
-        """Return how doubtful the target is, less strictly as time passes."""
+        """Return the suspicion that may block completion, relaxed as time passes."""
         if now < self._strict_until:
             return self.run.analysis.residual_suspicion()
         if now < end_at - promotion.FINAL_WINDOW_S:
             return self.run.analysis.suspicion()
-        # Not shown to be bad in all its time.
+        # The target was not shown to be bad in the order's whole time.
         return 0.0
 
     def _roll_back_overdue(self, blocker: promotion.Blocker) -> None:
@@ -179,7 +179,7 @@
         )
 
     def _target_counts(self) -> rollout_notes.Counts:
-        """Return what all gateways together have counted of the target."""
+        """Return the counts of the target, summed over all gateways."""
         rows = [r for record in self._records() for r in record.rows if r.upstream]
         return functools.reduce(
             rollout_notes.Counts.plus, (r.counts for r in rows), rollout_notes.NO_COUNTS
@@ -192,7 +192,7 @@
         return upstream.spec.version == self.run.order.target
 
     def _report(self, blocker: promotion.Blocker) -> None:
-        """Log once why an order can't go on."""
+        """Log once why an order can't proceed."""
         if blocker in self._reported:
             return
         self._reported.add(blocker)
@@ -232,7 +232,7 @@
         self._report_untested()
 
     def _report_untested(self) -> None:
-        """Log which routes are promoted without an answer of the target."""
+        """Log the routes that are promoted without an answer of the target."""
         rows = [r for record in self._records() for r in record.rows]
         tested = {r.route for r in rows if r.upstream != evidence.OTHER_VERSIONS}
         untested = {r.route for r in rows} - tested
--- a/spindlenotch/gateway/rollout/decider_rules.py
+++ b/spindlenotch/gateway/rollout/decider_rules.py
@@ -1,9 +1,9 @@
 """
-Who decides on an order, and what is to become of its status.
+Which gateway decides on an order, and which status it writes.
 
-Pure. The decider is the first by rendezvous hashing of the gateways that are ready,
-standby ones before active ones; differing views give two for a while, which do no harm:
-a status is written under a condition, and states only go forward.
+Pure. The decider is the first by rendezvous hashing of the ready gateways, standby ones
+before active ones. Different views may give two deciders for a while, which does no
+harm: status writes are conditional, and states only move forward.
 """
 
 import random
@@ -15,19 +15,20 @@
 from spindlenotch.kernel import ownership, rendezvous
 from spindlenotch.peers import rollout_notes
 
-#: Salt of the hash; part of the choice, so gateways of two releases must agree on it.
+#: Salt of the hash, on which gateways of two releases must agree to choose alike.
 SALT = "rollout"
-#: The decider and those that take over from it.
+#: Number of candidates: the decider and those that take over from it.
 CANDIDATE_COUNT = 3
-#: Gateways beside the decider that get a record each round, drawn anew each time: so
-#: each may judge for itself soon in a small fleet, and what one sends does not grow.
+#: Gateways besides the decider that are sent a record each round, drawn anew each time:
+#: in a small fleet each gateway soon has the evidence, and the messages that one
+#: gateway sends do not grow with the fleet.
 OTHERS_PER_ROUND = 2
-#: The decider is chosen among all gateways, whatever their zone.
+#: Zone of all candidates, as the choice does not depend on their zone.
 ANY_ZONE = ids.ZoneName("")
 
 
 def candidates(service: ids.ServiceName, view: fleet.View) -> list[ids.HostId]:
-    """Return who decides on a service's order, and who would next."""
+    """Return the decider of a service's order, followed by its successors."""
     ready = {record.host for record in view.ready}
     standby = ready - view.active_zones.keys()
     chosen = _chosen(service, standby, CANDIDATE_COUNT)
@@ -41,9 +42,9 @@
     rng: random.Random,
 ) -> list[ids.HostId]:
     """
-    Return who is told in this round what a gateway counted.
+    Return the gateways to which a gateway sends its counts in this round.
 
-    Records are cumulative: the next decider gets all of it within one round.
+    Records are cumulative: a new decider has all counts within one round.
     """
     decider = known_candidates[:1]
     others = sorted({*active, *known_candidates} - {*decider})
@@ -56,7 +57,7 @@
     *,
     is_complete: bool,
 ) -> sources.RolloutState | None:
-    """Return what is to be written after the ``known`` state; None: nothing."""
+    """Return the state to be written after the ``known`` one, None for no write."""
     if known in (sources.RolloutState.COMPLETED, sources.RolloutState.ROLLED_BACK):
         return None
     if phase is rollout_notes.Phase.ROLLED_BACK:
--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -1,10 +1,10 @@
 """
-Carries out orders to change a service's version: the loop, and talk with peers.
+The rollout loop of a gateway: periodic updates, and messages to and from peers.
 
-A few times a second each gateway tells what it counted to those that get callers and
-to those that may decide, judges what it knows, and decides where that is its duty. A
-phase is told to everyone at once, and goes with all gossip after that. Owns one
-decider for each run. What is decided lies in the pure modules beside it.
+A few times a second each gateway sends its counts to active gateways and to the
+candidates for decider, evaluates the evidence, and decides if it is the decider. A new
+phase is announced to every gateway at once, and carried by all gossip after that. Owns
+one decider for each run. The decisions are made in the pure modules beside it.
 """
 
 from spindlenotch import events, ids
@@ -27,10 +27,10 @@
     rollout_notes,
 )
 
-#: Seconds between two rounds: how old evidence is at most where it is judged; short
-#: beside the bound on rollbacks, and few messages beside those of load reports.
+#: Seconds between two updates: the greatest age of the evidence when it is evaluated.
+#: Short relative to the bound on rollbacks, with few messages relative to load reports.
 PERIOD_S = 0.2
-#: Rounds in which a new phase is told to everyone, as datagrams get lost.
+#: Updates in which a new phase is announced to every gateway, as datagrams get lost.
 ANNOUNCE_ROUNDS = 3
 
 
@@ -55,13 +55,13 @@
         self._announce_rounds = 0
 
     async def run(self) -> None:
-        """Drive all runs until cancelled."""
+        """Update all runs until cancelled."""
         while True:
             self.update()
             await self.state.wakeups.sleep(PERIOD_S)
 
     def update(self) -> None:
-        """Judge, decide and tell, once."""
+        """Evaluate the evidence, decide and send, once."""
         now = self.state.clock.now()
         all_runs = self._runs()
         for run in all_runs:
@@ -76,7 +76,7 @@
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Take in a peer's phases and what it counted."""
+        """Apply the phases and the evidence in a peer's message."""
         for phase_note in message.rollout_phases:
             run = self.state.rollouts.apply_note(phase_note)
             if run is not None:
@@ -121,12 +121,12 @@
             self._decider(run).rewrite_final_status(now)
 
     def _roll_back_if_bad(self, one: runs.Run) -> None:
-        """Roll back at once where the evidence shows that the target is bad."""
+        """Roll back at once if the evidence shows that the target is bad."""
         if one.final is not None or one.phase is rollout_notes.Phase.ROLLED_BACK:
             return
         is_decider = one.order.service in self._deciding
         if one.phase is rollout_notes.Phase.PROMOTING and not is_decider:
-            # The decider relies on those that have left the other versions.
+            # The decider relies on the gateways that have left the other versions.
             return
         if is_decider and self._may_be_completed(one):
             return
@@ -192,7 +192,7 @@
         return self._decider_by_run[run]
 
     def _runs(self) -> list[runs.Run]:
-        """Return all runs; those that have ended last, as notes are bounded."""
+        """Return all runs, ended ones last, as the number of notes is bounded."""
         all_runs = self.state.rollouts.run_by_service.values()
         return sorted(all_runs, key=lambda run: run.final is not None)
 
@@ -200,17 +200,17 @@
         for run in [run for run in self._decider_by_run if run not in all_runs]:
             del self._decider_by_run[run]
 
-    # Telling peers
+    # Messages to peers
 
     def _announce(self) -> None:
-        """Tell everyone at once of a phase that this gateway has begun."""
-        # Those that are told pass it on with their gossip only: were each of them to
-        # announce it, one phase would cost messages by the square of the fleet.
+        """Announce a phase begun by this gateway to every gateway at once."""
+        # Receivers pass it on in their gossip only: if each of them announced it,
+        # messages would grow with the square of the fleet size.
         self._announce_rounds = ANNOUNCE_ROUNDS
         self._publish(self._runs())
 
     def _publish(self, all_runs: list[runs.Run]) -> None:
-        """Let all gossip carry the phases; announce new ones."""
+        """Set the phases that gossip carries; announce new ones."""
         later = [
             run for run in all_runs if run.phase is not rollout_notes.Phase.RUNNING
         ]
@@ -229,12 +229,12 @@
         candidates: list[ids.HostId],
         now: ids.Instant,
     ) -> None:
-        """Tell the decider, and some others, what was counted."""
+        """Send the counts to the decider and to some other gateways."""
         active = self.fleet.active_zones()
         local = self.state.local_member.host
         if not run.split.answered and local not in active:
             return
-        # Made anew: it also says whether this gateway follows a phase of just now.
+        # A new record: it also says whether this gateway has applied a phase just set.
         record = run.record(pool, self._left_s(run, now))
         recipients = decider_rules.recipients(
             {*active} - {local}, candidates, self.state.rng
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -1,8 +1,9 @@
 """
-When all requests of a service move to the target of an order, and when that is done.
+When a service's calls move to the target of an order, and when that is completed.
 
-Pure. As late as may be: until then a target that turns bad has had no more than its
-share. So late that the others' work still ends within the order's time.
+Pure. Promotion is as late as possible: until then a target that turns bad has had no
+more than its share. It is early enough for the others' calls in flight to end within
+the order's time.
 """
 
 import enum
@@ -12,32 +13,32 @@
 
 from spindlenotch import ids
 
-#: Seconds before an order's end that promotion takes beyond the work under way: news
-#: of the order came late, the phase and the records travel, the store is written.
+#: Seconds before an order's end that promotion takes beyond the calls in flight: the
+#: order arrived late, the phase and the records propagate, the store is written.
 PROPAGATION_S = 2.0
-#: Most of an order's time that promotion may take.
+#: Greatest part of an order's time that promotion may take.
 MAX_PROMOTION_SHARE = 0.35
-#: How many times its usual time the work under way may take.
+#: Multiple of its typical time that a call in flight may take.
 LONG_CALL_FACTOR = 3.0
-#: Seconds before an order's end until which gateways that are gone are waited for.
+#: Seconds before an order's end until which unreachable gateways are waited for.
 FINAL_WINDOW_S = 0.8
-#: Answers of the target that are enough, however many it was allowed.
+#: Answers of the target that suffice, however many calls it was allowed.
 MIN_ANSWERS = 10.0
-#: Share of the calls it was allowed that it must have answered otherwise: a service
-#: with few requests still has to be able to change its version.
+#: Share of its allowed calls that it must have answered otherwise: a service with few
+#: requests must still be able to change its version.
 MIN_ANSWERED_SHARE = 0.5
-#: Slots of the target by those of the others: fewer would not carry the load.
+#: Least slots of the target relative to the others': fewer would not carry the load.
 MIN_SLOTS_SHARE = 0.7
-#: Seconds for which it is watched after promotion, with all requests, before the others
-#: are given up: twice as long as records are old at most.
+#: Seconds for which the target is watched after promotion, with all requests, before
+#: the others are given up: twice the greatest age of records.
 WATCH_S = 0.4
-#: Seconds after promotion in which some upstreams that look bad are doubt enough, after
-#: them it takes most; and a few may look bad for good.
+#: Seconds after promotion in which evidence from some upstreams blocks completion;
+#: after that it takes most of them, as a few may look bad permanently.
 STRICT_WATCH_S = 1.2
-#: Share of the evidence that shows a bad target from which it is not promoted.
+#: Suspicion, as a share of that of a finding, from which the target is not promoted.
 MAX_SUSPICION = 0.4
-#: The same of the evidence without the worst upstreams, from which the others are not
-#: given up: with all requests it is soon known, and a few bad upstreams hinder nothing.
+#: The same without the worst upstreams, from which the others are not given up: with
+#: all requests the evidence is soon there, and a few bad upstreams block nothing.
 MAX_RESIDUAL_SUSPICION = 0.3
 
 
@@ -57,10 +58,10 @@
 
 class Readiness(msgspec.Struct, frozen=True):
     """
-    What decides whether an order may be promoted; slots are usable, warm ones.
+    Inputs of the decision to promote; only usable, warm slots count.
 
-    ``suspicion`` is 1 where the target is known to be bad. It gave ``answers`` to the
-    ``allowed`` calls it might have had.
+    ``suspicion`` is 1 if the target is known to be bad. It answered ``answers`` of the
+    ``allowed`` calls that it might have had.
     """
 
     target_slots: int
@@ -71,7 +72,7 @@
 
 
 class DrainProgress(msgspec.Struct, frozen=True):
-    """Who has to have left the other versions, who has, and who is in view."""
+    """Gateways that must have left the other versions, that have, and are reachable."""
 
     required: frozenset[ids.HostId]
     drained: frozenset[ids.HostId]
@@ -82,7 +83,7 @@
     """
     Return how many seconds before its end an order is promoted.
 
-    ``typical_s`` are the usual times of the service's routes.
+    ``typical_s`` are the typical times of the service's routes in seconds.
     """
     longest_s = LONG_CALL_FACTOR * max(typical_s, default=0.0)
     return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -1,10 +1,10 @@
 """
-Writes the status of one order into the source, one write at a time.
+Writes the status of one order to the source, one write at a time.
 
-A write whose answer is lost may have been done, or be done later: it is repeated under
-the same condition until the source refuses it or its effect is seen, and while that may
-be so nothing that contradicts it is written. Pauses grow, so that a source that is down
-or refuses is asked a few times only.
+A write whose response is lost may have been applied, or be applied later: it is retried
+under the same condition until the source refuses it or its effect is seen, and until
+then nothing that contradicts it is written. Retries back off, so that a source that is
+down or refuses is called a few times only.
 """
 
 from spindlenotch import events, ids
@@ -13,14 +13,16 @@
 from spindlenotch.kernel import backoff
 from spindlenotch.peers import background
 
-#: Bounds of the pause before a write is repeated, in seconds: half a second is far
-#: above a store's usual answer, and some tries fit into an order's last seconds.
+#: Lower bound of the back-off before a write is retried, in seconds: half a second is
+#: far above a store's usual response time.
 MIN_PAUSE_S = 0.3
+#: Upper bound of that back-off, in seconds: some retries fit into an order's last
+#: seconds.
 MAX_PAUSE_S = 2.0
-#: Seconds that what was written has to come back from the source before it is written
-#: again, which does nothing but meet a conflict.
+#: Seconds in which a written status should be read back from the source before it is
+#: written again, which would only cause a conflict.
 READ_BACK_S = 3.0
-#: Faults after which a write is known not to have been done: turned away or refused.
+#: Faults that mean that a write was not applied: rejected by a limit or refused.
 NOT_APPLIED_FAULTS = (
     sources.SourceFault.OVER_LIMIT,
     sources.SourceFault.HISTORY_GONE,
@@ -32,8 +34,8 @@
     """
     Writes the status of one order.
 
-    Invariant: ``_pending`` is a write whose end is not known, None where there is none;
-    it counts until what it was to replace has changed.
+    Invariant: ``_pending`` is a write whose outcome is not known, None if there is
+    none; it counts until the status that it was to replace has changed.
     """
 
     def __init__(
@@ -54,19 +56,19 @@
 
     @property
     def pending_state(self) -> sources.RolloutState | None:
-        """Return the state of a write whose end is not known; None: there is none."""
+        """Return the state of a write of unknown outcome, None if there is none."""
         if self._pending is None or self._pending.revision != self._known_revision():
-            # What it was to replace has changed: it was done, or never will be.
+            # The status to be replaced has changed: it was applied, or never will be.
             return None
         return self._pending.state
 
     def write(self, wanted: sources.RolloutState, now: ids.Instant) -> None:
-        """Begin to write a state, unless a write is under way or was just made."""
+        """Begin to write a state, unless a write is in progress or was just made."""
         if self._is_writing or now < self._next_at:
             return
         self._is_writing = True
         earlier = None if self.pending_state is None else self._pending
-        # It replaces what was known when it was decided on, nothing read since.
+        # It replaces the status known at the time of the decision, none read since.
         status = sources.RolloutStatus(
             self.order.service, self.order.target, wanted, self._known_revision()
         )
@@ -84,7 +86,7 @@
             self.state.metrics.store_calls.labels("rollout").inc()
             outcome = await self.source.write_rollout_status(self.order, status)
             if outcome in NOT_APPLIED_FAULTS:
-                # But an earlier one under the same condition may be.
+                # An earlier write under the same condition may still be applied.
                 self._pending = earlier
             self._handle_outcome(status, outcome)
         finally:
