--- a/spindlenotch/gateway/rollout/dump.py
+++ b/spindlenotch/gateway/rollout/dump.py
@@ -1,7 +1,7 @@
 """
-What the operators' ``/state`` page shows of orders to change a service's version.
+What the operators' ``/state`` page shows of rollouts.
 
-The types are the page's form, so their fields stay as they are. Changes nothing.
+The types define the page's format, so their fields keep their names. Read-only.
 """
 
 import msgspec
@@ -11,14 +11,14 @@
 from spindlenotch.gateway.cluster import fleet
 from spindlenotch.gateway.rollout import decider_rules, runs
 
-#: Decimal places.
+#: Decimal places of rounded numbers.
 DIGITS = 2
-#: What ``status`` says while nothing is known to have been written.
+#: Value of ``status`` while none is known to have been written.
 NO_STATUS = ""
 
 
 class TestDump(msgspec.Struct):
-    """One test on the target: its likelihood, and the calls since it began anew."""
+    """One test of the target: its likelihood, and the calls since its last restart."""
 
     symptom: str
     route: str
@@ -30,10 +30,10 @@
 
 class RolloutDump(msgspec.Struct):
     """
-    An order; ``status`` is that in the source, ``phase`` how far this gateway has come.
+    An order; ``status`` is that in the source, ``phase`` that of this gateway.
 
-    ``allowed``, ``sent`` and ``answered`` count this gateway's requests, the
-    ``fleet_`` ones those of all that it heard of.
+    ``allowed``, ``sent`` and ``answered`` count this gateway's requests, the ``fleet_``
+    ones those of all gateways that it has records of.
     """
 
     target: ids.SoftwareVersion
@@ -53,7 +53,7 @@
 def create(
     gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
 ) -> dict[ids.ServiceName, RolloutDump]:
-    """Return what this gateway knows of each order."""
+    """Return the state of each rollout as known to this gateway."""
     return {
         service: _rollout(gateway_state, gateway_fleet, run)
         for service, run in gateway_state.rollouts.run_by_service.items()
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -1,9 +1,9 @@
 """
-The orders to change a service's version and their statuses, as the source holds them.
+Orders to change a service's version, and their statuses, as the source holds them.
 
-Owns when each order must have ended, as an instant of this host's clock: the source
-says for how long it may run, peers how much of that is left. Turns them into marks on
-the list of upstreams that goes to peers, and back. Pure.
+Owns the deadline of each order as an instant of this host's clock: the source states
+for how long an order may run, peers how much of that is left. Converts orders and
+statuses to marks on the upstream list that is sent to peers, and back. Pure.
 """
 
 from collections import abc
@@ -18,7 +18,7 @@
     """
     Orders and statuses by service.
 
-    Invariant: each order has its instant in ``end_at_by_service``, which never moves
+    Invariant: each order has its deadline in ``end_at_by_service``, which never moves
     later while the order stands.
     """
 
@@ -40,10 +40,10 @@
         is_stale: bool = False,
     ) -> None:
         """
-        Put what the source holds in place of what is known.
+        Replace orders and statuses with those of a snapshot of the source.
 
-        Where it ``is_stale``, a peer's newer list came while it was read, and what
-        is known of changes since then stays.
+        If the snapshot ``is_stale``, a peer's newer list arrived while it was read, and
+        orders and statuses written since then are kept.
         """
         orders = self.order_by_service
         newer = self._orders_after(snapshot.revision, snapshot.era)
@@ -67,9 +67,9 @@
 
     def change(self, changes: sources.Changes, now: ids.Instant) -> bool:
         """
-        Take in what has changed in the source; tell whether anything had.
+        Apply changes from the source; return whether there were any.
 
-        A watch that lags behind a peer's list takes nothing newer back.
+        A watch may lag behind a peer's list: newer orders and statuses are kept.
         """
         newer = self._orders_after(changes.revision, changes.era)
         for service, order in changes.order_by_service.items():
@@ -83,14 +83,14 @@
         return bool(changes.order_by_service or changes.status_by_service)
 
     def drop_missing(self, now: ids.Instant) -> bool:
-        """Drop orders not rewritten in time after a restore; tell whether any were."""
+        """Drop orders not rewritten in time after a restore; return whether any was."""
         due = [name for name, at in self._drop_at_by_service.items() if at <= now]
         for service in due:
             self._set_order(service, None, now)
         return bool(due)
 
     def written(self, status: sources.RolloutStatus) -> None:
-        """Take in a status that this gateway has written."""
+        """Record a status that this gateway has written."""
         known = self.status_by_service.get(status.service)
         if known is None or known.revision < status.revision:
             self._set_status(status.service, status)
@@ -98,7 +98,7 @@
     def limit_remaining(
         self, service: ids.ServiceName, left_s: float, now: ids.Instant
     ) -> None:
-        """Take in a peer's word on how long an order may run; the shortest counts."""
+        """Apply the time left for an order by a peer, in seconds; the least counts."""
         known = self.end_at_by_service.get(service)
         if known is not None:
             self.end_at_by_service[service] = min(known, ids.later(now, left_s))
@@ -106,7 +106,7 @@
     def status_of(
         self, order: sources.RolloutOrder | None
     ) -> sources.RolloutStatus | None:
-        """Return the status that is about an order; None where there is none yet."""
+        """Return the status of an order, None if there is none yet."""
         if order is None:
             return None
         status = self.status_by_service.get(order.service)
@@ -117,7 +117,7 @@
     def with_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> tuple[sources.ListedUpstream, ...]:
-        """Return a list for peers, with what is known on each upstream it is about."""
+        """Return a list for peers, with the order and status of each one's service."""
         mark_by_service = {name: self._mark(name, now) for name in self.services()}
         return tuple(
             _with_mark(entry, mark_by_service.get(entry.service)) for entry in listed
@@ -127,9 +127,9 @@
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> list[sources.ListedUpstream]:
         """
-        Take in what a peer's list says; return the list without it.
+        Apply the marks in a peer's list; return the list without them.
 
-        Of a service without upstreams the list says nothing, and what is known stays.
+        A service without upstreams is not in the list; what is known of it is kept.
         """
         unmarked = []
         mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
@@ -155,7 +155,7 @@
         self._set_order(service, mark.order, now)
         if mark.order is not None:
             self.limit_remaining(service, mark.left_s, now)
-        # What this gateway has written itself may be newer than the peer's list.
+        # A status that this gateway has written may be newer than the peer's list.
         known = self.status_of(before)
         is_same = before is not None and before == mark.order
         received_revision = 0 if mark.status is None else mark.status.revision
@@ -197,7 +197,7 @@
 
 def is_same_order(known: sources.RolloutOrder, received: sources.RolloutOrder) -> bool:
     """
-    Tell whether a received order is the known one.
+    Return whether a received order is the known one.
 
     An order that is rewritten after a restore has another revision in another era.
     """
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -1,8 +1,8 @@
 """
-The runs of this process, in step with the orders, the statuses and the balancers.
+The rollout runs of this process, in step with orders, statuses and balancers.
 
-Owns one run for each service that has an order, or whose order was taken away while
-upstreams of its target are left. No input or output but log events.
+Owns one run for each service that has an order, or whose order was withdrawn while
+upstreams of its target are left. No I/O except log events.
 """
 
 from collections import abc
@@ -14,9 +14,10 @@
 from spindlenotch.kernel import upstream_pool
 from spindlenotch.peers import rollout_notes
 
-#: Why upstreams get no new work once their version was replaced.
+#: Reason for which upstreams of a replaced version get no new calls.
 REPLACED = "its version was replaced"
-#: A version is spared where its order has gone and the status is not "completed".
+#: Revision of a run without an order: it keeps calls from a version whose order was
+#: withdrawn and whose status is not "completed".
 NO_REVISION = 0
 
 
@@ -24,8 +25,8 @@
     """
     Runs by service.
 
-    Invariant: the split of a service's balancer is that of its run, None without one
-    or where it is completed.
+    Invariant: the split of a service's balancer is that of its run, or None if there is
+    no run or it is completed.
     """
 
     def __init__(self, share: float, gateway_metrics: metrics.Metrics) -> None:
@@ -37,7 +38,7 @@
     def reconcile(
         self, balancer_by_service: abc.Mapping[ids.ServiceName, balancer.Balancer]
     ) -> None:
-        """Bring runs and splits in step with the orders; called after each change."""
+        """Bring runs and splits in line with the orders; called after each change."""
         services = self.orders.services() | set(self.run_by_service)
         for service in sorted(services):
             service_balancer = balancer_by_service.get(service)
@@ -45,15 +46,15 @@
                 self._reconcile_service(service, service_balancer)
 
     def end_at(self, service: ids.ServiceName) -> ids.Instant:
-        """Return when a service's order must have ended."""
+        """Return the deadline of a service's order."""
         return self.orders.end_at_by_service.get(service, ids.NEVER)
 
     def status_of(self, run: runs.Run) -> sources.RolloutStatus | None:
-        """Return the status of a run's order as far as it is known."""
+        """Return the known status of a run's order, None if there is none."""
         return self.orders.status_of(run.order)
 
     def lacks_final_status(self, run: runs.Run) -> bool:
-        """Tell whether the source has lost the final status of a run's order."""
+        """Return whether the source has lost the final status of a run's order."""
         if run.final is None:
             return False
         if self.orders.order_by_service.get(run.order.service) != run.order:
@@ -62,7 +63,7 @@
         return status is None or status.state is sources.RolloutState.RUNNING
 
     def apply_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
-        """Take in a peer's phase; return the run where it is news."""
+        """Apply a peer's phase; return the run if its phase has advanced."""
         run = self.run_by_service.get(note.service)
         if run is None or run.order.revision != note.revision:
             return None
@@ -86,7 +87,7 @@
     def _ensure_run(
         self, order: sources.RolloutOrder, pool: upstream_pool.Pool
     ) -> None:
-        """Begin the run of an order if there is none; take in its status."""
+        """Start the run of an order if there is none, and apply its status."""
         known = self.run_by_service.get(order.service)
         status = self.orders.status_of(order)
         is_final = (
@@ -119,7 +120,7 @@
     def _excluded_versions(
         self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> frozenset[ids.SoftwareVersion]:
-        """Return the versions that earlier orders tried and did not complete."""
+        """Return the versions of earlier orders that were not completed."""
         held: set[ids.SoftwareVersion] = set()
         if (
             previous is not None
@@ -148,7 +149,7 @@
         status: sources.RolloutStatus | None,
         pool: upstream_pool.Pool,
     ) -> None:
-        """Give the upstreams that a completed order replaced no new work."""
+        """Stop new calls to the upstreams that a completed order replaced."""
         if status is None or status.state is not sources.RolloutState.COMPLETED:
             return
         replaced = [
@@ -158,7 +159,7 @@
             pool.leave(upstream.spec.id, upstream.spec.generation, REPLACED)
 
     def _end_run(self, service: ids.ServiceName, pool: upstream_pool.Pool) -> None:
-        """Spare the target of an order that has gone while it has upstreams."""
+        """Keep calls from the target of a withdrawn order while it has upstreams."""
         known = self.run_by_service.get(service)
         if known is None:
             known = self._begin_without_order(service)
@@ -172,7 +173,7 @@
             events.emit(events.Event.ROLLOUT_WITHDRAWN, service=service, target=target)
 
     def _begin_without_order(self, service: ids.ServiceName) -> runs.Run | None:
-        """Return the run that spares a version whose status is not completed."""
+        """Start a run that keeps calls from a version that was not completed."""
         status = self.orders.status_by_service.get(service)
         if status is None or not _is_incomplete(status):
             return None
@@ -181,6 +182,6 @@
 
 
 def _is_incomplete(status: sources.RolloutStatus) -> bool:
-    """Tell whether a version was tried and did not take over."""
+    """Return whether a status is about a version that has not taken over."""
     is_completed = status.state is sources.RolloutState.COMPLETED
     return status.target != sources.NO_TARGET and not is_completed
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -1,10 +1,9 @@
 """
-What one process does for one order to change a service's version.
+The state of one process for one order to change a service's version.
 
-Owns the split of the service's calls, what was counted since the order and how far it
-has come. Phases only go forward: running, promoting, rolled back; a final status of
-the source comes last. No input or output; ``registry`` makes runs, ``loop`` drives
-them.
+Owns the split of the service's calls, the counts since the order and the phase. Phases
+only move forward: running, promoting, rolled back; a final status of the source comes
+last. No I/O; ``registry`` creates runs, ``loop`` drives them.
 """
 
 import msgspec
@@ -16,10 +15,10 @@
 from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import rollout_notes
 
-#: Share of the operator's bound that gateways use: calls under way at the end and
-#: answers that were counted but did not reach the service are within the rest.
+#: Part of the operator's limit that gateways use: the rest covers calls in flight at
+#: the end and answers that were counted but did not reach the service.
 SHARE_MARGIN = 0.8
-#: What the metric shows of a completed order, beyond the phases.
+#: Value of the phase metric for a completed order, above all phases.
 COMPLETED_VALUE = 4
 
 ACCESS_BY_PHASE = {
@@ -33,9 +32,9 @@
     """
     One order in one process.
 
-    Invariants: ``phase`` never falls, ``final`` never changes once set. ``had_others``:
-    since the order there were upstreams to be replaced; without any the target gets all
-    calls. ``reason`` says why it was rolled back.
+    Invariants: ``phase`` never decreases, ``final`` never changes once set.
+    ``had_others``: since the order there were upstreams to be replaced; without any the
+    target gets all calls. ``reason`` says why it was rolled back.
     """
 
     def __init__(
@@ -61,7 +60,7 @@
         self._relative_slowdown = 1.0
 
     def raise_phase(self, phase: rollout_notes.Phase) -> bool:
-        """Go on to a phase; tell whether it is later than the one before."""
+        """Advance to a phase; return whether it is later than the current one."""
         if phase <= self.phase or self.final is not None:
             return False
         self.phase = phase
@@ -69,7 +68,7 @@
         return True
 
     def finish(self, final: sources.RolloutState) -> bool:
-        """Take in the final status; tell whether it is news."""
+        """Apply the final status; return whether it is new."""
         if self.final is not None or final is sources.RolloutState.RUNNING:
             return False
         self.final = final
@@ -79,14 +78,14 @@
         return True
 
     def update_upstreams(self, pool: upstream_pool.Pool) -> None:
-        """Note which upstreams there are."""
+        """Update the count of the target's upstreams and whether there were others."""
         self.had_others |= any(self.is_other(u) for u in pool.usable_order)
         versions = [u.spec.version for u in pool.usable_order]
         self.analysis.target_upstreams = max(1, versions.count(self.order.target))
         self._set_access()
 
     def is_other(self, upstream: upstreams.Upstream) -> bool:
-        """Tell whether an upstream may do the service's work until the target does."""
+        """Return whether an upstream may serve calls until the target takes over."""
         version = upstream.spec.version
         return version != self.order.target and version not in self.split.held
 
@@ -112,7 +111,7 @@
         self.metrics.rollout_time.labels(*labels).observe(now - grant.sent_at)
 
     def is_empty(self, pool: upstream_pool.Pool) -> bool:
-        """Tell whether it is left to the target and nothing is under way elsewhere."""
+        """Return whether only the target gets calls and none is in flight elsewhere."""
         if self.split.access is not traffic_split.Access.TARGET_ONLY:
             return False
         others = (
@@ -125,7 +124,7 @@
     def record(
         self, pool: upstream_pool.Pool, left_s: float
     ) -> rollout_notes.EvidenceRecord:
-        """Return what was counted until now; the order may run ``left_s`` yet."""
+        """Return the counts until now; the order may run ``left_s`` more seconds."""
         self._number += 1
         return rollout_notes.EvidenceRecord(
             service=self.order.service,
@@ -145,26 +144,26 @@
         record: rollout_notes.EvidenceRecord,
         now: ids.Instant,
     ) -> None:
-        """Take in a record of this process or of another one."""
+        """Merge a record of this process or of another one."""
         delta = self.merged.merge_record(source, record)
         if delta is not None:
             self.analysis.add(delta, now)
             self.split.passed_over |= self.analysis.bad_upstreams()
 
     def phase_note(self) -> rollout_notes.PhaseNote:
-        """Return what peers are told of the phase."""
+        """Return the note that tells peers the phase."""
         order = self.order
         return rollout_notes.PhaseNote(order.service, order.revision, self.phase)
 
     def update_relative_slowdown(self, pool: upstream_pool.Pool) -> None:
-        """Learn from the upstreams' reports how slow the target itself is."""
+        """Update the target's own slowdown from the upstreams' reports."""
         usable = pool.usable_order
         target = [u for u in usable if u.spec.version == self.order.target]
         others = [u for u in usable if self.is_other(u)]
         self._relative_slowdown = evidence.relative_slowdown(target, others)
 
     def update_metrics(self) -> None:
-        """Bring the metrics up to date."""
+        """Set the metrics of the run."""
         labels = (self.order.service, self.order.target)
         is_completed = self.final is sources.RolloutState.COMPLETED
         value = COMPLETED_VALUE if is_completed else int(self.phase)
