--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -88,20 +88,20 @@
         self, order: sources.RolloutOrder, pool: upstream_pool.Pool
     ) -> None:
         """Start the run of an order if there is none, and apply its status."""
-        known = self.run_by_service.get(order.service)
+        run = self.run_by_service.get(order.service)
         status = self.orders.status_of(order)
         is_final = (
             status is not None and status.state is not sources.RolloutState.RUNNING
         )
-        if known is None or not orders.is_same_order(known.order, order):
-            known = self._begin(order, known)
+        if run is None or not orders.is_same_order(run.order, order):
+            run = self._begin(order, run)
             if not is_final:
-                self._report_begin(known)
-        elif is_final and known.final is None:
-            self._retire_replaced(known, status, pool)
+                self._report_begin(run)
+        elif is_final and run.final is None:
+            self._retire_replaced(run, status, pool)
         # A rewritten order has another revision and era, but its run keeps its counts.
-        known.order = order
-        if status is not None and known.finish(status.state):
+        run.order = order
+        if status is not None and run.finish(status.state):
             events.emit(
                 events.Event.ROLLOUT_ENDED,
                 service=order.service,
@@ -145,31 +145,29 @@
 
     def _retire_replaced(
         self,
-        known: runs.Run,
+        run: runs.Run,
         status: sources.RolloutStatus | None,
         pool: upstream_pool.Pool,
     ) -> None:
         """Stop new calls to the upstreams that a completed order replaced."""
         if status is None or status.state is not sources.RolloutState.COMPLETED:
             return
-        replaced = [
-            u for u in pool.usable_order if u.spec.version != known.order.target
-        ]
+        replaced = [u for u in pool.usable_order if u.spec.version != run.order.target]
         for upstream in replaced:
             pool.leave(upstream.spec.id, upstream.spec.generation, REPLACED)
 
     def _end_run(self, service: ids.ServiceName, pool: upstream_pool.Pool) -> None:
         """Keep calls from the target of a withdrawn order while it has upstreams."""
-        known = self.run_by_service.get(service)
-        if known is None:
-            known = self._begin_without_order(service)
-        if known is None:
+        run = self.run_by_service.get(service)
+        if run is None:
+            run = self._begin_without_order(service)
+        if run is None:
             return
-        target = known.order.target
+        target = run.order.target
         has_target = any(u.spec.version == target for u in pool.usable_order)
-        if known.final is sources.RolloutState.COMPLETED or not has_target:
+        if run.final is sources.RolloutState.COMPLETED or not has_target:
             self.run_by_service.pop(service, None)
-        elif known.finish(sources.RolloutState.ROLLED_BACK):
+        elif run.finish(sources.RolloutState.ROLLED_BACK):
             events.emit(events.Event.ROLLOUT_WITHDRAWN, service=service, target=target)
 
     def _begin_without_order(self, service: ids.ServiceName) -> runs.Run | None:
