--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -51,14 +51,16 @@
     def update(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
         """Promote, complete or roll back, and have the status written."""
         self.writer.order = self.run.order
-        is_settled = self.writer.pending_state is not sources.RolloutState.COMPLETED
+        is_completion_settled = (
+            self.writer.pending_state is not sources.RolloutState.COMPLETED
+        )
         if self.run.phase is rollout_notes.Phase.RUNNING:
             self._promote(pool, now)
-        is_complete = not is_settled or self._is_complete(now)
+        is_complete = not is_completion_settled or self._is_complete(now)
         status = self.state.rollouts.status_of(self.run)
         known = None if status is None else status.state
         phase = self.run.phase
-        if not is_settled:
+        if not is_completion_settled:
             # The write may have been applied: until that is known nothing else is safe.
             phase = rollout_notes.Phase.PROMOTING
         wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
