--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -44,7 +44,7 @@
         self.quorum = known_quorum
         self.writer = writer
         self.run = run
-        self._reported: set[promotion.Blocker] = set()
+        self._reported_blockers: set[promotion.Blocker] = set()
         self._watch_until = ids.NEVER
         self._strict_until = ids.NEVER
 
@@ -195,9 +195,9 @@
 
     def _report(self, blocker: promotion.Blocker) -> None:
         """Log once why an order can't proceed."""
-        if blocker in self._reported:
+        if blocker in self._reported_blockers:
             return
-        self._reported.add(blocker)
+        self._reported_blockers.add(blocker)
         progress = self._drain_progress()
         events.emit(
             events.Event.ROLLOUT_HINDERED,
