--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -80,14 +80,14 @@
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             return
         end_at = self.state.rollouts.end_at(self.run.order.service)
-        ready = self._readiness(pool, now)
-        blocker = promotion.promotion_blocker(ready, self._promote_at(end_at), now)
+        readiness = self._readiness(pool, now)
+        blocker = promotion.promotion_blocker(readiness, self._promote_at(end_at), now)
         if blocker is promotion.Blocker.NONE and not self.quorum.of_fleet():
             # Without a quorum the order could not be completed after the move.
             blocker = promotion.Blocker.NO_QUORUM
         if blocker is promotion.Blocker.NONE:
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
-            self._report_promotion(ready)
+            self._report_promotion(readiness)
         elif now >= end_at:
             self._roll_back_overdue(blocker)
         elif blocker is not promotion.Blocker.EARLY:
@@ -208,18 +208,18 @@
             missing=",".join(sorted(progress.required - progress.drained)),
         )
 
-    def _report_promotion(self, ready: promotion.Readiness) -> None:
+    def _report_promotion(self, readiness: promotion.Readiness) -> None:
         order = self.run.order
         events.emit(
             events.Event.ROLLOUT_PROMOTING,
             service=order.service,
             target=order.target,
-            answers=ready.answers,
+            answers=readiness.answers,
             sent=self.run.merged.sent(),
             answered=self.run.merged.answered(),
-            target_slots=ready.target_slots,
-            other_slots=ready.other_slots,
-            suspicion=round(ready.suspicion, 2),
+            target_slots=readiness.target_slots,
+            other_slots=readiness.other_slots,
+            suspicion=round(readiness.suspicion, 2),
         )
         counts = self._target_counts()
         events.emit(
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -90,18 +90,18 @@
 
 
 def promotion_blocker(
-    ready: Readiness, promote_at: ids.Instant, now: ids.Instant
+    readiness: Readiness, promote_at: ids.Instant, now: ids.Instant
 ) -> Blocker:
     """Return why an order is not promoted now."""
     if now < promote_at:
         return Blocker.EARLY
-    if not ready.target_slots:
+    if not readiness.target_slots:
         return Blocker.NO_UPSTREAMS
-    if ready.target_slots < MIN_SLOTS_SHARE * ready.other_slots:
+    if readiness.target_slots < MIN_SLOTS_SHARE * readiness.other_slots:
         return Blocker.TOO_FEW_SLOTS
-    if ready.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * ready.allowed):
+    if readiness.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * readiness.allowed):
         return Blocker.FEW_ANSWERS
-    if ready.suspicion >= MAX_SUSPICION:
+    if readiness.suspicion >= MAX_SUSPICION:
         return Blocker.SUSPECTED
     return Blocker.NONE
 
