--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -211,11 +211,11 @@
 
     def _publish(self, all_runs: list[runs.Run]) -> None:
         """Set the phases that gossip carries; announce new ones."""
-        later = [
+        advanced = [
             run for run in all_runs if run.phase is not rollout_notes.Phase.RUNNING
         ]
         notes = tuple(
-            run.phase_note() for run in later[: rollout_notes.NOTES_PER_MESSAGE]
+            run.phase_note() for run in advanced[: rollout_notes.NOTES_PER_MESSAGE]
         )
         self.state.gossip.rollout_phases = notes
         if self._announce_rounds:
