--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -110,7 +110,7 @@
             before = run.phase
             self._decider(run).update(pool, now)
             if run.phase is not before:
-                self._announce()
+                self._announce_phase()
         self._send_evidence(run, pool, candidates, now)
 
     def _rewrite_final_status(self, run: runs.Run, now: ids.Instant) -> None:
@@ -147,7 +147,7 @@
             sent=one.merged.sent(),
             answered=one.merged.answered(),
         )
-        self._announce()
+        self._announce_phase()
 
     def _left_s(self, run: runs.Run, now: ids.Instant) -> float:
         return self.state.rollouts.end_at(run.order.service) - now
@@ -202,7 +202,7 @@
 
     # Messages to peers
 
-    def _announce(self) -> None:
+    def _announce_phase(self) -> None:
         """Announce a phase begun by this gateway to every gateway at once."""
         # Receivers pass it on in their gossip only: if each of them announced it,
         # messages would grow with the square of the fleet size.
