--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -71,7 +71,7 @@
             elif self.state.rollouts.lacks_final_status(run):
                 self._rewrite_final_status(run, now)
         self._drop_old_deciders(all_runs)
-        self._publish(all_runs)
+        self._publish_phases(all_runs)
 
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
@@ -207,9 +207,9 @@
         # Receivers pass it on in their gossip only: if each of them announced it,
         # messages would grow with the square of the fleet size.
         self._announce_rounds = ANNOUNCE_ROUNDS
-        self._publish(self._runs())
+        self._publish_phases(self._runs())
 
-    def _publish(self, all_runs: list[runs.Run]) -> None:
+    def _publish_phases(self, all_runs: list[runs.Run]) -> None:
         """Set the phases that gossip carries; announce new ones."""
         advanced = [
             run for run in all_runs if run.phase is not rollout_notes.Phase.RUNNING
