--- a/spindlenotch/gateway/rollout/loop.py
+++ b/spindlenotch/gateway/rollout/loop.py
@@ -51,7 +51,7 @@
         self.quorum = quorum.Quorum(gateway_state, gateway_fleet)
         self.tasks = background.BackgroundTasks()
         self._decider_by_run: dict[runs.Run, decider.Decider] = {}
-        self._deciding: set[ids.ServiceName] = set()
+        self._decided_services: set[ids.ServiceName] = set()
         self._announce_rounds = 0
 
     async def run(self) -> None:
@@ -106,7 +106,7 @@
         candidates = decider_rules.candidates(run.order.service, self.fleet.view())
         self._set_decider_role(run, is_decider=candidates[:1] == [local.host])
         self._roll_back_if_bad(run)
-        if run.order.service in self._deciding:
+        if run.order.service in self._decided_services:
             before = run.phase
             self._decider(run).update(pool, now)
             if run.phase is not before:
@@ -117,14 +117,14 @@
         candidates = decider_rules.candidates(run.order.service, self.fleet.view())
         local = self.state.gossip.local
         self._set_decider_role(run, is_decider=candidates[:1] == [local.host])
-        if run.order.service in self._deciding:
+        if run.order.service in self._decided_services:
             self._decider(run).rewrite_final_status(now)
 
     def _roll_back_if_bad(self, one: runs.Run) -> None:
         """Roll back at once if the evidence shows that the target is bad."""
         if one.final is not None or one.phase is rollout_notes.Phase.ROLLED_BACK:
             return
-        is_decider = one.order.service in self._deciding
+        is_decider = one.order.service in self._decided_services
         if one.phase is rollout_notes.Phase.PROMOTING and not is_decider:
             # The decider relies on the gateways that have left the other versions.
             return
@@ -170,12 +170,12 @@
 
     def _set_decider_role(self, run: runs.Run, *, is_decider: bool) -> None:
         service = run.order.service
-        if is_decider == (service in self._deciding):
+        if is_decider == (service in self._decided_services):
             return
         if is_decider:
-            self._deciding.add(service)
+            self._decided_services.add(service)
         else:
-            self._deciding.discard(service)
+            self._decided_services.discard(service)
         self.state.metrics.rollout_decides.labels(service).set(int(is_decider))
         events.emit(
             events.Event.ROLLOUT_DECIDER, service=service, decides=int(is_decider)
