--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -54,12 +54,12 @@
         now = self.clock.now()
         for stored in stored_quarantines:
             self.stored_by_fingerprint[stored.note.fingerprint] = stored
-            left_s = stored.until_unix_s - self.clock.unix_s()
+            remaining_s = stored.until_unix_s - self.clock.unix_s()
             if not stored.note.depth:
                 # The quarantine has ended: older notes of it no longer count.
                 self.known.merge(stored.note, now)
-            elif left_s > 0.0:
-                self.known.merge(stored.note, now, ids.later(now, left_s))
+            elif remaining_s > 0.0:
+                self.known.merge(stored.note, now, ids.later(now, remaining_s))
 
     def _is_stored(self, fingerprint: ids.Fingerprint, round_: int) -> bool:
         stored = self.stored_by_fingerprint.get(fingerprint)
@@ -70,9 +70,9 @@
     def _to_store(self, fingerprint: ids.Fingerprint) -> sources.StoredQuarantine:
         kept = self.known.kept_by_fingerprint[fingerprint]
         stored = self.stored_by_fingerprint.get(fingerprint)
-        left_s = kept.until - self.clock.now()
+        remaining_s = kept.until - self.clock.now()
         return sources.StoredQuarantine(
             kept.note,
-            self.clock.unix_s() + left_s,
+            self.clock.unix_s() + remaining_s,
             0 if stored is None else stored.revision,
         )
