--- a/spindlenotch/gateway/rollout/evidence_merging.py
+++ b/spindlenotch/gateway/rollout/evidence_merging.py
@@ -44,12 +44,12 @@
             return None
         self.record_by_source[source] = record
         before = _counts_by_cell(known)
-        found: dict[evidence.Cell, rollout_notes.Counts] = {}
+        new_by_cell: dict[evidence.Cell, rollout_notes.Counts] = {}
         for cell, counts in _counts_by_cell(record).items():
             new = counts.minus(before.get(cell, rollout_notes.NO_COUNTS))
             if new != rollout_notes.NO_COUNTS:
-                found[cell] = new
-        return Delta(source, found)
+                new_by_cell[cell] = new
+        return Delta(source, new_by_cell)
 
     def newest_by_host(
         self, incarnation_by_host: abc.Mapping[ids.HostId, ids.Incarnation]
