--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -93,8 +93,8 @@
 
     def residual_suspicion(self) -> float:
         """Return the highest ``without_worst`` of the tests, by the threshold."""
-        found = (test.without_worst() for test in self.test_by_key.values())
-        return max(found, default=0.0) / sequential_test.THRESHOLD
+        likelihoods = (test.without_worst() for test in self.test_by_key.values())
+        return max(likelihoods, default=0.0) / sequential_test.THRESHOLD
 
     def bad_upstreams(self) -> set[ids.UpstreamId]:
         """Return the upstreams of the target that look bad individually."""
