--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -67,7 +67,7 @@
         """Add a process's new counts: the other versions first, then the target."""
         for (route, upstream_id), counts in delta.counts_by_cell.items():
             if upstream_id == evidence.OTHER_VERSIONS:
-                self._add_others(delta.source, route, counts, now)
+                self._add_baseline(delta.source, route, counts, now)
         for (route, upstream_id), counts in delta.counts_by_cell.items():
             if upstream_id != evidence.OTHER_VERSIONS:
                 self._add_target(delta.source, route, upstream_id, counts, now)
@@ -104,7 +104,7 @@
             for upstream_id in test.bad_upstreams()
         }
 
-    def _add_others(
+    def _add_baseline(
         self,
         source: evidence_merging.Source,
         route: str,
