--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -48,15 +48,17 @@
         orders = self.order_by_service
         newer = self._orders_after(snapshot.revision, snapshot.era)
         newer = newer if is_stale else set()
-        found = {n: o for n, o in snapshot.order_by_service.items() if n not in newer}
-        for service in orders.keys() - found.keys() - newer:
+        snapshot_orders = {
+            n: o for n, o in snapshot.order_by_service.items() if n not in newer
+        }
+        for service in orders.keys() - snapshot_orders.keys() - newer:
             if _is_later_era(snapshot.era, orders[service].era):
                 # The backup may predate the order: allow time to write it again.
                 drop_at = ids.later(now, withdrawals.WITHHOLD_S)
                 self._drop_at_by_service.setdefault(service, drop_at)
             elif service not in snapshot.unreadable_orders:
                 self._set_order(service, None, now)
-        for service, order in found.items():
+        for service, order in snapshot_orders.items():
             self._set_order(service, _with_era(order, snapshot.era), now)
         known = self.status_by_service
         newer = _written_after(snapshot.revision, known) if is_stale else set()
