--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -23,8 +23,7 @@
 MAX_ROUTES = 8
 #: Name under which the other routes are counted.
 OTHER_ROUTES = ""
-#: Id under which upstreams of the target beyond the rows of a record are counted
-#: together.
+#: Id under which the target's upstreams beyond a record's rows are counted together.
 OTHER_UPSTREAMS = ids.UpstreamId("*")
 #: Id under which all upstreams of other versions are counted together.
 OTHER_VERSIONS = ids.UpstreamId("")
@@ -141,8 +140,9 @@
     upstream refused without running it does not count.
     """
     is_slow = now - grant.sent_at > SLOW_FACTOR * expected_s
-    # By what was known when the call was sent: a long call gets its upstream ejected
-    # and, once answered, taken to be cold, so that no slow answer would be timed.
+    # Based on what was known when the call was sent, not at its end: a long call gets
+    # its upstream ejected and, once answered, taken to be cold, so that no slow answer
+    # would be timed.
     is_timed = not grant.to_cold
     if result is upstreams.Result.CANCELLED:
         overdue = int(is_slow and is_timed)
