--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -79,8 +79,10 @@
 
     def update_upstreams(self, pool: upstream_pool.Pool) -> None:
         """Update the count of the target's upstreams and whether there were others."""
-        self.had_others |= any(self.is_other(u) for u in pool.usable_order)
-        versions = [u.spec.version for u in pool.usable_order]
+        self.had_others |= any(
+            self.is_other(upstream) for upstream in pool.usable_order
+        )
+        versions = [upstream.spec.version for upstream in pool.usable_order]
         self.analysis.target_upstreams = max(1, versions.count(self.order.target))
         self._set_access()
 
@@ -115,11 +117,11 @@
         if self.split.access is not traffic_split.Access.TARGET_ONLY:
             return False
         others = (
-            u
-            for u in pool.upstream_by_id.values()
-            if u.spec.version != self.order.target
+            upstream
+            for upstream in pool.upstream_by_id.values()
+            if upstream.spec.version != self.order.target
         )
-        return not any(u.outstanding for u in others)
+        return not any(upstream.outstanding for upstream in others)
 
     def record(
         self, pool: upstream_pool.Pool, left_s: float
@@ -158,8 +160,12 @@
     def update_relative_slowdown(self, pool: upstream_pool.Pool) -> None:
         """Update the target's own slowdown from the upstreams' reports."""
         usable = pool.usable_order
-        target = [u for u in usable if u.spec.version == self.order.target]
-        others = [u for u in usable if self.is_other(u)]
+        target = [
+            upstream
+            for upstream in usable
+            if upstream.spec.version == self.order.target
+        ]
+        others = [upstream for upstream in usable if self.is_other(upstream)]
         self._relative_slowdown = evidence.relative_slowdown(target, others)
 
     def update_metrics(self) -> None:
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -409,7 +409,7 @@
     Mutant(
         "an order is completed while calls run on what it replaces",
         "gateway/rollout/runs",
-        "return not any(u.outstanding for u in others)",
+        "return not any(upstream.outstanding for upstream in others)",
         "return True",
         held_by="a good version is completed in time, whatever else fails",
     ),
