--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -149,14 +149,22 @@
         self, pool: upstream_pool.Pool, now: ids.Instant
     ) -> promotion.Readiness:
         warm_upstreams = [
-            u
-            for u in pool.usable_order
-            if u.state in USABLE and not u.cold.is_cold(now)
+            upstream
+            for upstream in pool.usable_order
+            if upstream.state in USABLE and not upstream.cold.is_cold(now)
         ]
         counts = self._target_counts()
         return promotion.Readiness(
-            target_slots=sum(u.slots for u in warm_upstreams if self._is_target(u)),
-            other_slots=sum(u.slots for u in warm_upstreams if self.run.is_other(u)),
+            target_slots=sum(
+                upstream.slots
+                for upstream in warm_upstreams
+                if self._is_target(upstream)
+            ),
+            other_slots=sum(
+                upstream.slots
+                for upstream in warm_upstreams
+                if self.run.is_other(upstream)
+            ),
             answers=counts.judged,
             allowed=self.run.split.share * self.run.merged.answered(),
             suspicion=self.run.analysis.suspicion(),
