--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -190,9 +190,13 @@
 
     def _target_counts(self) -> rollout_notes.Counts:
         """Return the counts of the target, summed over all gateways."""
-        rows = [r for record in self._records() for r in record.rows if r.upstream]
+        rows = [
+            row for record in self._records() for row in record.rows if row.upstream
+        ]
         return functools.reduce(
-            rollout_notes.Counts.plus, (r.counts for r in rows), rollout_notes.NO_COUNTS
+            rollout_notes.Counts.plus,
+            (row.counts for row in rows),
+            rollout_notes.NO_COUNTS,
         )
 
     def _records(self) -> list[rollout_notes.EvidenceRecord]:
@@ -243,9 +247,9 @@
 
     def _report_untested(self) -> None:
         """Log the routes that are promoted without an answer of the target."""
-        rows = [r for record in self._records() for r in record.rows]
-        tested = {r.route for r in rows if r.upstream != evidence.OTHER_VERSIONS}
-        untested = {r.route for r in rows} - tested
+        rows = [row for record in self._records() for row in record.rows]
+        tested = {row.route for row in rows if row.upstream != evidence.OTHER_VERSIONS}
+        untested = {row.route for row in rows} - tested
         if untested:
             events.emit(
                 events.Event.ROLLOUT_UNTESTED,
