--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -128,7 +128,7 @@
         """Return recently changed notes and one quarantined request in rotation."""
         max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_notes:]
-        notes = {one: self.known.note(one) for one in newest}
+        notes = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
         quarantined = list(self.known.quarantined())
         if quarantined:
             self._next_index = (self._next_index + 1) % len(quarantined)
