--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -152,7 +152,11 @@
         """Stop new calls to the upstreams that a completed order replaced."""
         if status is None or status.state is not sources.RolloutState.COMPLETED:
             return
-        replaced = [u for u in pool.usable_order if u.spec.version != run.order.target]
+        replaced = [
+            candidate
+            for candidate in pool.usable_order
+            if candidate.spec.version != run.order.target
+        ]
         for upstream in replaced:
             pool.leave(upstream.spec.id, upstream.spec.generation, REPLACED)
 
@@ -164,7 +168,9 @@
         if run is None:
             return
         target = run.order.target
-        has_target = any(u.spec.version == target for u in pool.usable_order)
+        has_target = any(
+            candidate.spec.version == target for candidate in pool.usable_order
+        )
         if run.final is sources.RolloutState.COMPLETED or not has_target:
             self.run_by_service.pop(service, None)
         elif run.finish(sources.RolloutState.ROLLED_BACK):
