--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -176,7 +176,7 @@
         running = {host: peer.record.incarnation for host, peer in known.items()}
         running[local] = self.state.gossip.local.incarnation
         newest = self.run.merged.newest_by_host(running)
-        took_part = {h for h, record in newest.items() if record.answered}
+        took_part = {member for member, record in newest.items() if record.answered}
         reachable = {
             host
             for host, peer in known.items()
@@ -184,7 +184,9 @@
         }
         return promotion.DrainProgress(
             required=frozenset({local, *took_part, *self.fleet.active_zones()}),
-            drained=frozenset(h for h, record in newest.items() if record.is_empty),
+            drained=frozenset(
+                member for member, record in newest.items() if record.is_empty
+            ),
             reachable=frozenset({local, *reachable}),
         )
 
