--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -65,7 +65,9 @@
         self.known.expire(now)
         self.watch.check_ended()
         self._process_changes(now)
-        for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
+        for fingerprint in [
+            outdated for outdated, at in self._recent_until.items() if at <= now
+        ]:
             del self._recent_until[fingerprint]
         self.state.gossip.crashes = self._notes_to_gossip()
         if self._announce_rounds:
