--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -17,10 +17,10 @@
 from spindlenotch.decisions import verdicts
 from spindlenotch.gateway.rollout import (
     analysis,
-    deciding,
+    decider_rules,
     evidence,
+    evidence_merging,
     loop,
-    merging,
     promotion,
     runs,
     sequential_test,
@@ -115,16 +115,18 @@
 
     world = worlds.played(worlds.Plan(seed=1, by_s=8.0, per_s=60.0, disturb=disturb))
     assert not rollout_trials.complaints(world), rollout_trials.complaints(world)
-    latest_s = world.plan.by_s - promotion.LAST_CALL_S
+    latest_s = world.plan.by_s - promotion.FINAL_WINDOW_S
     assert world.seen.statuses[-1][0] >= latest_s, world.seen.statuses
 
 
 @kernel.PROPERTIES.register("what an ended process said does not count for the next")
 def ended_process() -> None:
     host = ids.HostId("h")
-    first, second = (merging.Source(host, ids.Incarnation(name)) for name in "ab")
-    merged = merging.Merged()
-    merged.take(first, record(1, 0))
+    first, second = (
+        evidence_merging.Source(host, ids.Incarnation(name)) for name in "ab"
+    )
+    merged = evidence_merging.MergedEvidence()
+    merged.merge_record(first, record(1, 0))
     assert merged.newest_by_host({host: first.incarnation}) == {host: record(1, 0)}
     assert not merged.newest_by_host({host: second.incarnation})
     assert merged.newest_by_host({}) == {host: record(1, 0)}
@@ -255,14 +257,14 @@
 @kernel.PROPERTIES.register("no evidence counts twice, however often it is told")
 def counted_once() -> None:
     rng = random.Random(1)
-    merged = merging.Merged()
+    merged = evidence_merging.MergedEvidence()
     sources_of = [
-        merging.Source(ids.HostId("h"), ids.Incarnation(name)) for name in "ab"
+        evidence_merging.Source(ids.HostId("h"), ids.Incarnation(name)) for name in "ab"
     ]
     told = [(source, record(n, 3 * n)) for source in sources_of for n in range(1, 20)]
     total = 0
     for source, one in rng.choices(told, k=300) + told[-1:] + told[18:19]:
-        delta = merged.take(source, one)
+        delta = merged.merge_record(source, one)
         if delta is not None:
             total += sum(counts.failed for counts in delta.counts_by_cell.values())
     assert total == 2 * 3 * 19, total
@@ -271,11 +273,11 @@
 @kernel.PROPERTIES.register("a few bad upstreams are not taken for their version")
 def not_the_version() -> None:
     test = sequential_test.Test()
-    test.available = 10
+    test.target_upstreams = 10
     for number in itertools.chain((1, 2) * 20):
         upstream_id = ids.UpstreamId(f"u{number}")
         test.add(upstream_id, sequential_test.Tally(1, 1), rate=0.01, effect=0.1)
-    assert test.likelihood > 5 * sequential_test.BOUND
+    assert test.likelihood > 5 * sequential_test.THRESHOLD
     assert test.suspicion() < 1.0
     for number in range(3, 9):
         upstream_id = ids.UpstreamId(f"u{number}")
@@ -287,8 +289,8 @@
 def alike() -> None:
     rng = random.Random(5)
     judged = analysis.Analysis()
-    judged.available = 8
-    source = merging.Source(ids.HostId("h"), ids.Incarnation("a"))
+    judged.target_upstreams = 8
+    source = evidence_merging.Source(ids.HostId("h"), ids.Incarnation("a"))
     for step in range(100):
         at_s = 0.2 * step
         share = 0.4 if 4.0 < at_s < 12.0 else 0.01
@@ -296,7 +298,7 @@
             ("read", evidence.OTHER_VERSIONS): drawn(rng, 40, share),
             ("read", ids.UpstreamId(f"u{step % 5}")): drawn(rng, 4, share),
         }
-        judged.add(merging.Delta(source, counts_by_cell), ids.later(NOW, at_s))
+        judged.add(evidence_merging.Delta(source, counts_by_cell), ids.later(NOW, at_s))
         assert judged.finding() is None, (at_s, judged.finding())
 
 
@@ -330,7 +332,7 @@
         world.play(seconds)
         rounds = seconds / loop.PERIOD_S + 1
         most = max(link.count for link in links)
-        assert most <= rounds * (1 + deciding.OTHERS_PER_ROUND), (gateways, most)
+        assert most <= rounds * (1 + decider_rules.OTHERS_PER_ROUND), (gateways, most)
 
 
 @kernel.PROPERTIES.register("orders that have ended crowd out no news of others")
@@ -349,7 +351,7 @@
     current.raise_phase(rollout_notes.Phase.ROLLED_BACK)
     known[SERVICE] = current
     gateway.loop.update()
-    assert current.note() in gateway.state.gossip.rollout_phases
+    assert current.phase_note() in gateway.state.gossip.rollout_phases
 
 
 # A version that was slow with 6 of 10 requests was promoted after gateways had started
@@ -392,11 +394,11 @@
     upstream.ended(granted.call.id, upstreams.Result.ANSWERED, 0.1, back_at)
     assert upstream.cold.is_cold(back_at)
     answered = upstreams.Result.ANSWERED
-    assert evidence.judge(granted, answered, 0.1, back_at).slow == 1
+    assert evidence.count_call(granted, answered, 0.1, back_at).slow == 1
     # One that is sent while it is cold may take longer.
     again = msgspec.structs.replace(granted, sent_at=back_at, to_cold=True)
     later = ids.later(back_at, 1.0)
-    assert evidence.judge(again, answered, 0.1, later).timed == 0
+    assert evidence.count_call(again, answered, 0.1, later).timed == 0
 
 
 # Who writes what
--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -16,7 +16,7 @@
 )
 from spindlenotch import ids
 from spindlenotch.gateway.rollout import (
-    deciding,
+    decider_rules,
     orders,
     status_writer,
 )
@@ -39,11 +39,11 @@
     for known in (State.COMPLETED, State.ROLLED_BACK):
         for phase in rollout_notes.Phase:
             for is_complete in (False, True):
-                wanted = deciding.next_state(known, phase, is_complete=is_complete)
+                wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
                 assert wanted is None, (known, phase)
     back = rollout_notes.Phase.ROLLED_BACK
-    assert deciding.next_state(None, back, is_complete=False) is State.ROLLED_BACK
-    assert deciding.next_state(None, back, is_complete=True) is State.ROLLED_BACK
+    assert decider_rules.next_state(None, back, is_complete=False) is State.ROLLED_BACK
+    assert decider_rules.next_state(None, back, is_complete=True) is State.ROLLED_BACK
 
 
 class Client:
@@ -159,9 +159,9 @@
             )
         )
         source = typing.cast(sources.Source, WrittenStatuses(*faults))
-        unsettled = asyncio.run(written_again(reading, source, len(faults)))
+        pending_state = asyncio.run(written_again(reading, source, len(faults)))
         expected = State.COMPLETED if fault.UNAVAILABLE in faults else None
-        assert unsettled() is expected, faults
+        assert pending_state() is expected, faults
         known.written(
             sources.RolloutStatus(
                 SERVICE,
@@ -170,7 +170,7 @@
                 22,
             )
         )
-        assert unsettled() is None, faults
+        assert pending_state() is None, faults
 
 
 async def written_again(
@@ -185,7 +185,7 @@
             ids.later(NOW, 10.0 * number),
         )
         await asyncio.sleep(0.01)
-    return lambda: writer.unsettled
+    return lambda: writer.pending_state
 
 
 @kernel.PROPERTIES.register("of two that decide one writes, and neither goes back")
@@ -210,7 +210,7 @@
 def announced_by_few() -> None:
     def disturb(world: worlds.World) -> None:
         for gateway in world.gateways[1:]:
-            gateway.loop._judge = lambda one: None  # type: ignore[method-assign]
+            gateway.loop._roll_back_if_bad = lambda one: None  # type: ignore[method-assign]
 
     plan = worlds.Plan(seed=1, gateways=8, harm=worlds.Harm(fails=0.9), per_s=100.0)
     plan.disturb = disturb
@@ -337,13 +337,13 @@
     known = reading.state.rollouts.orders
     listed = reading.state.listing.listed(reading.clock.now())
     mark = sources.RolloutMark(newer, newer.by_s, status)
-    marked = [msgspec.structs.replace(one, rollout=mark) for one in listed]
-    reading.state.apply_listing(marked, 50)
+    with_marks = [msgspec.structs.replace(one, rollout=mark) for one in listed]
+    reading.state.apply_listing(with_marks, 50)
     by_id = {one.id: one for one in listed}
     gone = {newer.service: None}
     for older in (
         lambda: reading.state.apply_snapshot(
-            sources.Snapshot(30, None, by_id), is_overtaken=True
+            sources.Snapshot(30, None, by_id), is_stale=True
         ),
         lambda: reading.state.apply_changes(
             sources.Changes(35, order_by_service=gone, status_by_service=gone)
@@ -404,8 +404,8 @@
     )
     later = ids.later(NOW, 4.0)
     peer = orders.Orders()
-    assert peer.take_marks(known.marked([one], later), later) == [one]
+    assert peer.apply_marks(known.with_marks([one], later), later) == [one]
     assert peer.order_by_service == {SERVICE: ORDER}
     assert peer.end_at_by_service[SERVICE] == ids.later(NOW, ORDER.by_s)
-    peer.take_marks([one], later)
+    peer.apply_marks([one], later)
     assert not peer.services()
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -1,11 +1,11 @@
 """
-Tells other gateways under which requests upstreams ended, and takes in what they tell.
+Exchanges notes on requests that crash upstreams with other gateways.
 
-Each news goes at once to the gateways that get callers, of other regions too, and for
-some seconds with all gossip; that a request is quarantined goes to everyone, from those
-that found it out. After that one note goes with each message in turn, so that who was
-cut off or has started learns all of them. Relies on ``forwarding.crash_watch``
-for what this gateway sees itself.
+A new note is sent at once to the active gateways, those of other regions included, and
+goes with all gossip for some seconds. A new quarantine is announced to every gateway by
+those that detected it. After that each message carries one quarantined request in
+rotation, so that a gateway that was partitioned or has just started learns all of them.
+Relies on ``forwarding.crash_watch`` for the crashes that this gateway observes itself.
 """
 
 import asyncio
@@ -18,17 +18,17 @@
 from spindlenotch.kernel import crash_records
 from spindlenotch.peers import gossip, messages, peer_link
 
-#: Seconds between two rounds; that of the shortest loops that wake together.
+#: Seconds between two updates: the period of the shortest loops, which wake together.
 PERIOD_S = 0.2
-#: Seconds for which all messages carry a note that has changed: some periods of gossip,
-#: in which every member of a large fleet is asked by several others.
+#: Seconds for which all messages carry a note that has changed: several gossip periods,
+#: in which every member of a large fleet is contacted by several others.
 RECENT_S = 5.0
-#: Rounds in which everyone is told of a quarantine, as datagrams get lost.
+#: Updates in which a quarantine is announced to every gateway, as datagrams get lost.
 ANNOUNCE_ROUNDS = 2
 
 
 class QuarantineSharing:
-    """Sends and receives notes; logs which requests are quarantined."""
+    """Sends and receives crash notes; logs which requests are quarantined."""
 
     def __init__(
         self,
@@ -41,67 +41,69 @@
         self.fleet = gateway_fleet
         self.link = link
         self.crash_detector = crash_detector
-        self._news: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
+        self._unsent_notes: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
-        self._told_by_host: dict[ids.Fingerprint, ids.HostId] = {}
+        self._sender_by_fingerprint: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
-        self._turn = 0
-        crash_detector.add_listener(self._add_news)
+        self._next_index = 0
+        crash_detector.add_listener(self._add_note)
 
     @property
     def known(self) -> quarantine.Quarantine:
-        """Return what is known of such requests."""
+        """Return what this gateway knows of such requests."""
         return self.state.quarantines.known
 
     async def run(self) -> None:
-        """Look after the notes until cancelled."""
+        """Update until cancelled."""
         while True:
             self.update()
             await self.state.wakeups.sleep(PERIOD_S)
 
     def update(self) -> None:
-        """Let go of old notes, log changes, and choose what gossip carries now."""
+        """Expire old notes, log changes and choose the notes that gossip carries."""
         now = self.state.clock.now()
         self.known.expire(now)
         self.crash_detector.clear_false_alarms()
-        self._take_changes(now)
-        for fingerprint in [f for f, at in self._recent_until.items() if at <= now]:
+        self._process_changes(now)
+        for fingerprint in [
+            outdated for outdated, at in self._recent_until.items() if at <= now
+        ]:
             del self._recent_until[fingerprint]
-        self.state.gossip.crashes = self._in_turn()
+        self.state.gossip.crashes = self._notes_to_gossip()
         if self._announce_rounds:
             self._announce_rounds -= 1
-            self._send(self.state.gossip.crashes, list(self._everyone()))
+            self._send(self.state.gossip.crashes, list(self._all_addresses()))
 
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Take in a peer's notes."""
+        """Merge the notes in a peer's message."""
         now = self.state.clock.now()
         for note in message.crashes:
             if self.known.merge(note, now):
-                self._told_by_host[note.fingerprint] = message.sender.host
+                self._sender_by_fingerprint[note.fingerprint] = message.sender.host
                 self._recent_until[note.fingerprint] = ids.later(now, RECENT_S)
 
-    def _take_changes(self, now: ids.Instant) -> None:
+    def _process_changes(self, now: ids.Instant) -> None:
         for change in self.known.changes:
             fingerprint = change.note.fingerprint
-            told_by = self._told_by_host.pop(fingerprint, None)
+            told_by = self._sender_by_fingerprint.pop(fingerprint, None)
             self._report(change, "" if told_by is None else told_by)
             self._recent_until[fingerprint] = ids.later(now, RECENT_S)
             if told_by is None:
-                # Were those that are told to tell everyone, one request would cost
-                # messages by the square of the fleet.
+                # Receivers do not announce it again: messages would grow with the
+                # square of the fleet size.
                 self._announce_rounds = ANNOUNCE_ROUNDS
         self.known.changes.clear()
-        self._told_by_host.clear()
+        self._sender_by_fingerprint.clear()
         count = sum(1 for _ in self.known.quarantined())
         self.state.metrics.quarantined_requests.set(count)
 
     def _report(self, change: quarantine.Change, told_by: str) -> None:
-        is_held = change.status is quarantine.CrashStatus.QUARANTINED
+        is_quarantined = change.status is quarantine.CrashStatus.QUARANTINED
         events.emit(
             events.Event.REQUEST_QUARANTINED
-            if is_held
+            if is_quarantined
             else events.Event.QUARANTINE_ENDED,
             fingerprint=change.note.fingerprint,
             depth=change.note.depth,
@@ -109,48 +111,52 @@
             told_by=told_by,
         )
 
-    # Telling
+    # Sending
 
-    def _add_news(self, note: crash_records.CrashRecord) -> None:
-        """Send a note that this gateway has made, with those of the same moment."""
-        if not self._news:
-            asyncio.get_running_loop().call_soon(self._send_news)
-        self._news[note.fingerprint] = note
+    def _add_note(self, note: crash_records.CrashRecord) -> None:
+        """Queue a note of this gateway, to be sent with those of the same moment."""
+        if not self._unsent_notes:
+            asyncio.get_running_loop().call_soon(self._send_unsent_notes)
+        self._unsent_notes[note.fingerprint] = note
         until = ids.later(self.state.clock.now(), RECENT_S)
         self._recent_until[note.fingerprint] = until
 
-    def _send_news(self) -> None:
-        notes = tuple(self._news.values())
-        self._news.clear()
-        self._send(notes, self._active())
-
-    def _in_turn(self) -> tuple[crash_records.CrashRecord, ...]:
-        """Return the notes that changed lately, and one quarantined request in turn."""
-        most = messages.CRASH_NOTES_PER_MESSAGE - 1
-        newest = list(self._recent_until)[-most:]
-        notes = {one: self.known.note(one) for one in newest}
-        held = list(self.known.quarantined())
-        if held:
-            self._turn = (self._turn + 1) % len(held)
-            notes[held[self._turn].fingerprint] = held[self._turn]
+    def _send_unsent_notes(self) -> None:
+        notes = tuple(self._unsent_notes.values())
+        self._unsent_notes.clear()
+        self._send(notes, self._active_addresses())
+
+    def _notes_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
+        """Return recently changed notes and one quarantined request in rotation."""
+        max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
+        newest = list(self._recent_until)[-max_notes:]
+        notes = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
+        quarantined = list(self.known.quarantined())
+        if quarantined:
+            self._next_index = (self._next_index + 1) % len(quarantined)
+            notes[quarantined[self._next_index].fingerprint] = quarantined[
+                self._next_index
+            ]
         return tuple(notes.values())
 
-    def _active(self) -> list[ids.Address]:
-        """Return the gateways that get callers, as far as they are known."""
+    def _active_addresses(self) -> list[ids.Address]:
+        """Return the addresses of the active gateways, as far as they are known."""
         known = self.state.gossip.known_by_host
-        near = [
+        same_region = [
             known[host].record.peer_address
             for host in self.fleet.active_zones()
             if host in known
         ]
-        return near + self._far()
+        return same_region + self._other_region_addresses()
 
-    def _everyone(self) -> list[ids.Address]:
+    def _all_addresses(self) -> list[ids.Address]:
         known = self.state.gossip.known_by_host.values()
-        return [peer.record.peer_address for peer in known] + self._far()
+        return [
+            peer.record.peer_address for peer in known
+        ] + self._other_region_addresses()
 
-    def _far(self) -> list[ids.Address]:
-        """Return the active gateways of other regions that their summaries name."""
+    def _other_region_addresses(self) -> list[ids.Address]:
+        """Return the addresses of active gateways in the summaries of other regions."""
         links = self.state.links
         if links is None:
             return []
@@ -165,12 +171,12 @@
     ) -> None:
         if not targets:
             return
-        most = messages.CRASH_NOTES_PER_MESSAGE
-        for start in range(0, len(notes), most):
+        max_notes = messages.CRASH_NOTES_PER_MESSAGE
+        for start in range(0, len(notes), max_notes):
             message = messages.Message(
                 self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
-                crashes=notes[start : start + most],
+                crashes=notes[start : start + max_notes],
             )
             self.link.send(message, targets)
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -1,9 +1,9 @@
 """
-Decides on one order while that is this gateway's duty.
+Decides on one order while this gateway is its decider.
 
-Puts together what is known (the run, the upstreams, who has left the other versions)
-and asks ``promotion`` and ``deciding``; has the status written. Owns the writer and
-which hindrances were logged.
+Combines what is known (the run, the upstreams, which gateways have left the other
+versions), applies ``promotion`` and ``decider_rules``, and has the status written. Owns
+the status writer and the set of blockers that were logged.
 """
 
 import functools
@@ -12,7 +12,7 @@
 from spindlenotch.gateway import service_defaults, state
 from spindlenotch.gateway.cluster import fleet, quorum
 from spindlenotch.gateway.rollout import (
-    deciding,
+    decider_rules,
     evidence,
     promotion,
     runs,
@@ -22,9 +22,9 @@
 from spindlenotch.kernel import upstream_pool, upstreams
 from spindlenotch.peers import rollout_notes
 
-#: States in which an upstream counts as able to carry requests.
+#: States in which an upstream can carry requests.
 USABLE = (upstreams.State.ACTIVE, upstreams.State.PROBATION)
-#: Why an order is rolled back that was not promoted in time.
+#: Reason for rolling back an order that was not promoted in time.
 TIME_OVER = "time over"
 
 
@@ -37,31 +37,33 @@
         gateway_fleet: fleet.Fleet,
         known_quorum: quorum.Quorum,
         writer: status_writer.StatusWriter,
-        one: runs.Run,
+        run: runs.Run,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.quorum = known_quorum
         self.writer = writer
-        self.run = one
-        self._reported: set[promotion.Hindrance] = set()
+        self.run = run
+        self._reported_blockers: set[promotion.Blocker] = set()
         self._watch_until = ids.NEVER
-        self._doubt_until = ids.NEVER
+        self._strict_until = ids.NEVER
 
     def update(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
         """Promote, complete or roll back, and have the status written."""
         self.writer.order = self.run.order
-        is_settled = self.writer.unsettled is not sources.RolloutState.COMPLETED
+        is_completion_settled = (
+            self.writer.pending_state is not sources.RolloutState.COMPLETED
+        )
         if self.run.phase is rollout_notes.Phase.RUNNING:
             self._promote(pool, now)
-        is_complete = not is_settled or self._is_complete(now)
+        is_complete = not is_completion_settled or self._is_complete(now)
         status = self.state.rollouts.status_of(self.run)
         known = None if status is None else status.state
         phase = self.run.phase
-        if not is_settled:
-            # It may be done already: nothing else is right before that is known.
+        if not is_completion_settled:
+            # The write may have been applied: until that is known nothing else is safe.
             phase = rollout_notes.Phase.PROMOTING
-        wanted = deciding.next_state(known, phase, is_complete=is_complete)
+        wanted = decider_rules.next_state(known, phase, is_complete=is_complete)
         if wanted is not None:
             self.writer.write(wanted, now)
 
@@ -72,24 +74,24 @@
             self.writer.write(self.run.final, now)
 
     def _promote(self, pool: upstream_pool.Pool, now: ids.Instant) -> None:
-        """Let all requests move to the target if it is time and nothing hinders."""
+        """Move all requests to the target if it is time and nothing blocks it."""
         if not self.run.had_others and any(map(self._is_target, pool.usable_order)):
-            # There is nothing to be replaced.
+            # There is no other version to be replaced.
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
             return
         end_at = self.state.rollouts.end_at(self.run.order.service)
-        ready = self._readiness(pool, now)
-        found = promotion.hindrance(ready, self._promote_at(end_at), now)
-        if found is promotion.Hindrance.NONE and not self.quorum.of_fleet():
-            # It could not be completed, so all requests would move for nothing.
-            found = promotion.Hindrance.NO_QUORUM
-        if found is promotion.Hindrance.NONE:
+        readiness = self._readiness(pool, now)
+        blocker = promotion.promotion_blocker(readiness, self._promote_at(end_at), now)
+        if blocker is promotion.Blocker.NONE and not self.quorum.of_fleet():
+            # Without a quorum the order could not be completed after the move.
+            blocker = promotion.Blocker.NO_QUORUM
+        if blocker is promotion.Blocker.NONE:
             self.run.raise_phase(rollout_notes.Phase.PROMOTING)
-            self._report_promotion(ready)
+            self._report_promotion(readiness)
         elif now >= end_at:
-            self._give_up(found)
-        elif found is not promotion.Hindrance.EARLY:
-            self._report(found)
+            self._roll_back_overdue(blocker)
+        elif blocker is not promotion.Blocker.EARLY:
+            self._report(blocker)
 
     def _is_complete(self, now: ids.Instant) -> bool:
         if self.run.phase is not rollout_notes.Phase.PROMOTING:
@@ -97,35 +99,35 @@
         end_at = self.state.rollouts.end_at(self.run.order.service)
         if self._watch_until == ids.NEVER:
             self._watch_until = ids.later(now, promotion.WATCH_S)
-            self._doubt_until = ids.later(now, promotion.DOUBT_S)
+            self._strict_until = ids.later(now, promotion.STRICT_WATCH_S)
         if now < self._watch_until:
             return False
-        found = promotion.incompleteness(
-            self._attendance(),
+        blocker = promotion.completion_blocker(
+            self._drain_progress(),
             end_at,
             now,
-            is_met=self.quorum.of_fleet(),
-            doubt=self._doubt(end_at, now),
+            has_quorum=self.quorum.of_fleet(),
+            residual_suspicion=self._residual_suspicion(end_at, now),
         )
-        if found is promotion.Hindrance.NONE:
+        if blocker is promotion.Blocker.NONE:
             return True
         if now >= end_at:
-            self._report(found)
+            self._report(blocker)
         return False
 
-    def _doubt(self, end_at: ids.Instant, now: ids.Instant) -> float:
-        """Return how doubtful the target is, less strictly as time passes."""
-        if now < self._doubt_until:
-            return self.run.analysis.doubt()
-        if now < end_at - promotion.LAST_CALL_S:
+    def _residual_suspicion(self, end_at: ids.Instant, now: ids.Instant) -> float:
+        """Return the suspicion that may block completion, relaxed as time passes."""
+        if now < self._strict_until:
+            return self.run.analysis.residual_suspicion()
+        if now < end_at - promotion.FINAL_WINDOW_S:
             return self.run.analysis.suspicion()
-        # Not shown to be bad in all its time.
+        # The target was not shown to be bad in the order's whole time.
         return 0.0
 
-    def _give_up(self, found: promotion.Hindrance) -> None:
+    def _roll_back_overdue(self, blocker: promotion.Blocker) -> None:
         """Roll back an order that was not promoted within its time."""
         if self.run.raise_phase(rollout_notes.Phase.ROLLED_BACK):
-            self.run.reason = f"{TIME_OVER}: {found.value}"
+            self.run.reason = f"{TIME_OVER}: {blocker.value}"
             events.emit(
                 events.Event.ROLLOUT_ROLLED_BACK,
                 service=self.run.order.service,
@@ -136,53 +138,67 @@
     def _promote_at(self, end_at: ids.Instant) -> ids.Instant:
         order = self.run.order
         table = self.state.table
-        usual_s = [
+        typical_s = [
             service_defaults.typical_latency_s(route)
             for route in (() if table is None else table.configuration.routes)
             if any(part.service == order.service for part in route.parts)
         ]
-        return ids.later(end_at, -promotion.lead_s(order.by_s, usual_s))
+        return ids.later(end_at, -promotion.lead_s(order.by_s, typical_s))
 
     def _readiness(
         self, pool: upstream_pool.Pool, now: ids.Instant
     ) -> promotion.Readiness:
-        able = [
-            u
-            for u in pool.usable_order
-            if u.state in USABLE and not u.cold.is_cold(now)
+        warm_upstreams = [
+            upstream
+            for upstream in pool.usable_order
+            if upstream.state in USABLE and not upstream.cold.is_cold(now)
         ]
         counts = self._target_counts()
         return promotion.Readiness(
-            target_slots=sum(u.slots for u in able if self._is_target(u)),
-            other_slots=sum(u.slots for u in able if self.run.is_other(u)),
+            target_slots=sum(
+                upstream.slots
+                for upstream in warm_upstreams
+                if self._is_target(upstream)
+            ),
+            other_slots=sum(
+                upstream.slots
+                for upstream in warm_upstreams
+                if self.run.is_other(upstream)
+            ),
             answers=counts.judged,
             allowed=self.run.split.share * self.run.merged.answered(),
             suspicion=self.run.analysis.suspicion(),
         )
 
-    def _attendance(self) -> promotion.Attendance:
+    def _drain_progress(self) -> promotion.DrainProgress:
         local = self.state.local_member.host
         known = self.state.gossip.known_by_host
         running = {host: peer.record.incarnation for host, peer in known.items()}
         running[local] = self.state.gossip.local.incarnation
         newest = self.run.merged.newest_by_host(running)
-        took_part = {h for h, record in newest.items() if record.answered}
-        in_view = {
+        took_part = {member for member, record in newest.items() if record.answered}
+        reachable = {
             host
             for host, peer in known.items()
             if not peer.missed and not peer.suspected
         }
-        return promotion.Attendance(
-            needed=frozenset({local, *took_part, *self.fleet.active_zones()}),
-            empty=frozenset(h for h, record in newest.items() if record.is_empty),
-            in_view=frozenset({local, *in_view}),
+        return promotion.DrainProgress(
+            required=frozenset({local, *took_part, *self.fleet.active_zones()}),
+            drained=frozenset(
+                member for member, record in newest.items() if record.is_empty
+            ),
+            reachable=frozenset({local, *reachable}),
         )
 
     def _target_counts(self) -> rollout_notes.Counts:
-        """Return what all gateways together have counted of the target."""
-        rows = [r for record in self._records() for r in record.rows if r.upstream]
+        """Return the counts of the target, summed over all gateways."""
+        rows = [
+            row for record in self._records() for row in record.rows if row.upstream
+        ]
         return functools.reduce(
-            rollout_notes.Counts.plus, (r.counts for r in rows), rollout_notes.NO_COUNTS
+            rollout_notes.Counts.plus,
+            (row.counts for row in rows),
+            rollout_notes.NO_COUNTS,
         )
 
     def _records(self) -> list[rollout_notes.EvidenceRecord]:
@@ -191,33 +207,33 @@
     def _is_target(self, upstream: upstreams.Upstream) -> bool:
         return upstream.spec.version == self.run.order.target
 
-    def _report(self, found: promotion.Hindrance) -> None:
-        """Log once why an order can't go on."""
-        if found in self._reported:
+    def _report(self, blocker: promotion.Blocker) -> None:
+        """Log once why an order can't proceed."""
+        if blocker in self._reported_blockers:
             return
-        self._reported.add(found)
-        attendance = self._attendance()
+        self._reported_blockers.add(blocker)
+        progress = self._drain_progress()
         events.emit(
             events.Event.ROLLOUT_HINDERED,
             service=self.run.order.service,
             target=self.run.order.target,
             phase=self.run.phase.name,
-            reason=found.value,
-            missing=",".join(sorted(attendance.needed - attendance.empty)),
+            reason=blocker.value,
+            missing=",".join(sorted(progress.required - progress.drained)),
         )
 
-    def _report_promotion(self, ready: promotion.Readiness) -> None:
+    def _report_promotion(self, readiness: promotion.Readiness) -> None:
         order = self.run.order
         events.emit(
             events.Event.ROLLOUT_PROMOTING,
             service=order.service,
             target=order.target,
-            answers=ready.answers,
+            answers=readiness.answers,
             sent=self.run.merged.sent(),
             answered=self.run.merged.answered(),
-            target_slots=ready.target_slots,
-            other_slots=ready.other_slots,
-            suspicion=round(ready.suspicion, 2),
+            target_slots=readiness.target_slots,
+            other_slots=readiness.other_slots,
+            suspicion=round(readiness.suspicion, 2),
         )
         counts = self._target_counts()
         events.emit(
@@ -232,10 +248,10 @@
         self._report_untested()
 
     def _report_untested(self) -> None:
-        """Log which routes are promoted without an answer of the target."""
-        rows = [r for record in self._records() for r in record.rows]
-        tested = {r.route for r in rows if r.upstream != evidence.OTHER_VERSIONS}
-        untested = {r.route for r in rows} - tested
+        """Log the routes that are promoted without an answer of the target."""
+        rows = [row for record in self._records() for row in record.rows]
+        tested = {row.route for row in rows if row.upstream != evidence.OTHER_VERSIONS}
+        untested = {row.route for row in rows} - tested
         if untested:
             events.emit(
                 events.Event.ROLLOUT_UNTESTED,
--- a/spindlenotch/gateway/rollout/dump.py
+++ b/spindlenotch/gateway/rollout/dump.py
@@ -1,7 +1,7 @@
 """
-What the operators' ``/state`` page shows of orders to change a service's version.
+What the operators' ``/state`` page shows of rollouts.
 
-The types are the page's form, so their fields stay as they are. Changes nothing.
+The types define the page's format, so their fields keep their names. Read-only.
 """
 
 import msgspec
@@ -9,16 +9,16 @@
 from spindlenotch import ids
 from spindlenotch.gateway import state
 from spindlenotch.gateway.cluster import fleet
-from spindlenotch.gateway.rollout import deciding, runs
+from spindlenotch.gateway.rollout import decider_rules, runs
 
-#: Decimal places.
+#: Decimal places of rounded numbers.
 DIGITS = 2
-#: What ``status`` says while nothing is known to have been written.
+#: Value of ``status`` while none is known to have been written.
 NO_STATUS = ""
 
 
 class TestDump(msgspec.Struct):
-    """One test on the target: its likelihood, and the calls since it began anew."""
+    """One test of the target: its likelihood, and the calls since its last restart."""
 
     symptom: str
     route: str
@@ -30,10 +30,10 @@
 
 class RolloutDump(msgspec.Struct):
     """
-    An order; ``status`` is that in the source, ``phase`` how far this gateway has come.
+    An order; ``status`` is that in the source, ``phase`` that of this gateway.
 
-    ``allowed``, ``sent`` and ``answered`` count this gateway's requests, the
-    ``fleet_`` ones those of all that it heard of.
+    ``allowed``, ``sent`` and ``answered`` count this gateway's requests, the ``fleet_``
+    ones those of all gateways that it has records of.
     """
 
     target: ids.SoftwareVersion
@@ -53,40 +53,40 @@
 def create(
     gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
 ) -> dict[ids.ServiceName, RolloutDump]:
-    """Return what this gateway knows of each order."""
+    """Return the state of each rollout as known to this gateway."""
     return {
-        service: _rollout(gateway_state, gateway_fleet, one)
-        for service, one in gateway_state.rollouts.run_by_service.items()
+        service: _rollout(gateway_state, gateway_fleet, run)
+        for service, run in gateway_state.rollouts.run_by_service.items()
     }
 
 
 def _rollout(
-    gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet, one: runs.Run
+    gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet, run: runs.Run
 ) -> RolloutDump:
-    service = one.order.service
-    status = gateway_state.rollouts.status_of(one)
-    candidates = deciding.candidates(service, gateway_fleet.view())
+    service = run.order.service
+    status = gateway_state.rollouts.status_of(run)
+    candidates = decider_rules.candidates(service, gateway_fleet.view())
     end_at = gateway_state.rollouts.end_at(service)
     left_s = None
     if end_at != ids.NEVER:
         left_s = round(end_at - gateway_state.clock.now(), DIGITS)
     return RolloutDump(
-        target=one.order.target,
-        phase=one.phase.name.lower(),
+        target=run.order.target,
+        phase=run.phase.name.lower(),
         status=NO_STATUS if status is None else status.state.value,
-        reason=one.reason,
+        reason=run.reason,
         ends_in_s=left_s,
         decider=candidates[0] if candidates else ids.HostId(""),
-        allowed=round(one.split.allowed(), DIGITS),
-        sent=one.split.sent,
-        answered=one.split.answered,
-        fleet_sent=one.merged.sent(),
-        fleet_answered=one.merged.answered(),
-        tests=_tests(one),
+        allowed=round(run.split.allowed(), DIGITS),
+        sent=run.split.sent,
+        answered=run.split.answered,
+        fleet_sent=run.merged.sent(),
+        fleet_answered=run.merged.answered(),
+        tests=_tests(run),
     )
 
 
-def _tests(one: runs.Run) -> list[TestDump]:
+def _tests(run: runs.Run) -> list[TestDump]:
     return [
         TestDump(
             symptom=symptom.value,
@@ -96,5 +96,5 @@
             calls=test.calls,
             bad=test.bad,
         )
-        for (symptom, route), test in one.analysis.test_by_key.items()
+        for (symptom, route), test in run.analysis.test_by_key.items()
     ]
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -1,8 +1,9 @@
 """
-What one process counts of a service's calls since an order, by version and route.
+Counts of a service's calls in one process since an order, by version and route.
 
-Pure. Owns the counts and the record that tells them to peers. Of the target each
-upstream is counted by itself, so that a few bad ones are not taken for their version.
+Pure. Owns the counts and the record in which they are sent to peers. Each upstream of
+the target is counted separately, so that a few bad ones are not mistaken for a bad
+version.
 """
 
 import statistics
@@ -14,28 +15,28 @@
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import rollout_notes
 
-#: A call is slow that takes longer than this many times what was expected of it: above
-#: nearly all calls of a service whose times vary, below "several times slower".
+#: Multiple of its expected time above which a call is slow: above nearly all calls of a
+#: service whose times vary, below "several times slower".
 SLOW_FACTOR = 2.5
-#: Routes that are counted by themselves; the others are counted as one, so that the
-#: record stays within a message.
-MOST_ROUTES = 8
+#: Routes that are counted separately; the others are counted as one, so that the record
+#: fits into a message.
+MAX_ROUTES = 8
 #: Name under which the other routes are counted.
 OTHER_ROUTES = ""
-#: Those upstreams of the target beyond the rows of a record are counted as one.
+#: Id under which the target's upstreams beyond a record's rows are counted together.
 OTHER_UPSTREAMS = ids.UpstreamId("*")
-#: The upstreams of other versions are not told apart.
+#: Id under which all upstreams of other versions are counted together.
 OTHER_VERSIONS = ids.UpstreamId("")
 
-#: Results that say whether the upstream did its work, and whether it failed.
+#: Results that show whether the upstream did its work: 1 if it failed, 0 if not.
 FAILED_BY_RESULT = {
     upstreams.Result.ANSWERED: 0,
     upstreams.Result.FAILED: 1,
     upstreams.Result.CONNECT_FAILED: 1,
 }
 
-#: Upstreams of each version without which their reports are not compared.
-LEAST_TELLING = 3
+#: Least upstreams of each version that must report a slowdown for a comparison.
+MIN_REPORTING_UPSTREAMS = 3
 
 Cell = tuple[str, ids.UpstreamId]
 
@@ -44,17 +45,17 @@
     """
     The counts of one process by route and upstream.
 
-    Invariant: they only grow, and there are at most ``ROWS_PER_RECORD`` of them.
+    Invariant: counts only grow, and there are at most ``ROWS_PER_RECORD`` rows.
     """
 
     def __init__(self) -> None:
         self.counts_by_cell: dict[Cell, rollout_notes.Counts] = {}
         self._routes: set[str] = set()
-        self._usual_times = usual_times.UsualTimes()
+        self._baseline_latency = usual_times.BaselineLatency()
 
     @property
     def is_folded(self) -> bool:
-        """Tell whether some routes are not counted by themselves."""
+        """Return whether some routes are counted together."""
         return OTHER_ROUTES in self._routes
 
     def call_ended(
@@ -66,13 +67,13 @@
         expected: traffic_split.ExpectedLatency,
         now: ids.Instant,
     ) -> None:
-        """Take in the end of a call; see ``traffic_split.Observer``."""
+        """Count the end of a call; see ``traffic_split.Observer``."""
         route = grant.call.latency_key
-        usual_s = self._usual_times.seconds(route, expected.typical_s)
-        counts = judge(grant, result, usual_s * expected.slowdown, now)
+        baseline_s = self._baseline_latency.seconds(route, expected.typical_s)
+        counts = count_call(grant, result, baseline_s * expected.slowdown, now)
         if result is upstreams.Result.ANSWERED and not is_target:
             took_s = now - grant.sent_at
-            self._usual_times.add(route, took_s / expected.slowdown)
+            self._baseline_latency.add(route, took_s / expected.slowdown)
         if counts == rollout_notes.NO_COUNTS:
             return
         upstream_id = grant.upstream.spec.id if is_target else OTHER_VERSIONS
@@ -81,63 +82,67 @@
         self.counts_by_cell[cell] = known.plus(counts)
 
     def rows(self) -> tuple[rollout_notes.Row, ...]:
-        """Return the counts in the form that goes to peers."""
+        """Return the counts as rows of a record for peers."""
         return tuple(
             rollout_notes.Row(route, upstream_id, counts)
             for (route, upstream_id), counts in self.counts_by_cell.items()
         )
 
     def _cell(self, route: str, upstream_id: ids.UpstreamId) -> Cell:
-        if route not in self._routes and len(self._routes) >= MOST_ROUTES:
+        if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             route = OTHER_ROUTES
         self._routes.add(route)
         cell = (route, upstream_id)
-        # Room is kept for each route's rows of other versions and other upstreams.
-        most = rollout_notes.ROWS_PER_RECORD - 2 * (MOST_ROUTES + 1)
+        # Rows are reserved for each route's other versions and other upstreams.
+        max_cells = rollout_notes.ROWS_PER_RECORD - 2 * (MAX_ROUTES + 1)
         is_new = cell not in self.counts_by_cell
-        if is_new and upstream_id and len(self.counts_by_cell) >= most:
+        if is_new and upstream_id and len(self.counts_by_cell) >= max_cells:
             return (route, OTHER_UPSTREAMS)
         return cell
 
 
-def own_slowdown(
+def relative_slowdown(
     target: abc.Collection[upstreams.Upstream],
     others: abc.Collection[upstreams.Upstream],
 ) -> float:
     """
-    Return how much slower than the others the target's upstreams say they work.
+    Return the target's slowdown relative to that of the other versions.
 
-    Slow neighbours strike some upstreams; what most of the target's report is its own
-    doing, and excuses no slow answer. 1 where too few tell to know.
+    Upstreams report their slowdown. Noisy neighbours affect some upstreams; a slowdown
+    that most of the target's report is caused by the version, and excuses no slow
+    answer. 1 if too few upstreams report.
     """
-    here = _reported(target)
-    there = _reported(others)
-    if min(len(here), len(there)) < LEAST_TELLING:
+    target_slowdowns = _reported_slowdowns(target)
+    other_slowdowns = _reported_slowdowns(others)
+    if min(len(target_slowdowns), len(other_slowdowns)) < MIN_REPORTING_UPSTREAMS:
         return 1.0
-    return max(1.0, statistics.median(here) / statistics.median(there))
+    return max(
+        1.0, statistics.median(target_slowdowns) / statistics.median(other_slowdowns)
+    )
 
 
-def _reported(those: abc.Iterable[upstreams.Upstream]) -> list[float]:
+def _reported_slowdowns(group: abc.Iterable[upstreams.Upstream]) -> list[float]:
     """Return the mean slowdown of each upstream that has reported any."""
-    told = (upstream.reported_slowdown() for upstream in those)
-    return [slowdown for slowdown in told if slowdown is not None]
+    reported = (upstream.reported_slowdown() for upstream in group)
+    return [slowdown for slowdown in reported if slowdown is not None]
 
 
-def judge(
+def count_call(
     grant: verdicts.Grant,
     result: upstreams.Result,
     expected_s: float,
     now: ids.Instant,
 ) -> rollout_notes.Counts:
     """
-    Return what the end of one call counts.
+    Return the counts for the end of one call.
 
-    One whose caller left counts only if it was overdue by then, and one that the
-    upstream refused without running it not at all.
+    A call whose caller left counts only if it was overdue by then; one that the
+    upstream refused without running it does not count.
     """
     is_slow = now - grant.sent_at > SLOW_FACTOR * expected_s
-    # Not what is known by now: what takes long makes its upstream ejected and, with its
-    # answer, taken to be cold, so that no slow answer would be timed.
+    # Based on what was known when the call was sent, not at its end: a long call gets
+    # its upstream ejected and, once answered, taken to be cold, so that no slow answer
+    # would be timed.
     is_timed = not grant.to_cold
     if result is upstreams.Result.CANCELLED:
         overdue = int(is_slow and is_timed)
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -1,9 +1,9 @@
 """
-The orders to change a service's version and their statuses, as the source holds them.
+Orders to change a service's version, and their statuses, as the source holds them.
 
-Owns when each order must have ended, as an instant of this host's clock: the source
-says for how long it may run, peers how much of that is left. Turns them into marks on
-the list of upstreams that goes to peers, and back. Pure.
+Owns the deadline of each order as an instant of this host's clock: the source states
+for how long an order may run, peers how much of that is left. Converts orders and
+statuses to marks on the upstream list that is sent to peers, and back. Pure.
 """
 
 from collections import abc
@@ -18,7 +18,7 @@
     """
     Orders and statuses by service.
 
-    Invariant: each order has its instant in ``end_at_by_service``, which never moves
+    Invariant: each order has its deadline in ``end_at_by_service``, which never moves
     later while the order stands.
     """
 
@@ -37,29 +37,31 @@
         snapshot: sources.Snapshot,
         now: ids.Instant,
         *,
-        is_overtaken: bool = False,
+        is_stale: bool = False,
     ) -> None:
         """
-        Put what the source holds in place of what is known.
+        Replace orders and statuses with those of a snapshot of the source.
 
-        Where it ``is_overtaken``, a peer's newer list came while it was read, and what
-        is known of changes since then stays.
+        If the snapshot ``is_stale``, a peer's newer list arrived while it was read, and
+        orders and statuses written since then are kept.
         """
         orders = self.order_by_service
         newer = self._orders_after(snapshot.revision, snapshot.era)
-        newer = newer if is_overtaken else set()
-        found = {n: o for n, o in snapshot.order_by_service.items() if n not in newer}
-        for service in orders.keys() - found.keys() - newer:
+        newer = newer if is_stale else set()
+        snapshot_orders = {
+            n: o for n, o in snapshot.order_by_service.items() if n not in newer
+        }
+        for service in orders.keys() - snapshot_orders.keys() - newer:
             if _is_later_era(snapshot.era, orders[service].era):
                 # The backup may predate the order: allow time to write it again.
                 drop_at = ids.later(now, withdrawals.WITHHOLD_S)
                 self._drop_at_by_service.setdefault(service, drop_at)
             elif service not in snapshot.unreadable_orders:
                 self._set_order(service, None, now)
-        for service, order in found.items():
+        for service, order in snapshot_orders.items():
             self._set_order(service, _with_era(order, snapshot.era), now)
         known = self.status_by_service
-        newer = _newer_than(snapshot.revision, known) if is_overtaken else set()
+        newer = _written_after(snapshot.revision, known) if is_stale else set()
         self.status_by_service = {
             **snapshot.status_by_service,
             **{service: known[service] for service in newer},
@@ -67,38 +69,38 @@
 
     def change(self, changes: sources.Changes, now: ids.Instant) -> bool:
         """
-        Take in what has changed in the source; tell whether anything had.
+        Apply changes from the source; return whether there were any.
 
-        A watch that lags behind a peer's list takes nothing newer back.
+        A watch may lag behind a peer's list: newer orders and statuses are kept.
         """
         newer = self._orders_after(changes.revision, changes.era)
         for service, order in changes.order_by_service.items():
             if service not in newer:
                 changed = None if order is None else _with_era(order, changes.era)
                 self._set_order(service, changed, now)
-        newer = _newer_than(changes.revision, self.status_by_service)
+        newer = _written_after(changes.revision, self.status_by_service)
         for service, status in changes.status_by_service.items():
             if service not in newer:
                 self._set_status(service, status)
         return bool(changes.order_by_service or changes.status_by_service)
 
     def drop_missing(self, now: ids.Instant) -> bool:
-        """Drop orders not rewritten in time after a restore; tell whether any were."""
+        """Drop orders not rewritten in time after a restore; return whether any was."""
         due = [name for name, at in self._drop_at_by_service.items() if at <= now]
         for service in due:
             self._set_order(service, None, now)
         return bool(due)
 
     def written(self, status: sources.RolloutStatus) -> None:
-        """Take in a status that this gateway has written."""
+        """Record a status that this gateway has written."""
         known = self.status_by_service.get(status.service)
         if known is None or known.revision < status.revision:
             self._set_status(status.service, status)
 
-    def told_left(
+    def limit_remaining(
         self, service: ids.ServiceName, left_s: float, now: ids.Instant
     ) -> None:
-        """Take in a peer's word on how long an order may run; the shortest counts."""
+        """Apply the time left for an order by a peer, in seconds; the least counts."""
         known = self.end_at_by_service.get(service)
         if known is not None:
             self.end_at_by_service[service] = min(known, ids.later(now, left_s))
@@ -106,7 +108,7 @@
     def status_of(
         self, order: sources.RolloutOrder | None
     ) -> sources.RolloutStatus | None:
-        """Return the status that is about an order; None where there is none yet."""
+        """Return the status of an order, None if there is none yet."""
         if order is None:
             return None
         status = self.status_by_service.get(order.service)
@@ -114,29 +116,31 @@
             return None
         return status if status.revision > order.revision else None
 
-    def marked(
+    def with_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> tuple[sources.ListedUpstream, ...]:
-        """Return a list for peers, with what is known on each upstream it is about."""
+        """Return a list for peers, with the order and status of each one's service."""
         mark_by_service = {name: self._mark(name, now) for name in self.services()}
-        return tuple(_marked(one, mark_by_service.get(one.service)) for one in listed)
+        return tuple(
+            _with_mark(entry, mark_by_service.get(entry.service)) for entry in listed
+        )
 
-    def take_marks(
+    def apply_marks(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> list[sources.ListedUpstream]:
         """
-        Take in what a peer's list says; return the list without it.
+        Apply the marks in a peer's list; return the list without them.
 
-        Of a service without upstreams the list says nothing, and what is known stays.
+        A service without upstreams is not in the list; what is known of it is kept.
         """
-        plain = []
+        unmarked = []
         mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
-        for one in listed:
-            mark_by_service[one.service] = one.rollout
-            plain.append(_marked(one, None))
+        for entry in listed:
+            mark_by_service[entry.service] = entry.rollout
+            unmarked.append(_with_mark(entry, None))
         for service, mark in mark_by_service.items():
-            self._take_mark(service, mark or sources.RolloutMark(), now)
-        return plain
+            self._apply_mark(service, mark or sources.RolloutMark(), now)
+        return unmarked
 
     def _mark(self, service: ids.ServiceName, now: ids.Instant) -> sources.RolloutMark:
         end_at = self.end_at_by_service.get(service, now)
@@ -146,18 +150,18 @@
             status=self.status_by_service.get(service),
         )
 
-    def _take_mark(
+    def _apply_mark(
         self, service: ids.ServiceName, mark: sources.RolloutMark, now: ids.Instant
     ) -> None:
         before = self.order_by_service.get(service)
         self._set_order(service, mark.order, now)
         if mark.order is not None:
-            self.told_left(service, mark.left_s, now)
-        # What this gateway has written itself may be newer than the peer's list.
+            self.limit_remaining(service, mark.left_s, now)
+        # A status that this gateway has written may be newer than the peer's list.
         known = self.status_of(before)
         is_same = before is not None and before == mark.order
-        told = 0 if mark.status is None else mark.status.revision
-        if known is None or not is_same or told > known.revision:
+        received_revision = 0 if mark.status is None else mark.status.revision
+        if known is None or not is_same or received_revision > known.revision:
             self._set_status(service, mark.status)
 
     def _set_order(
@@ -180,7 +184,7 @@
         """Return the services whose order was written after a source position."""
         return {
             service
-            for service in _newer_than(revision, self.order_by_service)
+            for service in _written_after(revision, self.order_by_service)
             if not _is_later_era(era, self.order_by_service[service].era)
         }
 
@@ -195,7 +199,7 @@
 
 def is_same_order(known: sources.RolloutOrder, received: sources.RolloutOrder) -> bool:
     """
-    Tell whether a received order is the known one.
+    Return whether a received order is the known one.
 
     An order that is rewritten after a restore has another revision in another era.
     """
@@ -215,19 +219,21 @@
     return msgspec.structs.replace(order, era=era)
 
 
-def _newer_than(
+def _written_after(
     revision: int,
     known_by_service: abc.Mapping[
         ids.ServiceName, sources.RolloutOrder | sources.RolloutStatus
     ],
 ) -> set[ids.ServiceName]:
     """Return the services whose order or status was written after a revision."""
-    return {name for name, one in known_by_service.items() if one.revision > revision}
+    return {
+        name for name, entry in known_by_service.items() if entry.revision > revision
+    }
 
 
-def _marked(
-    one: sources.ListedUpstream, mark: sources.RolloutMark | None
+def _with_mark(
+    entry: sources.ListedUpstream, mark: sources.RolloutMark | None
 ) -> sources.ListedUpstream:
-    if one.rollout == mark:
-        return one
-    return msgspec.structs.replace(one, rollout=mark)
+    if entry.rollout == mark:
+        return entry
+    return msgspec.structs.replace(entry, rollout=mark)
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -1,8 +1,9 @@
 """
-When all requests of a service move to the target of an order, and when that is done.
+When a service's calls move to the target of an order, and when that is completed.
 
-Pure. As late as may be: until then a target that turns bad has had no more than its
-share. So late that the others' work still ends within the order's time.
+Pure. Promotion is as late as possible: until then a target that turns bad has had no
+more than its share. It is early enough for the others' calls in flight to end within
+the order's time.
 """
 
 import enum
@@ -12,36 +13,36 @@
 
 from spindlenotch import ids
 
-#: Seconds before an order's end that promotion takes beyond the work under way: news
-#: of the order came late, the phase and the records travel, the store is written.
-MESSAGES_S = 2.0
-#: Most of an order's time that promotion may take.
-MOST_SHARE = 0.35
-#: How many times its usual time the work under way may take.
-LONG_WORK = 3.0
-#: Seconds before an order's end until which gateways that are gone are waited for.
-LAST_CALL_S = 0.8
-#: Answers of the target that are enough, however many it was allowed.
-LEAST_ANSWERS = 10.0
-#: Share of the calls it was allowed that it must have answered otherwise: a service
-#: with few requests still has to be able to change its version.
-LEAST_ANSWERED_SHARE = 0.5
-#: Slots of the target by those of the others: fewer would not carry the load.
-LEAST_SLOTS_SHARE = 0.7
-#: Seconds for which it is watched after promotion, with all requests, before the others
-#: are given up: twice as long as records are old at most.
+#: Seconds before an order's end that promotion takes beyond the calls in flight: the
+#: order arrived late, the phase and the records propagate, the store is written.
+PROPAGATION_S = 2.0
+#: Greatest part of an order's time that promotion may take.
+MAX_PROMOTION_SHARE = 0.35
+#: Multiple of its typical time that a call in flight may take.
+LONG_CALL_FACTOR = 3.0
+#: Seconds before an order's end until which unreachable gateways are waited for.
+FINAL_WINDOW_S = 0.8
+#: Answers of the target that suffice, however many calls it was allowed.
+MIN_ANSWERS = 10.0
+#: Share of its allowed calls that it must have answered otherwise: a service with few
+#: requests must still be able to change its version.
+MIN_ANSWERED_SHARE = 0.5
+#: Least slots of the target relative to the others': fewer would not carry the load.
+MIN_SLOTS_SHARE = 0.7
+#: Seconds for which the target is watched after promotion, with all requests, before
+#: the others are given up: twice the greatest age of records.
 WATCH_S = 0.4
-#: Seconds after promotion in which some upstreams that look bad are doubt enough, after
-#: them it takes most; and a few may look bad for good.
-DOUBT_S = 1.2
-#: Share of the evidence that shows a bad target from which it is not promoted.
-MOST_SUSPICION = 0.4
-#: The same of the evidence without the worst upstreams, from which the others are not
-#: given up: with all requests it is soon known, and a few bad upstreams hinder nothing.
-MOST_DOUBT = 0.3
+#: Seconds after promotion in which evidence from some upstreams blocks completion;
+#: after that it takes most of them, as a few may look bad permanently.
+STRICT_WATCH_S = 1.2
+#: Suspicion, as a share of that of a finding, from which the target is not promoted.
+MAX_SUSPICION = 0.4
+#: The same without the worst upstreams, from which the others are not given up: with
+#: all requests the evidence is soon there, and a few bad upstreams block nothing.
+MAX_RESIDUAL_SUSPICION = 0.3
 
 
-class Hindrance(enum.Enum):
+class Blocker(enum.Enum):
     """Why an order is not promoted or completed yet."""
 
     NONE = "none"
@@ -57,10 +58,10 @@
 
 class Readiness(msgspec.Struct, frozen=True):
     """
-    What decides whether an order may be promoted; slots are usable, warm ones.
+    Inputs of the decision to promote; only usable, warm slots count.
 
-    ``suspicion`` is 1 where the target is known to be bad. It gave ``answers`` to the
-    ``allowed`` calls it might have had.
+    ``suspicion`` is 1 if the target is known to be bad. It answered ``answers`` of the
+    ``allowed`` calls that it might have had.
     """
 
     target_slots: int
@@ -70,60 +71,62 @@
     suspicion: float
 
 
-class Attendance(msgspec.Struct, frozen=True):
-    """Who has to have left the other versions, who has, and who is in view."""
+class DrainProgress(msgspec.Struct, frozen=True):
+    """Gateways that must have left the other versions, that have, and are reachable."""
 
-    needed: frozenset[ids.HostId]
-    empty: frozenset[ids.HostId]
-    in_view: frozenset[ids.HostId]
+    required: frozenset[ids.HostId]
+    drained: frozenset[ids.HostId]
+    reachable: frozenset[ids.HostId]
 
 
-def lead_s(by_s: float, usual_s: abc.Iterable[float]) -> float:
+def lead_s(by_s: float, typical_s: abc.Iterable[float]) -> float:
     """
     Return how many seconds before its end an order is promoted.
 
-    ``usual_s`` are the usual times of the service's routes.
+    ``typical_s`` are the typical times of the service's routes in seconds.
     """
-    longest_s = LONG_WORK * max(usual_s, default=0.0)
-    return min(MOST_SHARE * by_s, MESSAGES_S + longest_s)
+    longest_s = LONG_CALL_FACTOR * max(typical_s, default=0.0)
+    return min(MAX_PROMOTION_SHARE * by_s, PROPAGATION_S + longest_s)
 
 
-def hindrance(ready: Readiness, promote_at: ids.Instant, now: ids.Instant) -> Hindrance:
+def promotion_blocker(
+    readiness: Readiness, promote_at: ids.Instant, now: ids.Instant
+) -> Blocker:
     """Return why an order is not promoted now."""
     if now < promote_at:
-        return Hindrance.EARLY
-    if not ready.target_slots:
-        return Hindrance.NO_UPSTREAMS
-    if ready.target_slots < LEAST_SLOTS_SHARE * ready.other_slots:
-        return Hindrance.TOO_FEW_SLOTS
-    if ready.answers < min(LEAST_ANSWERS, LEAST_ANSWERED_SHARE * ready.allowed):
-        return Hindrance.FEW_ANSWERS
-    if ready.suspicion >= MOST_SUSPICION:
-        return Hindrance.SUSPECTED
-    return Hindrance.NONE
-
-
-def incompleteness(
-    who: Attendance,
+        return Blocker.EARLY
+    if not readiness.target_slots:
+        return Blocker.NO_UPSTREAMS
+    if readiness.target_slots < MIN_SLOTS_SHARE * readiness.other_slots:
+        return Blocker.TOO_FEW_SLOTS
+    if readiness.answers < min(MIN_ANSWERS, MIN_ANSWERED_SHARE * readiness.allowed):
+        return Blocker.FEW_ANSWERS
+    if readiness.suspicion >= MAX_SUSPICION:
+        return Blocker.SUSPECTED
+    return Blocker.NONE
+
+
+def completion_blocker(
+    progress: DrainProgress,
     end_at: ids.Instant,
     now: ids.Instant,
     *,
-    is_met: bool,
-    doubt: float,
-) -> Hindrance:
+    has_quorum: bool,
+    residual_suspicion: float,
+) -> Blocker:
     """
     Return why a promoted order is not completed now.
 
-    ``is_met``: more than half of the fleet is in view. One that is cut off can't know
-    who still uses the other versions.
+    ``has_quorum``: more than half of the fleet is reachable. A gateway that is
+    partitioned can't know which ones still use the other versions.
     """
-    if doubt >= MOST_DOUBT:
-        return Hindrance.SUSPECTED
-    if not is_met:
-        return Hindrance.NO_QUORUM
-    missing = who.needed - who.empty
-    if missing & who.in_view:
-        return Hindrance.UNDER_WAY
-    if missing and now < end_at - LAST_CALL_S:
-        return Hindrance.GATEWAYS_GONE
-    return Hindrance.NONE
+    if residual_suspicion >= MAX_RESIDUAL_SUSPICION:
+        return Blocker.SUSPECTED
+    if not has_quorum:
+        return Blocker.NO_QUORUM
+    missing = progress.required - progress.drained
+    if missing & progress.reachable:
+        return Blocker.UNDER_WAY
+    if missing and now < end_at - FINAL_WINDOW_S:
+        return Blocker.GATEWAYS_GONE
+    return Blocker.NONE
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -1,8 +1,8 @@
 """
-The runs of this process, in step with the orders, the statuses and the balancers.
+The rollout runs of this process, in step with orders, statuses and balancers.
 
-Owns one run for each service that has an order, or whose order was taken away while
-upstreams of its target are left. No input or output but log events.
+Owns one run for each service that has an order, or whose order was withdrawn while
+upstreams of its target are left. No I/O except log events.
 """
 
 from collections import abc
@@ -14,9 +14,10 @@
 from spindlenotch.kernel import upstream_pool
 from spindlenotch.peers import rollout_notes
 
-#: Why upstreams get no new work once their version was replaced.
+#: Reason for which upstreams of a replaced version get no new calls.
 REPLACED = "its version was replaced"
-#: A version is spared where its order has gone and the status is not "completed".
+#: Revision of a run without an order: it keeps calls from a version whose order was
+#: withdrawn and whose status is not "completed".
 NO_REVISION = 0
 
 
@@ -24,79 +25,83 @@
     """
     Runs by service.
 
-    Invariant: the split of a service's balancer is that of its run, None without one
-    or where it is completed.
+    Invariant: the split of a service's balancer is that of its run, or None if there is
+    no run or it is completed.
     """
 
-    def __init__(self, share: float, measured: metrics.Metrics) -> None:
+    def __init__(self, share: float, gateway_metrics: metrics.Metrics) -> None:
         self.share = share
-        self.metrics = measured
+        self.metrics = gateway_metrics
         self.orders = orders.Orders()
         self.run_by_service: dict[ids.ServiceName, runs.Run] = {}
 
-    def follow(
+    def reconcile(
         self, balancer_by_service: abc.Mapping[ids.ServiceName, balancer.Balancer]
     ) -> None:
-        """Bring runs and splits in step with the orders; called after each change."""
+        """Bring runs and splits in line with the orders; called after each change."""
         services = self.orders.services() | set(self.run_by_service)
         for service in sorted(services):
-            chosen = balancer_by_service.get(service)
-            if chosen is not None:
-                self._follow(service, chosen)
+            service_balancer = balancer_by_service.get(service)
+            if service_balancer is not None:
+                self._reconcile_service(service, service_balancer)
 
     def end_at(self, service: ids.ServiceName) -> ids.Instant:
-        """Return when a service's order must have ended."""
+        """Return the deadline of a service's order."""
         return self.orders.end_at_by_service.get(service, ids.NEVER)
 
-    def status_of(self, one: runs.Run) -> sources.RolloutStatus | None:
-        """Return the status of a run's order as far as it is known."""
-        return self.orders.status_of(one.order)
+    def status_of(self, run: runs.Run) -> sources.RolloutStatus | None:
+        """Return the known status of a run's order, None if there is none."""
+        return self.orders.status_of(run.order)
 
-    def lacks_final_status(self, one: runs.Run) -> bool:
-        """Tell whether the source has lost the final status of a run's order."""
-        if one.final is None:
+    def lacks_final_status(self, run: runs.Run) -> bool:
+        """Return whether the source has lost the final status of a run's order."""
+        if run.final is None:
             return False
-        if self.orders.order_by_service.get(one.order.service) != one.order:
+        if self.orders.order_by_service.get(run.order.service) != run.order:
             return False
-        status = self.orders.status_of(one.order)
+        status = self.orders.status_of(run.order)
         return status is None or status.state is sources.RolloutState.RUNNING
 
-    def take_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
-        """Take in a peer's phase; return the run where it is news."""
-        one = self.run_by_service.get(note.service)
-        if one is None or one.order.revision != note.revision:
+    def apply_note(self, note: rollout_notes.PhaseNote) -> runs.Run | None:
+        """Apply a peer's phase; return the run if its phase has advanced."""
+        run = self.run_by_service.get(note.service)
+        if run is None or run.order.revision != note.revision:
             return None
-        return one if one.raise_phase(note.phase) else None
+        return run if run.raise_phase(note.phase) else None
 
-    def _follow(self, service: ids.ServiceName, chosen: balancer.Balancer) -> None:
+    def _reconcile_service(
+        self, service: ids.ServiceName, service_balancer: balancer.Balancer
+    ) -> None:
         order = self.orders.order_by_service.get(service)
         if order is None:
-            self._end_run(service, chosen.pool)
+            self._end_run(service, service_balancer.pool)
         else:
-            self._keep_run(order, chosen.pool)
-        one = self.run_by_service.get(service)
-        if one is None or one.final is sources.RolloutState.COMPLETED:
-            chosen.split = None
+            self._ensure_run(order, service_balancer.pool)
+        run = self.run_by_service.get(service)
+        if run is None or run.final is sources.RolloutState.COMPLETED:
+            service_balancer.split = None
         else:
-            one.look_at(chosen.pool)
-            chosen.split = one.split
+            run.update_upstreams(service_balancer.pool)
+            service_balancer.split = run.split
 
-    def _keep_run(self, order: sources.RolloutOrder, pool: upstream_pool.Pool) -> None:
-        """Begin the run of an order if there is none; take in its status."""
-        known = self.run_by_service.get(order.service)
+    def _ensure_run(
+        self, order: sources.RolloutOrder, pool: upstream_pool.Pool
+    ) -> None:
+        """Start the run of an order if there is none, and apply its status."""
+        run = self.run_by_service.get(order.service)
         status = self.orders.status_of(order)
         is_final = (
             status is not None and status.state is not sources.RolloutState.RUNNING
         )
-        if known is None or not orders.is_same_order(known.order, order):
-            known = self._begin(order, known)
+        if run is None or not orders.is_same_order(run.order, order):
+            run = self._begin(order, run)
             if not is_final:
-                self._report_begin(known)
-        elif is_final and known.final is None:
-            self._leave_replaced(known, status, pool)
+                self._report_begin(run)
+        elif is_final and run.final is None:
+            self._retire_replaced(run, status, pool)
         # A rewritten order has another revision and era, but its run keeps its counts.
-        known.order = order
-        if status is not None and known.finish(status.state):
+        run.order = order
+        if status is not None and run.finish(status.state):
             events.emit(
                 events.Event.ROLLOUT_ENDED,
                 service=order.service,
@@ -104,74 +109,83 @@
                 state=status.state.value,
             )
 
-    def _begin(self, order: sources.RolloutOrder, before: runs.Run | None) -> runs.Run:
-        held = self._held_for(order, before)
-        begun = runs.Run(order, self.share, held, self.metrics)
-        self.run_by_service[order.service] = begun
-        return begun
+    def _begin(
+        self, order: sources.RolloutOrder, previous: runs.Run | None
+    ) -> runs.Run:
+        held = self._excluded_versions(order, previous)
+        run = runs.Run(order, self.share, held, self.metrics)
+        self.run_by_service[order.service] = run
+        return run
 
-    def _held_for(
-        self, order: sources.RolloutOrder, before: runs.Run | None
+    def _excluded_versions(
+        self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> frozenset[ids.SoftwareVersion]:
-        """Return the versions that earlier orders tried and did not complete."""
+        """Return the versions of earlier orders that were not completed."""
         held: set[ids.SoftwareVersion] = set()
-        if before is not None and before.final is not sources.RolloutState.COMPLETED:
-            held |= {before.order.target, *before.split.held}
+        if (
+            previous is not None
+            and previous.final is not sources.RolloutState.COMPLETED
+        ):
+            held |= {previous.order.target, *previous.split.held}
         status = self.orders.status_by_service.get(order.service)
-        if status is not None and _is_open(status):
+        if status is not None and _is_incomplete(status):
             held.add(status.target)
         return frozenset(held - {order.target})
 
-    def _report_begin(self, begun: runs.Run) -> None:
+    def _report_begin(self, run: runs.Run) -> None:
         events.emit(
             events.Event.ROLLOUT_BEGUN,
-            service=begun.order.service,
-            target=begun.order.target,
-            by_s=begun.order.by_s,
-            revision=begun.order.revision,
-            share=begun.split.share,
-            held=",".join(sorted(begun.split.held)),
+            service=run.order.service,
+            target=run.order.target,
+            by_s=run.order.by_s,
+            revision=run.order.revision,
+            share=run.split.share,
+            held=",".join(sorted(run.split.held)),
         )
 
-    def _leave_replaced(
+    def _retire_replaced(
         self,
-        known: runs.Run,
+        run: runs.Run,
         status: sources.RolloutStatus | None,
         pool: upstream_pool.Pool,
     ) -> None:
-        """Give the upstreams that a completed order replaced no new work."""
+        """Stop new calls to the upstreams that a completed order replaced."""
         if status is None or status.state is not sources.RolloutState.COMPLETED:
             return
         replaced = [
-            u for u in pool.usable_order if u.spec.version != known.order.target
+            candidate
+            for candidate in pool.usable_order
+            if candidate.spec.version != run.order.target
         ]
         for upstream in replaced:
             pool.leave(upstream.spec.id, upstream.spec.generation, REPLACED)
 
     def _end_run(self, service: ids.ServiceName, pool: upstream_pool.Pool) -> None:
-        """Spare the target of an order that has gone while it has upstreams."""
-        known = self.run_by_service.get(service)
-        if known is None:
-            known = self._begin_spared(service)
-        if known is None:
+        """Keep calls from the target of a withdrawn order while it has upstreams."""
+        run = self.run_by_service.get(service)
+        if run is None:
+            run = self._begin_without_order(service)
+        if run is None:
             return
-        target = known.order.target
-        is_left = any(u.spec.version == target for u in pool.usable_order)
-        if known.final is sources.RolloutState.COMPLETED or not is_left:
+        target = run.order.target
+        has_target = any(
+            candidate.spec.version == target for candidate in pool.usable_order
+        )
+        if run.final is sources.RolloutState.COMPLETED or not has_target:
             self.run_by_service.pop(service, None)
-        elif known.finish(sources.RolloutState.ROLLED_BACK):
+        elif run.finish(sources.RolloutState.ROLLED_BACK):
             events.emit(events.Event.ROLLOUT_WITHDRAWN, service=service, target=target)
 
-    def _begin_spared(self, service: ids.ServiceName) -> runs.Run | None:
-        """Return the run that spares a version whose status is not completed."""
+    def _begin_without_order(self, service: ids.ServiceName) -> runs.Run | None:
+        """Start a run that keeps calls from a version that was not completed."""
         status = self.orders.status_by_service.get(service)
-        if status is None or not _is_open(status):
+        if status is None or not _is_incomplete(status):
             return None
         order = sources.RolloutOrder(service, status.target, 0.0, NO_REVISION)
         return self._begin(order, None)
 
 
-def _is_open(status: sources.RolloutStatus) -> bool:
-    """Tell whether a version was tried and did not take over."""
+def _is_incomplete(status: sources.RolloutStatus) -> bool:
+    """Return whether a status is about a version that has not taken over."""
     is_completed = status.state is sources.RolloutState.COMPLETED
     return status.target != sources.NO_TARGET and not is_completed
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -172,12 +172,12 @@
         self._end_listeners.append(listener)
 
     def apply_snapshot(
-        self, snapshot: sources.Snapshot, *, is_overtaken: bool = False
+        self, snapshot: sources.Snapshot, *, is_stale: bool = False
     ) -> None:
         """
         Put everything that the source holds in force.
 
-        Where it ``is_overtaken``, a peer's newer list came while it was read, and its
+        Where it ``is_stale``, a peer's newer list came while it was read, and its
         upstreams stay: an older list would bring back those that have ended.
         """
         self._source_events.report_bad(snapshot.bad, self.clock.now())
@@ -188,10 +188,10 @@
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
         now = self.clock.now()
-        self.rollouts.orders.replace(snapshot, now, is_overtaken=is_overtaken)
+        self.rollouts.orders.replace(snapshot, now, is_stale=is_stale)
         self.quarantines.replace(snapshot)
         before = self.listing.evacuated_zones
-        if is_overtaken:
+        if is_stale:
             # What of it was taken back since then comes as a change.
             self.listing.evacuate(before | snapshot.evacuated_zones, now)
         else:
@@ -212,7 +212,7 @@
         now = self.clock.now()
         self.listing.set_position(revision, era, now)
         before = self.listing.evacuated_zones
-        plain = self.rollouts.orders.take_marks(listed, now)
+        plain = self.rollouts.orders.apply_marks(listed, now)
         self.listing.replace_by_peer(plain, now)
         source_events.report_evacuations(before, self.listing.evacuated_zones)
         self._listing_changed(FROM_PEER)
@@ -261,7 +261,7 @@
     def listed_for_peers(self) -> tuple[sources.ListedUpstream, ...]:
         """Return the list of upstreams, with orders, as peers are to know it."""
         now = self.clock.now()
-        return self.rollouts.orders.marked(self.listing.listed(now), now)
+        return self.rollouts.orders.with_marks(self.listing.listed(now), now)
 
     def rollout_status_written(self, status: sources.RolloutStatus) -> None:
         """Take in a status that this gateway has written into the source."""
@@ -358,7 +358,7 @@
 
     def _follow_rollouts(self) -> None:
         """Bring the splits of calls between versions in step with the orders."""
-        self.rollouts.follow(self.balancer_by_service)
+        self.rollouts.reconcile(self.balancer_by_service)
         self.services.report_changes()
         self._end_upstreams()
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -22,7 +22,7 @@
             "decisions/silence.may_have_crashed",
             "forwarding/recent_answers.RecentAnswers.contains",
             "forwarding/trials.Trials.admit",
-            "gateway/quarantine/writer.QuarantineWriter.look",
+            "gateway/quarantine/writer.QuarantineWriter.check",
         ),
         inputs="upstreams that ended under a request (method, host, target, body, and"
         " its caller), what was known of it when each try was sent, whether it was"
@@ -46,7 +46,7 @@
             "forwarding/trials.EXCLUSIVE_TRIAL_S",
             "forwarding/trials.MAX_RETRY_AFTER_S",
             "gateway/quarantine/sharing.RECENT_S",
-            "gateway/quarantine/writer.MOST_WAIT_S",
+            "gateway/quarantine/writer.MAX_WAIT_S",
         ),
         events=(
             "UPSTREAM_ENDED_UNDER_REQUEST",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -387,14 +387,14 @@
     ),
     Mutant(
         "evidence that is told again counts again",
-        "gateway/rollout/merging",
+        "gateway/rollout/evidence_merging",
         "new = counts.minus(before.get(cell, rollout_notes.NO_COUNTS))",
         "new = counts",
         held_by="no evidence counts twice, however often it is told",
     ),
     Mutant(
         "a final status is written over",
-        "gateway/rollout/deciding",
+        "gateway/rollout/decider_rules",
         "(sources.RolloutState.COMPLETED, sources.RolloutState.ROLLED_BACK)",
         "(sources.RolloutState.COMPLETED,)",
         held_by="a status only goes forward, and is written under conditions",
@@ -409,21 +409,21 @@
     Mutant(
         "an order is completed while calls run on what it replaces",
         "gateway/rollout/runs",
-        "return not any(u.outstanding for u in others)",
+        "return not any(upstream.outstanding for upstream in others)",
         "return True",
         held_by="a good version is completed in time, whatever else fails",
     ),
     Mutant(
         "a bad upstream is taken for its version",
         "gateway/rollout/sequential_test",
-        "return sum(left[: len(left) - worst])",
-        "return sum(left)",
+        "return sum(remaining[: len(remaining) - worst_count])",
+        "return sum(remaining)",
         held_by="a few bad upstreams are not taken for their version",
     ),
     Mutant(
         "a tried version is judged by the guess that a process begins with",
         "gateway/rollout/usual_times",
-        "if self._answers_by_route.get(route, 0) < LEAST_ANSWERS:",
+        "if self._answers_by_route.get(route, 0) < MIN_ANSWERS:",
         "if True:",
         "a version that is slow in part is found by any gateway",
     ),
@@ -437,8 +437,8 @@
     Mutant(
         "the others' failures in the moment count for nothing",
         "gateway/rollout/others_rates",
-        "LEAST_BY_SYMPTOM[symptom], fleet, there)",
-        "LEAST_BY_SYMPTOM[symptom], 0.0)",
+        "MIN_RATE_BY_SYMPTOM[symptom], fleet_rate, source_rate)",
+        "MIN_RATE_BY_SYMPTOM[symptom], 0.0)",
         held_by="what strikes all versions alike speaks against none",
     ),
 )
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -15,7 +15,7 @@
         functions=(
             "decisions/traffic_split.TrafficSplit.choose_target",
             "decisions/traffic_split.TrafficSplit.barred",
-            "gateway/rollout/registry.Registry.follow",
+            "gateway/rollout/registry.Registry.reconcile",
         ),
         inputs="requests of the service, and of each route, that this process saw"
         " answered since the order, and those it sent to the version; the operator's"
@@ -46,12 +46,12 @@
     Rule(
         question="When a version is bad",
         functions=(
-            "gateway/rollout/evidence.judge",
-            "gateway/rollout/usual_times.UsualTimes.seconds",
-            "gateway/rollout/merging.Merged.take",
+            "gateway/rollout/evidence.count_call",
+            "gateway/rollout/usual_times.BaselineLatency.seconds",
+            "gateway/rollout/evidence_merging.MergedEvidence.merge_record",
             "gateway/rollout/analysis.Analysis.finding",
             "gateway/rollout/sequential_test.Test.suspicion",
-            "gateway/rollout/others_rates.OthersRates.rate",
+            "gateway/rollout/others_rates.BaselineRates.rate",
         ),
         inputs="calls judged and failed, timed and slow, by route and upstream of the"
         " version, and by route of the others, of each gateway since the order.",
@@ -60,18 +60,18 @@
         " strikes all alike speaks against none. It has to hold without the worst"
         " upstreams, so that a few bad ones are not taken for their version.",
         constants=(
-            "gateway/rollout/sequential_test.BOUND",
-            "gateway/rollout/sequential_test.BOUND_WITHOUT_WORST",
-            "gateway/rollout/sequential_test.BOUND_OF_UPSTREAM",
+            "gateway/rollout/sequential_test.THRESHOLD",
+            "gateway/rollout/sequential_test.THRESHOLD_WITHOUT_WORST",
+            "gateway/rollout/sequential_test.UPSTREAM_THRESHOLD",
             "gateway/rollout/sequential_test.WORST_SHARE",
-            "gateway/rollout/sequential_test.LEAST_WORST",
-            "gateway/rollout/sequential_test.LEAST_WORST_SHARE",
-            "gateway/rollout/others_rates.MOMENT_S",
-            "gateway/rollout/others_rates.USUAL_S",
-            "gateway/rollout/others_rates.LEAST_SOURCES",
+            "gateway/rollout/sequential_test.MIN_WORST",
+            "gateway/rollout/sequential_test.MIN_WORST_SHARE",
+            "gateway/rollout/others_rates.SHORT_TERM_S",
+            "gateway/rollout/others_rates.LONG_TERM_S",
+            "gateway/rollout/others_rates.MIN_SOURCES",
             "gateway/rollout/evidence.SLOW_FACTOR",
-            "gateway/rollout/usual_times.LEAST_ANSWERS",
-            "gateway/rollout/usual_times.LEAST_WEIGHT",
+            "gateway/rollout/usual_times.MIN_ANSWERS",
+            "gateway/rollout/usual_times.MIN_WEIGHT",
         ),
         events=("ROLLOUT_ROLLED_BACK",),
         tests=(
@@ -96,10 +96,10 @@
     Rule(
         question="When a version takes over, and who writes that",
         functions=(
-            "gateway/rollout/promotion.hindrance",
-            "gateway/rollout/promotion.incompleteness",
-            "gateway/rollout/deciding.candidates",
-            "gateway/rollout/deciding.next_state",
+            "gateway/rollout/promotion.promotion_blocker",
+            "gateway/rollout/promotion.completion_blocker",
+            "gateway/rollout/decider_rules.candidates",
+            "gateway/rollout/decider_rules.next_state",
         ),
         inputs="the order's end (instant), usual times of the routes, answers of the"
         " version and how suspicious it is, usable slots of both versions, which"
@@ -110,17 +110,17 @@
         " half of the fleet. Two that decide do no harm: each write has the status and"
         " the order that were read as its condition.",
         constants=(
-            "gateway/rollout/promotion.MESSAGES_S",
+            "gateway/rollout/promotion.PROPAGATION_S",
             "gateway/rollout/promotion.WATCH_S",
-            "gateway/rollout/promotion.MOST_SHARE",
-            "gateway/rollout/promotion.LONG_WORK",
-            "gateway/rollout/promotion.LAST_CALL_S",
-            "gateway/rollout/promotion.LEAST_ANSWERS",
-            "gateway/rollout/promotion.LEAST_SLOTS_SHARE",
-            "gateway/rollout/promotion.MOST_SUSPICION",
-            "gateway/rollout/promotion.MOST_DOUBT",
-            "gateway/rollout/promotion.DOUBT_S",
-            "gateway/rollout/deciding.CANDIDATES",
+            "gateway/rollout/promotion.MAX_PROMOTION_SHARE",
+            "gateway/rollout/promotion.LONG_CALL_FACTOR",
+            "gateway/rollout/promotion.FINAL_WINDOW_S",
+            "gateway/rollout/promotion.MIN_ANSWERS",
+            "gateway/rollout/promotion.MIN_SLOTS_SHARE",
+            "gateway/rollout/promotion.MAX_SUSPICION",
+            "gateway/rollout/promotion.MAX_RESIDUAL_SUSPICION",
+            "gateway/rollout/promotion.STRICT_WATCH_S",
+            "gateway/rollout/decider_rules.CANDIDATE_COUNT",
         ),
         events=(
             "ROLLOUT_PROMOTING",
