--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -63,14 +63,14 @@
         "kernel/said",
         "if entry is None or entry.born != spec.born:",
         "if True:",
-        "what an upstream entry holds when its entry comes back",
+        "what an upstream said holds when its entry comes back",
     ),
     mutant_table.Mutant(
         "an upstream that rests is sent more",
         "kernel/backpressure",
         "if self.in_backoff(now):\n            return False\n        # Called",
         "if False:\n            return False\n        # Called",
-        "an upstream that in_backoff gets nothing until its rest is over",
+        "an upstream that rests gets nothing until its rest is over",
     ),
     mutant_table.Mutant(
         "who is refused where all rest is told to come back at once",
