--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -34,7 +34,7 @@
 TIER_FACTOR = 1.5
 #: Requests or bytes a second that a host carries at least; keeps the shares
 #: finite where a peer reports no capacity or nonsense.
-LEAST_CAPACITY = 1e-9
+MIN_CAPACITY = 1e-9
 
 
 class Candidate(msgspec.Struct, frozen=True):
@@ -135,6 +135,6 @@
     """Return how many such hosts the demand needs."""
     capacity = candidate.capacity
     return max(
-        demand.requests_per_s / max(LEAST_CAPACITY, capacity.requests_per_s),
-        demand.bytes_per_s / max(LEAST_CAPACITY, capacity.bytes_per_s),
+        demand.requests_per_s / max(MIN_CAPACITY, capacity.requests_per_s),
+        demand.bytes_per_s / max(MIN_CAPACITY, capacity.bytes_per_s),
     )
