--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -86,21 +86,21 @@
 
 
 def choose(
-    candidates: abc.Iterable[Candidate], demand: workload.Work, least_per_zone: int
+    candidates: abc.Iterable[Candidate], demand: workload.Work, min_per_zone: int
 ) -> list[Candidate]:
     """
     Return the active gateways.
 
-    Each zone gives its ``least_per_zone`` strongest; the next strongest of all
+    Each zone gives its ``min_per_zone`` strongest; the next strongest of all
     zones follow while an even share of ``demand`` is more than the weakest
     chosen one can carry.
     """
-    return rank(candidates, least_per_zone).active(demand)
+    return rank(candidates, min_per_zone).active(demand)
 
 
-def rank(candidates: abc.Iterable[Candidate], least_per_zone: int) -> Ranking:
+def rank(candidates: abc.Iterable[Candidate], min_per_zone: int) -> Ranking:
     """Return the candidates in the order in which they become active."""
-    chosen, spare = _split(candidates, least_per_zone)
+    chosen, spare = _split(candidates, min_per_zone)
     return Ranking(chosen + spare, len(chosen))
 
 
@@ -111,7 +111,7 @@
 
 
 def _split(
-    candidates: abc.Iterable[Candidate], least_per_zone: int
+    candidates: abc.Iterable[Candidate], min_per_zone: int
 ) -> tuple[list[Candidate], list[Candidate]]:
     """Return the strongest of each zone and the rest, both strongest first."""
     count_by_zone: dict[ids.ZoneName, int] = {}
@@ -120,7 +120,7 @@
     for candidate in sorted(candidates, key=_strength, reverse=True):
         count = count_by_zone.get(candidate.zone, 0)
         count_by_zone[candidate.zone] = count + 1
-        (chosen if count < least_per_zone else spare).append(candidate)
+        (chosen if count < min_per_zone else spare).append(candidate)
     return chosen, spare
 
 
--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -76,7 +76,7 @@
 
     members_revision: int
     phase: lifecycle.Phase
-    least_per_zone: int
+    min_per_zone: int
     regions_heard: frozenset[ids.RegionName]
 
 
@@ -103,7 +103,7 @@
         )
         if inputs != self._inputs:
             self._inputs = inputs
-            self._look_at_members(inputs.least_per_zone)
+            self._look_at_members(inputs.min_per_zone)
         elif gateway_state.gossip.demand_revision != self._demand_revision:
             self._look_at_demand()
         return self._view
@@ -159,12 +159,12 @@
             return zone == self.state.config.zone
         return not self.state.is_far(zone)
 
-    def _look_at_members(self, least_per_zone: int) -> None:
+    def _look_at_members(self, min_per_zone: int) -> None:
         records = self._believed_records()
         ready = [r for r in records if r.status is messages.Status.READY]
         starting = [r for r in records if r.status is messages.Status.STARTING]
         candidates = [active_set.Candidate(r.host, r.zone, r.capacity) for r in ready]
-        self._ranking = active_set.rank(candidates, least_per_zone)
+        self._ranking = active_set.rank(candidates, min_per_zone)
         self._set_view(View(ready, starting, self._active(ready)))
 
     def _look_at_demand(self) -> None:
