--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -57,12 +57,12 @@
     """
     The candidates in the order in which they become active.
 
-    The first ``least_count`` always are: the strongest of each zone. The others
+    The first ``min_count`` always are: the strongest of each zone. The others
     follow by strength, whatever their zone.
     """
 
     ordered: list[Candidate]
-    least_count: int
+    min_count: int
 
     def active(self, demand: workload.Work) -> list[Candidate]:
         """
@@ -73,12 +73,12 @@
         number, a choice among 312 took 34.8 ms when more was asked than all can
         carry, and takes 1.0 ms (mean of 50, whole core).
         """
-        best_count, best_load = self.least_count, math.inf
+        best_count, best_load = self.min_count, math.inf
         weakest_share = 0.0
         for count, candidate in enumerate(self.ordered, 1):
             weakest_share = max(weakest_share, _share(candidate, demand))
             load = weakest_share / count
-            if count >= self.least_count and load < best_load:
+            if count >= self.min_count and load < best_load:
                 best_count, best_load = count, load
             if best_load <= 1.0:
                 break
