--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -74,10 +74,10 @@
         carry, and takes 1.0 ms (mean of 50, whole core).
         """
         best_count, best_load = self.min_count, math.inf
-        weakest_share = 0.0
+        max_hosts_needed = 0.0
         for count, candidate in enumerate(self.ordered, 1):
-            weakest_share = max(weakest_share, _share(candidate, demand))
-            load = weakest_share / count
+            max_hosts_needed = max(max_hosts_needed, _share(candidate, demand))
+            load = max_hosts_needed / count
             if count >= self.min_count and load < best_load:
                 best_count, best_load = count, load
             if best_load <= 1.0:
