--- a/features/steps/gateway_entries.py
+++ b/features/steps/gateway_entries.py
@@ -88,13 +88,13 @@
     meter.update(now)
     for _ in range(100):
         meter.count(1_000)
-    now = ids.later(now, demand_meter.SPAN_S)
+    now = ids.later(now, demand_meter.INTERVAL_S)
     assert meter.update(now)
     assert meter.reported == workload.Work(100.0, 100_000.0)
     for _ in range(demand_meter.SPANS_KEPT - 1):
-        now = ids.later(now, demand_meter.SPAN_S)
+        now = ids.later(now, demand_meter.INTERVAL_S)
         assert not meter.update(now)
-    assert meter.update(ids.later(now, demand_meter.SPAN_S))
+    assert meter.update(ids.later(now, demand_meter.INTERVAL_S))
     assert math.isclose(meter.reported.requests_per_s, 0.0)
 
 
--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -12,7 +12,7 @@
 from spindlenotch.peers import workload
 
 #: Length of one span of counting.
-SPAN_S = 1.0
+INTERVAL_S = 1.0
 #: Spans of which the busiest counts.
 SPANS_KEPT = 8
 #: Changes by a smaller share than this are not reported to peers.
@@ -45,8 +45,10 @@
         """Close a span that is over; tell whether ``reported`` has changed."""
         if now < self._span_end:
             return False
-        self._span_end = ids.later(now, SPAN_S)
-        self._spans.append(workload.Work(self._requests / SPAN_S, self._bytes / SPAN_S))
+        self._span_end = ids.later(now, INTERVAL_S)
+        self._spans.append(
+            workload.Work(self._requests / INTERVAL_S, self._bytes / INTERVAL_S)
+        )
         self._requests = self._bytes = 0
         busiest = workload.Work(
             max(span.requests_per_s for span in self._spans),
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -100,7 +100,7 @@
             "gateway/cluster/active_set.REQUESTS_PER_CORE",
             "gateway/cluster/active_set.BYTES_PER_REQUEST",
             "gateway/cluster/active_set.TIER_FACTOR",
-            "gateway/cluster/demand_meter.SPAN_S",
+            "gateway/cluster/demand_meter.INTERVAL_S",
             "gateway/cluster/demand_meter.SPANS_KEPT",
             "gateway/cluster/demand_meter.REPORTED_CHANGE_SHARE",
         ),
