--- a/features/steps/gateway_entries.py
+++ b/features/steps/gateway_entries.py
@@ -91,7 +91,7 @@
     now = ids.later(now, demand_meter.INTERVAL_S)
     assert meter.update(now)
     assert meter.reported == workload.Work(100.0, 100_000.0)
-    for _ in range(demand_meter.SPANS_KEPT - 1):
+    for _ in range(demand_meter.INTERVALS_KEPT - 1):
         now = ids.later(now, demand_meter.INTERVAL_S)
         assert not meter.update(now)
     assert meter.update(ids.later(now, demand_meter.INTERVAL_S))
--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -14,7 +14,7 @@
 #: Length of one span of counting.
 INTERVAL_S = 1.0
 #: Spans of which the busiest counts.
-SPANS_KEPT = 8
+INTERVALS_KEPT = 8
 #: Changes by a smaller share than this are not reported to peers.
 REPORTED_CHANGE_SHARE = 0.2
 
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.reported = workload.Work(0.0, 0.0)
         self._spans: collections.deque[workload.Work] = collections.deque(
-            maxlen=SPANS_KEPT
+            maxlen=INTERVALS_KEPT
         )
         self._requests = 0
         self._bytes = 0
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -101,7 +101,7 @@
             "gateway/cluster/active_set.BYTES_PER_REQUEST",
             "gateway/cluster/active_set.TIER_FACTOR",
             "gateway/cluster/demand_meter.INTERVAL_S",
-            "gateway/cluster/demand_meter.SPANS_KEPT",
+            "gateway/cluster/demand_meter.INTERVALS_KEPT",
             "gateway/cluster/demand_meter.REPORTED_CHANGE_SHARE",
         ),
         events=("PEER_SEEN", "PEER_GONE"),
