--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.reported = workload.Work(0.0, 0.0)
-        self._spans: collections.deque[workload.Work] = collections.deque(
+        self._intervals: collections.deque[workload.Work] = collections.deque(
             maxlen=INTERVALS_KEPT
         )
         self._requests = 0
@@ -46,13 +46,13 @@
         if now < self._span_end:
             return False
         self._span_end = ids.later(now, INTERVAL_S)
-        self._spans.append(
+        self._intervals.append(
             workload.Work(self._requests / INTERVAL_S, self._bytes / INTERVAL_S)
         )
         self._requests = self._bytes = 0
         busiest = workload.Work(
-            max(span.requests_per_s for span in self._spans),
-            max(span.bytes_per_s for span in self._spans),
+            max(span.requests_per_s for span in self._intervals),
+            max(span.bytes_per_s for span in self._intervals),
         )
         if not _differs(busiest, self.reported):
             return False
