--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -34,7 +34,7 @@
         )
         self._requests = 0
         self._bytes = 0
-        self._span_end = ids.Instant(float("-inf"))
+        self._interval_end = ids.Instant(float("-inf"))
 
     def count(self, size: int) -> None:
         """Count one request; ``size`` is the bytes of its body and the answer's."""
@@ -43,9 +43,9 @@
 
     def update(self, now: ids.Instant) -> bool:
         """Close a span that is over; tell whether ``reported`` has changed."""
-        if now < self._span_end:
+        if now < self._interval_end:
             return False
-        self._span_end = ids.later(now, INTERVAL_S)
+        self._interval_end = ids.later(now, INTERVAL_S)
         self._intervals.append(
             workload.Work(self._requests / INTERVAL_S, self._bytes / INTERVAL_S)
         )
