--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -51,8 +51,8 @@
         )
         self._requests = self._bytes = 0
         busiest = workload.Work(
-            max(span.requests_per_s for span in self._intervals),
-            max(span.bytes_per_s for span in self._intervals),
+            max(interval.requests_per_s for interval in self._intervals),
+            max(interval.bytes_per_s for interval in self._intervals),
         )
         if not _differs(busiest, self.reported):
             return False
