--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -103,7 +103,7 @@
         )
         if inputs != self._inputs:
             self._inputs = inputs
-            self._look_at_members(inputs.min_per_zone)
+            self._update_members(inputs.min_per_zone)
         elif gateway_state.gossip.demand_revision != self._demand_revision:
             self._look_at_demand()
         return self._view
@@ -159,7 +159,7 @@
             return zone == self.state.config.zone
         return not self.state.is_far(zone)
 
-    def _look_at_members(self, min_per_zone: int) -> None:
+    def _update_members(self, min_per_zone: int) -> None:
         records = self._believed_records()
         ready = [r for r in records if r.status is messages.Status.READY]
         starting = [r for r in records if r.status is messages.Status.STARTING]
