--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -105,7 +105,7 @@
             self._inputs = inputs
             self._update_members(inputs.min_per_zone)
         elif gateway_state.gossip.demand_revision != self._demand_revision:
-            self._look_at_demand()
+            self._update_demand()
         return self._view
 
     def update_size(self) -> None:
@@ -167,7 +167,7 @@
         self._ranking = active_set.rank(candidates, min_per_zone)
         self._set_view(View(ready, starting, self._active(ready)))
 
-    def _look_at_demand(self) -> None:
+    def _update_demand(self) -> None:
         """Choose the active gateways anew; mostly they are the same as before."""
         view = self._view
         active = self._active(view.ready)
