--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -160,7 +160,7 @@
         return not self.state.is_far(zone)
 
     def _update_members(self, min_per_zone: int) -> None:
-        records = self._believed_records()
+        records = self._live_records()
         ready = [r for r in records if r.status is messages.Status.READY]
         starting = [r for r in records if r.status is messages.Status.STARTING]
         candidates = [active_set.Candidate(r.host, r.zone, r.capacity) for r in ready]
@@ -197,7 +197,7 @@
         self._regions.describe(records, len(ready), demand)
         return active
 
-    def _believed_records(self) -> list[messages.MemberRecord]:
+    def _live_records(self) -> list[messages.MemberRecord]:
         """Return the records of the gateways believed to live, the own one last."""
         gossip = self.state.gossip
         records = [
