--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -71,13 +71,13 @@
     """
     What decides who is ready; the demand decides with it who is active.
 
-    ``regions_heard`` are the other regions that are not lost.
+    ``reachable_regions`` are the other regions that are not lost.
     """
 
     members_revision: int
     phase: lifecycle.Phase
     min_per_zone: int
-    regions_heard: frozenset[ids.RegionName]
+    reachable_regions: frozenset[ids.RegionName]
 
 
 class Fleet:
