--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -99,7 +99,7 @@
             gateway_state.gossip.members_revision,
             gateway_state.phase,
             gateway_state.config.entries_per_zone,
-            self._regions.heard(),
+            self._regions.reachable(),
         )
         if inputs != self._inputs:
             self._inputs = inputs
--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -103,8 +103,8 @@
         targets = local.far_targets(self._spare_by_region(local.links), now)
         if targets:
             self.link.send(local.compose_far(now, wants_reply=True), targets)
-        heard = local.links.young(now, region_links.LOST_S)
-        lost = local.links.heard_by_region.keys() - heard.keys()
+        reachable = local.links.young(now, region_links.LOST_S)
+        lost = local.links.heard_by_region.keys() - reachable.keys()
         for region in sorted(lost - self._lost_regions):
             events.emit(events.Event.REGION_LOST, region=region)
         for region in sorted(self._lost_regions - lost):
--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -26,38 +26,38 @@
     def expected(
         self,
         own: workload.Work,
-        heard: abc.Mapping[ids.RegionName, workload.Work],
+        reachable: abc.Mapping[ids.RegionName, workload.Work],
         lost: abc.Mapping[ids.RegionName, workload.Work],
         now: ids.Instant,
     ) -> workload.Work:
         """
         Return the demand for which this region must be able to serve.
 
-        ``own`` is measured here; ``heard`` and ``lost`` are the last demands of the
+        ``own`` is measured here; ``reachable`` and ``lost`` are the last demands of the
         regions that are and that are no longer heard of.
         """
-        self._note(own, heard, lost, now)
+        self._note(own, reachable, lost, now)
         moved = [
             demand
             for region, demand in lost.items()
             if now - self._lost_at_by_region[region] < EXPECTED_S
         ]
-        parts = len(heard) + 1
+        parts = len(reachable) + 1
         needed = _sum([own, _part(_sum(moved), parts)])
         if now - self._idle_at < EXPECTED_S:
-            return _most(needed, _part(_sum([own, *heard.values()]), parts))
+            return _most(needed, _part(_sum([own, *reachable.values()]), parts))
         return needed
 
     def _note(
         self,
         own: workload.Work,
-        heard: abc.Mapping[ids.RegionName, workload.Work],
+        reachable: abc.Mapping[ids.RegionName, workload.Work],
         lost: abc.Mapping[ids.RegionName, workload.Work],
         now: ids.Instant,
     ) -> None:
         for region in lost:
             self._lost_at_by_region.setdefault(region, now)
-        for region in heard:
+        for region in reachable:
             self._lost_at_by_region.pop(region, None)
         if own == workload.NO_WORK:
             self._idle_at = now
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -21,7 +21,7 @@
         self.state = gateway_state
         self._moved = moved_demand.MovedDemand()
 
-    def heard(self) -> frozenset[ids.RegionName]:
+    def reachable(self) -> frozenset[ids.RegionName]:
         """Return the other regions that are not lost."""
         links = self.state.links
         if links is None:
@@ -34,13 +34,13 @@
         if links is None:
             return own
         now = self.state.clock.now()
-        heard = links.young(now, region_links.LOST_S)
+        reachable = links.young(now, region_links.LOST_S)
         known = {
             region: one.summary.demand for region, one in links.heard_by_region.items()
         }
-        lost = {region: known[region] for region in known.keys() - heard.keys()}
+        lost = {region: known[region] for region in known.keys() - reachable.keys()}
         return self._moved.expected(
-            own, {region: known[region] for region in heard}, lost, now
+            own, {region: known[region] for region in reachable}, lost, now
         )
 
     def describe(
@@ -96,12 +96,12 @@
         lately = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
         if lately:
             return lately
-        heard = links.young(now, region_links.LOST_S)
-        last = _addresses(heard, region)
+        reachable = links.young(now, region_links.LOST_S)
+        last = _addresses(reachable, region)
         if own or last:
             return sorted({*own, *last})
-        helping = heard.keys() if allowed is None else heard.keys() & allowed
-        return sorted({a for name in helping for a in _addresses(heard, name)})
+        helping = reachable.keys() if allowed is None else reachable.keys() & allowed
+        return sorted({a for name in helping for a in _addresses(reachable, name)})
 
     def _permitted(
         self,
@@ -112,12 +112,12 @@
         """Return the caller's region, this one or one that is heard: an allowed one."""
         if allowed is None:
             return region
-        heard = self.heard() & allowed
-        if region in heard:
+        reachable = self.reachable() & allowed
+        if region in reachable:
             return region
-        if links.local_region in allowed or not heard:
+        if links.local_region in allowed or not reachable:
             return links.local_region
-        return min(heard)
+        return min(reachable)
 
 
 def _addresses(
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -27,10 +27,10 @@
         if links is None:
             return
         now = self.state.clock.now()
-        heard = links.young(now, region_links.LOST_S)
+        reachable = links.young(now, region_links.LOST_S)
         services = []
         for name, service in self.state.balancer_by_service.items():
-            service.pool.far_used_by_region = _used_by_region(name, heard)
+            service.pool.far_used_by_region = _used_by_region(name, reachable)
             used = overflow.used_share(service.pool, now)
             service.pool.near_used = used
             services.append(messages.ServiceUse(name, round(used, SHARE_DIGITS)))
@@ -39,11 +39,11 @@
 
 def _used_by_region(
     service: ids.ServiceName,
-    heard: dict[ids.RegionName, messages.RegionSummary],
+    reachable: dict[ids.RegionName, messages.RegionSummary],
 ) -> dict[ids.RegionName, float]:
     return {
         region: use.used
-        for region, summary in heard.items()
+        for region, summary in reachable.items()
         for use in summary.services
         if use.service == service
     }
