--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -191,7 +191,7 @@
             sum(one.requests_per_s for one in demands),
             sum(one.bytes_per_s for one in demands),
         )
-        active = self._ranking.active(self._regions.needed(demand))
+        active = self._ranking.active(self._regions.required_demand(demand))
         hosts = {one.host for one in active}
         records = [record for record in ready if record.host in hosts]
         self._regions.describe(records, len(ready), demand)
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -28,7 +28,7 @@
             return frozenset()
         return frozenset(links.young(self.state.clock.now(), region_links.LOST_S))
 
-    def needed(self, own: workload.Work) -> workload.Work:
+    def required_demand(self, own: workload.Work) -> workload.Work:
         """Return the demand to be ready for: the own one and what will move here."""
         links = self.state.links
         if links is None:
