--- a/spindlenotch/gateway/cluster/fleet_size.py
+++ b/spindlenotch/gateway/cluster/fleet_size.py
@@ -19,7 +19,7 @@
 MEMORY_S = 60.0
 
 
-class _Sighting(msgspec.Struct, frozen=True):
+class _Sample(msgspec.Struct, frozen=True):
     """How many gateways were seen, and until when that counts."""
 
     count: int
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.seen = 1
         self.is_alone = False
-        self._sightings: collections.deque[_Sighting] = collections.deque()
+        self._sightings: collections.deque[_Sample] = collections.deque()
 
     @property
     def largest(self) -> int:
@@ -51,6 +51,6 @@
         self.is_alone = seen <= 1 and has_others
         while self._sightings and self._sightings[-1].count <= seen:
             self._sightings.pop()
-        self._sightings.append(_Sighting(seen, ids.later(now, MEMORY_S)))
+        self._sightings.append(_Sample(seen, ids.later(now, MEMORY_S)))
         while self._sightings[0].counts_until <= now:
             self._sightings.popleft()
