--- a/spindlenotch/gateway/cluster/fleet_size.py
+++ b/spindlenotch/gateway/cluster/fleet_size.py
@@ -31,26 +31,26 @@
     How many gateways are in view, this one included, and how many lately were.
 
     ``is_alone``: none but this one is, although the settings name others.
-    Invariant: ``_sightings`` are in the order in which they end to count, each of
+    Invariant: ``_samples`` are in the order in which they end to count, each of
     more gateways than the next.
     """
 
     def __init__(self) -> None:
         self.seen = 1
         self.is_alone = False
-        self._sightings: collections.deque[_Sample] = collections.deque()
+        self._samples: collections.deque[_Sample] = collections.deque()
 
     @property
     def largest(self) -> int:
         """Return the largest number seen in the last minute."""
-        return self._sightings[0].count if self._sightings else self.seen
+        return self._samples[0].count if self._samples else self.seen
 
     def update(self, seen: int, now: ids.Instant, *, has_others: bool = False) -> None:
         """Take in how many are in view now, and whether the settings name others."""
         self.seen = seen
         self.is_alone = seen <= 1 and has_others
-        while self._sightings and self._sightings[-1].count <= seen:
-            self._sightings.pop()
-        self._sightings.append(_Sample(seen, ids.later(now, MEMORY_S)))
-        while self._sightings[0].counts_until <= now:
-            self._sightings.popleft()
+        while self._samples and self._samples[-1].count <= seen:
+            self._samples.pop()
+        self._samples.append(_Sample(seen, ids.later(now, MEMORY_S)))
+        while self._samples[0].counts_until <= now:
+            self._samples.popleft()
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -262,7 +262,7 @@
     Mutant(
         "the size of the fleet is what is in view",
         "gateway/cluster/fleet_size",
-        "return self._sightings[0].count if self._sightings else self.seen",
+        "return self._samples[0].count if self._samples else self.seen",
         "return self.seen",
         "the size of the fleet is the largest of the last minute",
     ),
