--- a/spindlenotch/gateway/cluster/fleet_size.py
+++ b/spindlenotch/gateway/cluster/fleet_size.py
@@ -23,7 +23,7 @@
     """How many gateways were seen, and until when that counts."""
 
     count: int
-    counts_until: ids.Instant
+    expires_at: ids.Instant
 
 
 class FleetSize:
@@ -52,5 +52,5 @@
         while self._samples and self._samples[-1].count <= seen:
             self._samples.pop()
         self._samples.append(_Sample(seen, ids.later(now, MEMORY_S)))
-        while self._samples[0].counts_until <= now:
+        while self._samples[0].expires_at <= now:
             self._samples.popleft()
