--- a/spindlenotch/gateway/cluster/fleet_size.py
+++ b/spindlenotch/gateway/cluster/fleet_size.py
@@ -16,7 +16,7 @@
 
 #: Seconds for which a number of gateways seen counts: longer than hosts are cut off
 #: and than the window of a budget, far longer than upstreams are cold.
-MEMORY_S = 60.0
+RETENTION_S = 60.0
 
 
 class _Sample(msgspec.Struct, frozen=True):
@@ -51,6 +51,6 @@
         self.is_alone = seen <= 1 and has_others
         while self._samples and self._samples[-1].count <= seen:
             self._samples.pop()
-        self._samples.append(_Sample(seen, ids.later(now, MEMORY_S)))
+        self._samples.append(_Sample(seen, ids.later(now, RETENTION_S)))
         while self._samples[0].expires_at <= now:
             self._samples.popleft()
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -332,7 +332,7 @@
             "gateway/service_defaults.RESERVE_PARTS_EACH",
             "gateway/service_defaults.LEAST_RESERVE_PARTS",
             "gateway/service_defaults.UNKNOWN_FLEET",
-            "gateway/cluster/fleet_size.MEMORY_S",
+            "gateway/cluster/fleet_size.RETENTION_S",
             "kernel/budgets.SAVED_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
             "kernel/repeats.MOST_UNREAD_S",
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -187,7 +187,7 @@
         constants=(
             "kernel/shared_rate.LEAST_COUNTED",
             "kernel/shared_rate.LATE_S",
-            "gateway/cluster/fleet_size.MEMORY_S",
+            "gateway/cluster/fleet_size.RETENTION_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
             "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
             "decisions/least_latency.COLD_FACTOR",
