--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -22,7 +22,7 @@
 QUIET_S = 0.2
 
 
-class _Told(msgspec.Struct, frozen=True):
+class _Announced(msgspec.Struct, frozen=True):
     """The limit of an upstream that was told last, when it was heard and told."""
 
     per_s: float | None
@@ -34,7 +34,7 @@
     """Tells which upstreams' limits are to be told now."""
 
     def __init__(self) -> None:
-        self._told_by_id: dict[ids.UpstreamId, _Told] = {}
+        self._told_by_id: dict[ids.UpstreamId, _Announced] = {}
         self._look_at = shared_rate.LONG_AGO
 
     def due(
@@ -65,7 +65,7 @@
                 return False
             if limit.per_s == told.per_s and now < ids.later(told.told_at, REPEAT_S):
                 return False
-        self._told_by_id[upstream] = _Told(limit.per_s, limit.heard_at, now)
+        self._told_by_id[upstream] = _Announced(limit.per_s, limit.heard_at, now)
         return True
 
 
