--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -34,7 +34,7 @@
     """Tells which upstreams' limits are to be told now."""
 
     def __init__(self) -> None:
-        self._told_by_id: dict[ids.UpstreamId, _Announced] = {}
+        self._announced_by_id: dict[ids.UpstreamId, _Announced] = {}
         self._look_at = shared_rate.LONG_AGO
 
     def due(
@@ -48,7 +48,7 @@
         for upstream in candidates:
             limit = upstream.backpressure.limit
             if not _is_news(limit, now):
-                self._told_by_id.pop(upstream.spec.id, None)
+                self._announced_by_id.pop(upstream.spec.id, None)
                 continue
             is_quiet = False
             if self._is_due(upstream.spec.id, limit, now):
@@ -59,13 +59,13 @@
     def _is_due(
         self, upstream: ids.UpstreamId, limit: named_limit.NamedLimit, now: ids.Instant
     ) -> bool:
-        told = self._told_by_id.get(upstream)
+        told = self._announced_by_id.get(upstream)
         if told is not None:
             if limit.per_s is not None and limit.heard_at <= told.heard_at:
                 return False
             if limit.per_s == told.per_s and now < ids.later(told.told_at, REPEAT_S):
                 return False
-        self._told_by_id[upstream] = _Announced(limit.per_s, limit.heard_at, now)
+        self._announced_by_id[upstream] = _Announced(limit.per_s, limit.heard_at, now)
         return True
 
 
