--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -59,11 +59,11 @@
     def _is_due(
         self, upstream: ids.UpstreamId, limit: named_limit.NamedLimit, now: ids.Instant
     ) -> bool:
-        told = self._announced_by_id.get(upstream)
-        if told is not None:
-            if limit.per_s is not None and limit.heard_at <= told.heard_at:
+        last = self._announced_by_id.get(upstream)
+        if last is not None:
+            if limit.per_s is not None and limit.heard_at <= last.heard_at:
                 return False
-            if limit.per_s == told.per_s and now < ids.later(told.told_at, REPEAT_S):
+            if limit.per_s == last.per_s and now < ids.later(last.told_at, REPEAT_S):
                 return False
         self._announced_by_id[upstream] = _Announced(limit.per_s, limit.heard_at, now)
         return True
