--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -47,7 +47,7 @@
         is_quiet = True
         for upstream in candidates:
             limit = upstream.backpressure.limit
-            if not _is_news(limit, now):
+            if not _is_announceable(limit, now):
                 self._announced_by_id.pop(upstream.spec.id, None)
                 continue
             is_quiet = False
@@ -69,7 +69,7 @@
         return True
 
 
-def _is_news(limit: named_limit.NamedLimit, now: ids.Instant) -> bool:
+def _is_announceable(limit: named_limit.NamedLimit, now: ids.Instant) -> bool:
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
     if limit.heard_at < limit.told_at:
         return False
