--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -35,13 +35,13 @@
 
     def __init__(self) -> None:
         self._announced_by_id: dict[ids.UpstreamId, _Announced] = {}
-        self._look_at = shared_rate.LONG_AGO
+        self._next_check_at = shared_rate.LONG_AGO
 
     def due(
         self, candidates: abc.Iterable[upstreams.Upstream], now: ids.Instant
     ) -> list[upstreams.Upstream]:
         """Return those whose limits are to be told now; they count as told."""
-        if now < self._look_at:
+        if now < self._next_check_at:
             return []
         due = []
         is_quiet = True
@@ -53,7 +53,7 @@
             is_quiet = False
             if self._is_due(upstream.spec.id, limit, now):
                 due.append(upstream)
-        self._look_at = ids.later(now, QUIET_S) if is_quiet else now
+        self._next_check_at = ids.later(now, QUIET_S) if is_quiet else now
         return due
 
     def _is_due(
