--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -19,7 +19,7 @@
 ENDED_TOLD_S = 1.0
 #: Seconds between two looks while there is nothing to tell: most upstreams of a large
 #: fleet name no limit, and all are looked at.
-QUIET_S = 0.2
+IDLE_PERIOD_S = 0.2
 
 
 class _Announced(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
             is_quiet = False
             if self._is_due(upstream.spec.id, limit, now):
                 due.append(upstream)
-        self._next_check_at = ids.later(now, QUIET_S) if is_quiet else now
+        self._next_check_at = ids.later(now, IDLE_PERIOD_S) if is_quiet else now
         return due
 
     def _is_due(
