--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -44,16 +44,16 @@
         if now < self._next_check_at:
             return []
         due = []
-        is_quiet = True
+        is_idle = True
         for upstream in candidates:
             limit = upstream.backpressure.limit
             if not _is_announceable(limit, now):
                 self._announced_by_id.pop(upstream.spec.id, None)
                 continue
-            is_quiet = False
+            is_idle = False
             if self._is_due(upstream.spec.id, limit, now):
                 due.append(upstream)
-        self._next_check_at = ids.later(now, IDLE_PERIOD_S) if is_quiet else now
+        self._next_check_at = ids.later(now, IDLE_PERIOD_S) if is_idle else now
         return due
 
     def _is_due(
