--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -16,7 +16,7 @@
 REPEAT_S = 0.2
 #: Seconds for which it is told that a limit has ended: some rounds, as messages get
 #: lost.
-ENDED_TOLD_S = 1.0
+END_ANNOUNCED_S = 1.0
 #: Seconds between two looks while there is nothing to tell: most upstreams of a large
 #: fleet name no limit, and all are looked at.
 IDLE_PERIOD_S = 0.2
@@ -73,4 +73,4 @@
     """Tell whether peers may not know it: there is a limit, or one has just ended."""
     if limit.heard_at < limit.told_at:
         return False
-    return limit.per_s is not None or now < ids.later(limit.ended_at, ENDED_TOLD_S)
+    return limit.per_s is not None or now < ids.later(limit.ended_at, END_ANNOUNCED_S)
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -34,7 +34,7 @@
             "kernel/named_limit.ASK_AFTER_S",
             "kernel/said.KEPT_S",
             "gateway/cluster/limit_news.REPEAT_S",
-            "gateway/cluster/limit_news.ENDED_TOLD_S",
+            "gateway/cluster/limit_news.END_ANNOUNCED_S",
         ),
         events=("UPSTREAM_LIMITED", "UPSTREAM_LIMIT_ENDED", "SENT_TO_LIMITED"),
         tests=(
