--- a/features/steps/gateway_limits.py
+++ b/features/steps/gateway_limits.py
@@ -318,7 +318,7 @@
 def told_on() -> None:
     made = rate_pools.pool_of(0)
     upstream = made.upstream_by_id[ids.UpstreamId("u299")]
-    limit, news = upstream.backpressure.limit, limit_news.LimitNews()
+    limit, news = upstream.backpressure.limit, limit_news.LimitAnnouncements()
 
     def due(after_s: float) -> bool:
         return bool(news.due(made.usable_order, ids.later(NOW, after_s)))
--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -30,7 +30,7 @@
     told_at: ids.Instant
 
 
-class LimitNews:
+class LimitAnnouncements:
     """Tells which upstreams' limits are to be told now."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -55,7 +55,7 @@
         self.link = link
         self.probed = probed
         self._filter = report_filter.ReportFilter()
-        self._limit_news = limit_news.LimitNews()
+        self._limit_news = limit_news.LimitAnnouncements()
 
     async def run(self) -> None:
         """Send new reports until cancelled."""
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -17,7 +17,7 @@
             "kernel/shared_rate.Place.holders",
             "kernel/shared_rate.Place.held_since",
             "kernel/shared_rate.Pacer.may_send",
-            "gateway/cluster/limit_news.LimitNews.due",
+            "gateway/cluster/limit_news.LimitAnnouncements.due",
         ),
         inputs="requests a second that the upstream takes, as its answers or peers"
         " said last, active gateways now and a window ago, gateways seen now and"
