--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -55,7 +55,7 @@
         self.link = link
         self.probed = probed
         self._filter = report_filter.ReportFilter()
-        self._limit_news = limit_news.LimitAnnouncements()
+        self._limit_announcements = limit_news.LimitAnnouncements()
 
     async def run(self) -> None:
         """Send new reports until cancelled."""
@@ -121,7 +121,7 @@
         """Return the reports that are to be sent now."""
         now = self.state.clock.now()
         due = self._filter.due(self._senders(active_zones), now)
-        limited = self._limit_news.due(self._usable(), now)
+        limited = self._limit_announcements.due(self._usable(), now)
         record_by_id = {u.spec.id: _record(u, now) for u in due}
         for upstream in limited:
             record = record_by_id.get(upstream.spec.id) or _record(upstream, now)
