--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -32,7 +32,7 @@
 AGE_DIGITS = 3
 #: Seconds for which it is told that an upstream is warm again: some rounds, as messages
 #: get lost.
-COLDNESS_TOLD_S = 1.0
+COLD_END_ANNOUNCED_S = 1.0
 
 
 class LoadSharing:
@@ -207,7 +207,7 @@
 def _record(upstream: upstreams.Upstream, now: ids.Instant) -> workload.LoadRecord:
     record = _load_record(upstream, now)
     cold = upstream.cold
-    if cold.told_at == shared_rate.LONG_AGO or cold.until + COLDNESS_TOLD_S < now:
+    if cold.told_at == shared_rate.LONG_AGO or cold.until + COLD_END_ANNOUNCED_S < now:
         return record
     return msgspec.structs.replace(
         record,
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -189,7 +189,7 @@
             "kernel/shared_rate.LATE_S",
             "gateway/cluster/fleet_size.RETENTION_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
-            "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
+            "gateway/cluster/load_sharing.COLD_END_ANNOUNCED_S",
             "decisions/least_latency.COLD_FACTOR",
         ),
         tests=(
