--- a/features/steps/gateway_loads.py
+++ b/features/steps/gateway_loads.py
@@ -41,7 +41,7 @@
         )
         state.apply_snapshot(sources.Snapshot(1, configuration, {UPSTREAM: listed}))
         self.pool = state.balancer_by_service[SERVICE].pool
-        self.sharing = load_sharing.LoadSharing(
+        self.sharing = load_sharing.LoadExchange(
             state, relayed.fleet, relayed.link, {UPSTREAM}
         )
         self.sent: list[int] = []
--- a/features/steps/gateway_reborn_peers.py
+++ b/features/steps/gateway_reborn_peers.py
@@ -44,7 +44,7 @@
             born=there,
         )
         message = messages.Message(playing.state.gossip.local, 1, loads=(record,))
-        sharing = load_sharing.LoadSharing(
+        sharing = load_sharing.LoadExchange(
             playing.state, playing.relay.fleet, playing.relay.link, ()
         )
         handled = playing.state.gossip.handle(message, playing.clock.now())
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -35,7 +35,7 @@
 COLD_END_ANNOUNCED_S = 1.0
 
 
-class LoadSharing:
+class LoadExchange:
     """
     Sends and receives load reports.
 
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -88,7 +88,7 @@
             gateway_state, source, self.relay.is_reader
         )
         self.prober = prober.Prober(gateway_state, self.fleet, port)
-        self.load_sharing = load_sharing.LoadSharing(
+        self.load_sharing = load_sharing.LoadExchange(
             gateway_state, self.fleet, link, self.prober.task_by_id.keys()
         )
         self.rollout = rollout_loop.RolloutLoop(gateway_state, self.fleet, link, source)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -307,7 +307,7 @@
             "gateway/source/leases.Lease.is_same_start",
             "gateway/source/leases.renewed",
             "kernel/upstream_set.UpstreamSet.set_listed",
-            "gateway/cluster/load_sharing.LoadSharing.message_received",
+            "gateway/cluster/load_sharing.LoadExchange.message_received",
         ),
         inputs="the start that its entry tells (Unix ms, or none), state, service, zone"
         " and address; of what peers report: its start, and how old it is (s).",
