--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -79,7 +79,7 @@
                 upstream = service_balancer.pool.upstream_by_id.get(load.upstream)
                 if upstream is None:
                     continue
-                _take_coldness(upstream, load, now)
+                _apply_cold_state(upstream, load, now)
                 _take_limit(upstream, load, now)
                 report_at = ids.Instant(now - load.age_s)
                 if not _is_of_this_start(load, report_at, upstream):
@@ -170,7 +170,7 @@
     return False
 
 
-def _take_coldness(
+def _apply_cold_state(
     upstream: upstreams.Upstream, load: workload.LoadRecord, now: ids.Instant
 ) -> None:
     """Take in what a peer knows of an upstream's coldness, where it is newer."""
