--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -80,7 +80,7 @@
                 if upstream is None:
                     continue
                 _apply_cold_state(upstream, load, now)
-                _take_limit(upstream, load, now)
+                _apply_limit(upstream, load, now)
                 report_at = ids.Instant(now - load.age_s)
                 if not _is_of_this_start(load, report_at, upstream):
                     continue
@@ -181,7 +181,7 @@
         upstream.cold.told(ids.later(now, load.cold_s), told_at)
 
 
-def _take_limit(
+def _apply_limit(
     upstream: upstreams.Upstream, load: workload.LoadRecord, now: ids.Instant
 ) -> None:
     """Take in the limit of an upstream that a peer has heard, where it is newer."""
