--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -82,7 +82,7 @@
                 _apply_cold_state(upstream, load, now)
                 _apply_limit(upstream, load, now)
                 report_at = ids.Instant(now - load.age_s)
-                if not _is_of_this_start(load, report_at, upstream):
+                if not _is_of_current_start(load, report_at, upstream):
                     continue
                 if report_at > upstream.report_at:
                     report = upstreams.LoadReport(
@@ -154,7 +154,7 @@
         ]
 
 
-def _is_of_this_start(
+def _is_of_current_start(
     load: workload.LoadRecord, at: ids.Instant, upstream: upstreams.Upstream
 ) -> bool:
     """
@@ -177,7 +177,7 @@
     if load.cold_s is None:
         return
     told_at = ids.Instant(now - load.cold_age_s)
-    if _is_of_this_start(load, told_at, upstream):
+    if _is_of_current_start(load, told_at, upstream):
         upstream.cold.told(ids.later(now, load.cold_s), told_at)
 
 
@@ -188,7 +188,7 @@
     if load.limit_age_s is None:
         return
     told_at = ids.Instant(now - load.limit_age_s)
-    if _is_of_this_start(load, told_at, upstream):
+    if _is_of_current_start(load, told_at, upstream):
         upstream.backpressure.limit.told(load.limit_per_s, told_at, now)
 
 
