--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -120,7 +120,7 @@
     ) -> list[workload.LoadRecord]:
         """Return the reports that are to be sent now."""
         now = self.state.clock.now()
-        due = self._filter.due(self._senders(active_zones), now)
+        due = self._filter.due(self._reported_upstreams(active_zones), now)
         limited = self._limit_announcements.due(self._usable(), now)
         record_by_id = {u.spec.id: _record(u, now) for u in due}
         for upstream in limited:
@@ -133,7 +133,7 @@
         for service_balancer in self.state.balancer_by_service.values():
             yield from service_balancer.pool.usable_order
 
-    def _senders(
+    def _reported_upstreams(
         self, active_zones: dict[ids.HostId, ids.ZoneName]
     ) -> list[upstreams.Upstream]:
         """Return the upstreams whose reports this gateway sends."""
