--- a/features/steps/gateway_entries.py
+++ b/features/steps/gateway_entries.py
@@ -28,7 +28,7 @@
 
 def load(chosen: list[active_set.Candidate], demand: workload.Work) -> float:
     """Return the load of the weakest where callers spread evenly; 1.0 is all."""
-    return max(active_set._share(one, demand) for one in chosen) / len(chosen)
+    return max(active_set._hosts_needed(one, demand) for one in chosen) / len(chosen)
 
 
 @kernel.PROPERTIES.register("callers are sent to the strongest gateways of each zone")
@@ -101,7 +101,7 @@
 @kernel.PROPERTIES.register("each gateway is weighed once where all are too few")
 def weighed_once() -> None:
     looks: list[active_set.Candidate] = []
-    weigh = active_set._share
+    weigh = active_set._hosts_needed
 
     def count(one: active_set.Candidate, demand: workload.Work) -> float:
         looks.append(one)
@@ -109,11 +109,11 @@
 
     fleet = [candidate(n, STRONG if n % 20 == 0 else WEAK) for n in range(300)]
     active_set.choose(fleet, workload.NO_WORK, 1)
-    active_set._share = count
+    active_set._hosts_needed = count
     try:
         everyone = active_set.choose(fleet, workload.Work(1e6, 1e9), 1)
     finally:
-        active_set._share = weigh
+        active_set._hosts_needed = weigh
     assert len(everyone) == len(fleet)
     # Each zone's strongest are among them; a second look costs nothing much.
     assert len(looks) <= 2 * len(fleet)
--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -76,7 +76,7 @@
         best_count, best_load = self.min_count, math.inf
         max_hosts_needed = 0.0
         for count, candidate in enumerate(self.ordered, 1):
-            max_hosts_needed = max(max_hosts_needed, _share(candidate, demand))
+            max_hosts_needed = max(max_hosts_needed, _hosts_needed(candidate, demand))
             load = max_hosts_needed / count
             if count >= self.min_count and load < best_load:
                 best_count, best_load = count, load
@@ -126,12 +126,12 @@
 
 def _strength(candidate: Candidate) -> tuple[int, tuple[int, str]]:
     """Order by capacity in tiers, and by rendezvous hashing within a tier."""
-    capacity = 1.0 / _share(candidate, workload.Work(1.0, BYTES_PER_REQUEST))
+    capacity = 1.0 / _hosts_needed(candidate, workload.Work(1.0, BYTES_PER_REQUEST))
     tier = math.floor(math.log(capacity, TIER_FACTOR))
     return tier, rendezvous.score(TIE_SALT, candidate.host)
 
 
-def _share(candidate: Candidate, demand: workload.Work) -> float:
+def _hosts_needed(candidate: Candidate, demand: workload.Work) -> float:
     """Return how many such hosts the demand needs."""
     capacity = candidate.capacity
     return max(
