--- a/features/support/regional_fleet.py
+++ b/features/support/regional_fleet.py
@@ -138,7 +138,7 @@
             for gateway in self.alive():
                 if now >= self._ask_at[gateway.number]:
                     self._ask_at[gateway.number] = now + 0.4
-                    gateway.membership.ask()
+                    gateway.membership.run_round()
                     gateway.fleet.view()
 
     def set_demand(self, region: str, requests_per_s: float) -> None:
--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -81,10 +81,10 @@
         """Ask a few peers each period until cancelled."""
         await self._bootstrap()
         while True:
-            self.ask()
+            self.run_round()
             await self.state.wakeups.sleep(self.state.gossip.timing.period_s)
 
-    def ask(self) -> None:
+    def run_round(self) -> None:
         """Ask a few peers, judge overdue replies, tell another region if it is time."""
         gateway_state = self.state
         targets = gateway_state.gossip.targets(
