--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -95,9 +95,9 @@
         for record in gateway_state.gossip.sweep(gateway_state.clock.now()):
             events.emit(events.Event.PEER_GONE, host=record.host)
         if isinstance(gateway_state.gossip, regional_gossip.RegionalGossip):
-            self._tell_regions(gateway_state.gossip)
+            self._gossip_with_regions(gateway_state.gossip)
 
-    def _tell_regions(self, local: regional_gossip.RegionalGossip) -> None:
+    def _gossip_with_regions(self, local: regional_gossip.RegionalGossip) -> None:
         """Tell another region of this one where it is time, and note which are lost."""
         now = self.state.clock.now()
         targets = local.far_targets(self._spare_by_region(local.links), now)
