--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -100,7 +100,9 @@
     def _gossip_with_regions(self, local: regional_gossip.RegionalGossip) -> None:
         """Tell another region of this one where it is time, and note which are lost."""
         now = self.state.clock.now()
-        targets = local.far_targets(self._spare_by_region(local.links), now)
+        targets = local.far_targets(
+            self._fallback_addresses_by_region(local.links), now
+        )
         if targets:
             self.link.send(local.compose_far(now, wants_reply=True), targets)
         reachable = local.links.young(now, region_links.LOST_S)
@@ -111,7 +113,7 @@
             events.emit(events.Event.REGION_BACK, region=region)
         self._lost_regions = lost
 
-    def _spare_by_region(
+    def _fallback_addresses_by_region(
         self, links: region_links.RegionLinks
     ) -> dict[ids.RegionName, list[ids.Address]]:
         """Return addresses by which a region may be reached that is not heard of."""
