--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -120,12 +120,12 @@
         seeds = [
             a for a in self.state.config.peers if a != self.state.config.peer_listen
         ]
-        spare_by_region = {region: list(seeds) for region in links.others}
+        addresses_by_region = {region: list(seeds) for region in links.others}
         for record in self.state.discovery_record_by_zone.values():
             region = links.known.region(record.zone)
-            if region in spare_by_region:
-                spare_by_region[region].append(record.peer_address)
-        return spare_by_region
+            if region in addresses_by_region:
+                addresses_by_region[region].append(record.peer_address)
+        return addresses_by_region
 
     def announce(self) -> None:
         """Send the own record to every known peer at once."""
