--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -90,7 +90,7 @@
         targets = gateway_state.gossip.targets(
             gateway_state.config.peers, gateway_state.clock.now()
         )
-        targets += self._undiscovered(targets)
+        targets += self._unknown_discovered_peers(targets)
         self.link.send(gateway_state.gossip.compose(wants_reply=True), targets)
         for record in gateway_state.gossip.sweep(gateway_state.clock.now()):
             events.emit(events.Event.PEER_GONE, host=record.host)
@@ -160,7 +160,7 @@
             await asyncio.sleep(jitter.jittered(pause_s, gateway_state.rng))
             pause_s *= PAUSE_FACTOR
 
-    def _undiscovered(self, asked: list[ids.Address]) -> list[ids.Address]:
+    def _unknown_discovered_peers(self, asked: list[ids.Address]) -> list[ids.Address]:
         """Return the peers that only the source's discovery records name."""
         local = self.state.gossip
         reached = {peer.record.peer_address for peer in local.known_by_host.values()}
