--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -129,11 +129,11 @@
 
     def announce(self) -> None:
         """Send the own record to every known peer at once."""
-        everyone = [
+        addresses = [
             peer.record.peer_address
             for peer in self.state.gossip.known_by_host.values()
         ]
-        self.link.send(self.state.gossip.compose(), everyone)
+        self.link.send(self.state.gossip.compose(), addresses)
 
     async def _bootstrap(self) -> None:
         """
