--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -36,7 +36,7 @@
         ``own`` is measured here; ``reachable`` and ``lost`` are the last demands of the
         regions that are and that are no longer heard of.
         """
-        self._note(own, reachable, lost, now)
+        self._update(own, reachable, lost, now)
         moved = [
             demand
             for region, demand in lost.items()
@@ -48,7 +48,7 @@
             return _most(needed, _part(_sum([own, *reachable.values()]), parts))
         return needed
 
-    def _note(
+    def _update(
         self,
         own: workload.Work,
         reachable: abc.Mapping[ids.RegionName, workload.Work],
