--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -45,7 +45,7 @@
         parts = len(reachable) + 1
         needed = _sum([own, _part(_sum(moved), parts)])
         if now - self._idle_at < EXPECTED_S:
-            return _most(needed, _part(_sum([own, *reachable.values()]), parts))
+            return _max(needed, _part(_sum([own, *reachable.values()]), parts))
         return needed
 
     def _update(
@@ -75,7 +75,7 @@
     return workload.Work(work.requests_per_s / parts, work.bytes_per_s / parts)
 
 
-def _most(one: workload.Work, other: workload.Work) -> workload.Work:
+def _max(one: workload.Work, other: workload.Work) -> workload.Work:
     return workload.Work(
         max(one.requests_per_s, other.requests_per_s),
         max(one.bytes_per_s, other.bytes_per_s),
