--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -43,9 +43,9 @@
             if now - self._lost_at_by_region[region] < EXPECTED_S
         ]
         parts = len(reachable) + 1
-        needed = _sum([own, _part(_sum(moved), parts)])
+        needed = _sum([own, _even_share(_sum(moved), parts)])
         if now - self._idle_at < EXPECTED_S:
-            return _max(needed, _part(_sum([own, *reachable.values()]), parts))
+            return _max(needed, _even_share(_sum([own, *reachable.values()]), parts))
         return needed
 
     def _update(
@@ -71,7 +71,7 @@
     return workload.Work(requests_per_s, bytes_per_s)
 
 
-def _part(work: workload.Work, parts: int) -> workload.Work:
+def _even_share(work: workload.Work, parts: int) -> workload.Work:
     return workload.Work(work.requests_per_s / parts, work.bytes_per_s / parts)
 
 
