--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -171,7 +171,7 @@
     "a region that returns is ready for its part of all callers"
 )
 def returning() -> None:
-    moved = moved_demand.MovedDemand()
+    moved = moved_demand.FailoverDemand()
     north, south = ids.RegionName("north"), ids.RegionName("south")
     heard = {north: workload.Work(300.0, 30.0), south: workload.Work(600.0, 60.0)}
     now = kernel.NOW
@@ -187,7 +187,7 @@
 
 @kernel.PROPERTIES.register("what a lost region was asked is expected by the others")
 def expected() -> None:
-    moved = moved_demand.MovedDemand()
+    moved = moved_demand.FailoverDemand()
     north, south = ids.RegionName("north"), ids.RegionName("south")
     own = workload.Work(100.0, 10.0)
     heard = {north: workload.Work(100.0, 10.0)}
--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -16,7 +16,7 @@
 EXPECTED_S = 10.0
 
 
-class MovedDemand:
+class FailoverDemand:
     """Follows which regions are heard, and adds what is expected of their callers."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -19,7 +19,7 @@
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
-        self._moved = moved_demand.MovedDemand()
+        self._moved = moved_demand.FailoverDemand()
 
     def reachable(self) -> frozenset[ids.RegionName]:
         """Return the other regions that are not lost."""
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -119,7 +119,7 @@
         question="Which region's gateways callers are sent to",
         functions=(
             "gateway/cluster/region_exchange.RegionExchange.addresses",
-            "gateway/cluster/moved_demand.MovedDemand.expected",
+            "gateway/cluster/moved_demand.FailoverDemand.expected",
             "peers/region_links.RegionLinks.targets",
         ),
         inputs="the caller's region or zone, setting `region_by_zone`, regions that all"
