--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -19,7 +19,7 @@
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
-        self._moved = moved_demand.FailoverDemand()
+        self._failover_demand = moved_demand.FailoverDemand()
 
     def reachable(self) -> frozenset[ids.RegionName]:
         """Return the other regions that are not lost."""
@@ -39,7 +39,7 @@
             region: one.summary.demand for region, one in links.heard_by_region.items()
         }
         lost = {region: known[region] for region in known.keys() - reachable.keys()}
-        return self._moved.expected(
+        return self._failover_demand.expected(
             own, {region: known[region] for region in reachable}, lost, now
         )
 
