--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -79,10 +79,10 @@
             return sorted(own)
         permitted = self._permitted(links, region, allowed)
         if allowed is None or links.local_region in allowed:
-            return self._named(links, permitted, own, allowed)
-        return self._named(links, permitted, (), allowed) or sorted(own)
+            return self._addresses_of(links, permitted, own, allowed)
+        return self._addresses_of(links, permitted, (), allowed) or sorted(own)
 
-    def _named(
+    def _addresses_of(
         self,
         links: region_links.RegionLinks,
         region: ids.RegionName,
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -297,8 +297,8 @@
     Mutant(
         "callers are sent to gateways that refuse them for their region",
         "gateway/cluster/region_exchange",
-        "return self._named(links, permitted, (), allowed) or sorted(own)",
-        "return self._named(links, permitted, own, allowed)",
+        "return self._addresses_of(links, permitted, (), allowed) or sorted(own)",
+        "return self._addresses_of(links, permitted, own, allowed)",
         "where an allowed region is lost, such callers are sent to another",
     ),
     Mutant(
