--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -77,7 +77,7 @@
         links = self.state.links
         if links is None:
             return sorted(own)
-        permitted = self._permitted(links, region, allowed)
+        permitted = self._permitted_region(links, region, allowed)
         if allowed is None or links.local_region in allowed:
             return self._addresses_of(links, permitted, own, allowed)
         return self._addresses_of(links, permitted, (), allowed) or sorted(own)
@@ -103,7 +103,7 @@
         helping = reachable.keys() if allowed is None else reachable.keys() & allowed
         return sorted({a for name in helping for a in _addresses(reachable, name)})
 
-    def _permitted(
+    def _permitted_region(
         self,
         links: region_links.RegionLinks,
         region: ids.RegionName,
