--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -93,9 +93,9 @@
         if region not in links.others and own:
             return sorted(own)
         now = self.state.clock.now()
-        lately = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
-        if lately:
-            return lately
+        recent = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
+        if recent:
+            return recent
         reachable = links.young(now, region_links.LOST_S)
         last = _addresses(reachable, region)
         if own or last:
