--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -97,9 +97,9 @@
         if recent:
             return recent
         reachable = links.young(now, region_links.LOST_S)
-        last = _addresses(reachable, region)
-        if own or last:
-            return sorted({*own, *last})
+        last_known = _addresses(reachable, region)
+        if own or last_known:
+            return sorted({*own, *last_known})
         helping = reachable.keys() if allowed is None else reachable.keys() & allowed
         return sorted({a for name in helping for a in _addresses(reachable, name)})
 
