--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -100,8 +100,12 @@
         last_known = _addresses(reachable, region)
         if own or last_known:
             return sorted({*own, *last_known})
-        helping = reachable.keys() if allowed is None else reachable.keys() & allowed
-        return sorted({a for name in helping for a in _addresses(reachable, name)})
+        fallback_regions = (
+            reachable.keys() if allowed is None else reachable.keys() & allowed
+        )
+        return sorted(
+            {a for name in fallback_regions for a in _addresses(reachable, name)}
+        )
 
     def _permitted_region(
         self,
