--- a/spindlenotch/gateway/cluster/own_record.py
+++ b/spindlenotch/gateway/cluster/own_record.py
@@ -19,7 +19,7 @@
 }
 
 
-def first(
+def initial_record(
     config: settings.GatewaySettings, rng: random.Random, gateway_clock: clock.Clock
 ) -> messages.MemberRecord:
     """
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -73,7 +73,7 @@
         self.rollouts = registry.Registry(config.exposure_share, self.metrics)
         self.quarantines = quarantine_registry.Registry(config.host, gateway_clock)
         self.local_member = ownership.Member(config.zone, config.host)
-        record = own_record.first(config, self.rng, gateway_clock)
+        record = own_record.initial_record(config, self.rng, gateway_clock)
         self.regions = regions.create(config.region_by_zone)
         self.gossip = regional_gossip.create(
             record, self.rng, GOSSIP_TIMING, self.regions
