--- a/spindlenotch/gateway/cluster/peer_distance.py
+++ b/spindlenotch/gateway/cluster/peer_distance.py
@@ -24,7 +24,7 @@
     def to(self, address: ids.Address) -> str:
         """Return how far a peer address is, as the metrics name it."""
         if self.state.gossip.members_revision != self._revision:
-            self._look_up()
+            self._rebuild()
         zone = self._zone_by_address.get(address)
         if zone is not None:
             return self.state.regions.distance(self.state.config.zone, zone).value
@@ -33,7 +33,7 @@
             return regions.Distance.FAR.value
         return UNKNOWN
 
-    def _look_up(self) -> None:
+    def _rebuild(self) -> None:
         self._revision = self.state.gossip.members_revision
         self._zone_by_address = {
             peer.record.peer_address: peer.record.zone
