--- a/features/steps/gateway_cold.py
+++ b/features/steps/gateway_cold.py
@@ -191,10 +191,10 @@
     silent = upstreams.LoadReport(1, 0)
     bounded = rate_pools.policy()
     unbounded = msgspec.structs.replace(bounded, cold_rate_per_s=None)
-    assert prober.with_coldness(silent, bounded).cold_s == 0.0
-    assert prober.with_coldness(silent, unbounded).cold_s is None
+    assert prober.with_default_cold_s(silent, bounded).cold_s == 0.0
+    assert prober.with_default_cold_s(silent, unbounded).cold_s is None
     cold = upstreams.LoadReport(1, 0, cold_s=2.5)
-    assert prober.with_coldness(cold, bounded) == cold
+    assert prober.with_default_cold_s(cold, bounded) == cold
     for text, expected in (
         ("2500", 2.5),
         ("0", 0.0),
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -45,7 +45,7 @@
     upstream: upstreams.Upstream
 
 
-def with_coldness(
+def with_default_cold_s(
     report: upstreams.LoadReport, service: service_policy.ServicePolicy
 ) -> upstreams.LoadReport:
     """
@@ -164,7 +164,7 @@
             # upstreams are compared.
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
-                told = with_coldness(report, target.pool.service)
+                told = with_default_cold_s(report, target.pool.service)
                 target.pool.told(target.upstream, told, now)
             await asyncio.sleep(jitter.jittered(period_s, rng))
 
