--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -32,7 +32,7 @@
 PROBES_PER_WORK = 10.0
 #: Most seconds between two probes of an upstream: slowdowns come and go within half a
 #: second.
-MOST_PERIOD_S = 0.25
+MAX_PERIOD_S = 0.25
 #: Keeps the period finite where the setting is nearly zero.
 LEAST_PROBES_PER_S = 0.001
 
@@ -145,7 +145,7 @@
             if any(part.service == target.service for part in route.parts)
         ]
         wanted_s = sum(work_s) / max(1, len(work_s)) / PROBES_PER_WORK
-        return max(allowed_s, min(wanted_s, MOST_PERIOD_S))
+        return max(allowed_s, min(wanted_s, MAX_PERIOD_S))
 
     async def _probe(self, target: Target) -> None:
         rng = self.state.rng
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -233,7 +233,7 @@
             "gateway/source/relay.ANSWERED_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
             "gateway/cluster/prober.PROBES_PER_WORK",
-            "gateway/cluster/prober.MOST_PERIOD_S",
+            "gateway/cluster/prober.MAX_PERIOD_S",
             "gateway/source/discovery.SETTLE_S",
             "gateway/source/discovery.REWRITE_S",
         ),
