--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -34,7 +34,7 @@
 #: second.
 MAX_PERIOD_S = 0.25
 #: Keeps the period finite where the setting is nearly zero.
-LEAST_PROBES_PER_S = 0.001
+MIN_PROBES_PER_S = 0.001
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -138,7 +138,7 @@
 
     def _period_s(self, configuration: routing.Configuration, target: Target) -> float:
         """Return the time between two probes of an upstream, in seconds."""
-        allowed_s = 1.0 / max(LEAST_PROBES_PER_S, self.state.config.probes_per_s)
+        allowed_s = 1.0 / max(MIN_PROBES_PER_S, self.state.config.probes_per_s)
         work_s = [
             service_defaults.typical_latency_s(route)
             for route in configuration.routes
