--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -29,7 +29,7 @@
 #: has to do changes with the work that begins and ends there. By the mean of the
 #: routes, as nearly every service may at times get the shortest work. Not by the
 #: latency seen, which grows under load, when reports matter most.
-PROBES_PER_WORK = 10.0
+PROBES_PER_SERVICE_TIME = 10.0
 #: Most seconds between two probes of an upstream: slowdowns come and go within half a
 #: second.
 MAX_PERIOD_S = 0.25
@@ -144,7 +144,7 @@
             for route in configuration.routes
             if any(part.service == target.service for part in route.parts)
         ]
-        wanted_s = sum(work_s) / max(1, len(work_s)) / PROBES_PER_WORK
+        wanted_s = sum(work_s) / max(1, len(work_s)) / PROBES_PER_SERVICE_TIME
         return max(allowed_s, min(wanted_s, MAX_PERIOD_S))
 
     async def _probe(self, target: Target) -> None:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -232,7 +232,7 @@
             "gateway/source/reader_duty.FIRST_PEER_WAIT_S",
             "gateway/source/relay.ANSWERED_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
-            "gateway/cluster/prober.PROBES_PER_WORK",
+            "gateway/cluster/prober.PROBES_PER_SERVICE_TIME",
             "gateway/cluster/prober.MAX_PERIOD_S",
             "gateway/source/discovery.SETTLE_S",
             "gateway/source/discovery.REWRITE_S",
