--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -24,7 +24,7 @@
 MATCH_PERIOD_S = 0.2
 #: A probing task ends after about this long and is begun anew with the settings of that
 #: moment.
-TASK_S = 1.0
+TASK_LIFETIME_S = 1.0
 #: Probes in the time that the work of a service takes on an idle upstream: what one
 #: has to do changes with the work that begins and ends there. By the mean of the
 #: routes, as nearly every service may at times get the shortest work. Not by the
@@ -157,7 +157,7 @@
         spec = table.configuration.service_by_name.get(target.service)
         health_path = None if spec is None else spec.health_path
         address = target.upstream.spec.address
-        for _ in range(max(1, int(TASK_S / period_s))):
+        for _ in range(max(1, int(TASK_LIFETIME_S / period_s))):
             self.state.metrics.probes.labels(target.service).inc()
             report = await self.port.probe(address, PROBE_TIMEOUT_S, health_path)
             # A fault leaves the last report; how old it is counts where
