--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -10,7 +10,7 @@
 PERIODS_S = (
     gateway.TICK_S,
     source_reader.OFF_DUTY_S,
-    prober.MATCH_PERIOD_S,
+    prober.RECONCILE_PERIOD_S,
     load_sharing.IDLE_PERIOD_S,
     relay.ASK_PERIOD_S,
     state.GOSSIP_TIMING.period_s,
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -21,7 +21,7 @@
 #: Longest wait for the answer to a probe, in seconds.
 PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
 #: Time between two looks at which upstreams fall to this gateway.
-MATCH_PERIOD_S = 0.2
+RECONCILE_PERIOD_S = 0.2
 #: A probing task ends after about this long and is begun anew with the settings of that
 #: moment.
 TASK_LIFETIME_S = 1.0
@@ -85,7 +85,7 @@
         try:
             while True:
                 self._match_tasks()
-                await self.state.wakeups.sleep(MATCH_PERIOD_S)
+                await self.state.wakeups.sleep(RECONCILE_PERIOD_S)
         finally:
             for task in self.task_by_id.values():
                 task.cancel()
