--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -78,7 +78,7 @@
         self.port = port
         self.task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
         self._target_by_id: dict[ids.UpstreamId, Target] = {}
-        self._target_key: tuple[object, ...] = ()
+        self._target_inputs: tuple[object, ...] = ()
 
     async def run(self) -> None:
         """Keep one task for each upstream that falls to this gateway."""
@@ -92,8 +92,8 @@
 
     def _match_tasks(self) -> None:
         key = self._inputs()
-        if key != self._target_key:
-            self._target_key = key
+        if key != self._target_inputs:
+            self._target_inputs = key
             before, self._target_by_id = self._target_by_id, self._targets()
             for upstream_id in list(self.task_by_id):
                 if _is_other(before[upstream_id], self._target_by_id.get(upstream_id)):
