--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -96,7 +96,9 @@
             self._target_inputs = key
             before, self._target_by_id = self._target_by_id, self._targets()
             for upstream_id in list(self.task_by_id):
-                if _is_other(before[upstream_id], self._target_by_id.get(upstream_id)):
+                if _is_replaced(
+                    before[upstream_id], self._target_by_id.get(upstream_id)
+                ):
                     self.task_by_id.pop(upstream_id).cancel()
         for upstream_id, target in self._target_by_id.items():
             task = self.task_by_id.get(upstream_id)
@@ -169,7 +171,7 @@
             await asyncio.sleep(jitter.jittered(period_s, rng))
 
 
-def _is_other(before: Target, now: Target | None) -> bool:
+def _is_replaced(before: Target, now: Target | None) -> bool:
     """
     Tell whether an upstream is no longer to be probed as it was before.
 
