--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -45,15 +45,15 @@
         self._sent_by_id: dict[ids.UpstreamId, _Sent] = {}
 
     def due(
-        self, senders: abc.Collection[upstreams.Upstream], now: ids.Instant
+        self, candidates: abc.Collection[upstreams.Upstream], now: ids.Instant
     ) -> list[upstreams.Upstream]:
         """Return those whose reports are to be sent now; they count as sent."""
-        if len(self._sent_by_id) > len(senders):
-            self._forget_others(senders)
-        return [upstream for upstream in senders if self._is_due(upstream, now)]
+        if len(self._sent_by_id) > len(candidates):
+            self._forget_others(candidates)
+        return [upstream for upstream in candidates if self._is_due(upstream, now)]
 
-    def _forget_others(self, senders: abc.Collection[upstreams.Upstream]) -> None:
-        kept = {upstream.spec.id for upstream in senders}
+    def _forget_others(self, candidates: abc.Collection[upstreams.Upstream]) -> None:
+        kept = {upstream.spec.id for upstream in candidates}
         for upstream_id in self._sent_by_id.keys() - kept:
             del self._sent_by_id[upstream_id]
 
