--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -49,10 +49,10 @@
     ) -> list[upstreams.Upstream]:
         """Return those whose reports are to be sent now; they count as sent."""
         if len(self._sent_by_id) > len(candidates):
-            self._forget_others(candidates)
+            self._discard_others(candidates)
         return [upstream for upstream in candidates if self._is_due(upstream, now)]
 
-    def _forget_others(self, candidates: abc.Collection[upstreams.Upstream]) -> None:
+    def _discard_others(self, candidates: abc.Collection[upstreams.Upstream]) -> None:
         kept = {upstream.spec.id for upstream in candidates}
         for upstream_id in self._sent_by_id.keys() - kept:
             del self._sent_by_id[upstream_id]
