--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -71,7 +71,7 @@
         if sent is not None and sent.generation == upstream.spec.generation:
             if sent.report_at == upstream.report_at:
                 return False
-            repeats = _says_the_same(upstream.report, sent.report)
+            repeats = _is_equivalent(upstream.report, sent.report)
             repeats = repeats and upstream.cold.is_cold(now) == sent.was_cold
             if now < sent.repeat_at and repeats and _has_room(upstream):
                 return False
@@ -86,7 +86,7 @@
         return True
 
 
-def _says_the_same(report: upstreams.LoadReport, other: upstreams.LoadReport) -> bool:
+def _is_equivalent(report: upstreams.LoadReport, other: upstreams.LoadReport) -> bool:
     """Tell whether two reports differ in nothing that decides where calls go."""
     same_load = report.running + report.queued == other.running + other.queued
     change = abs(report.slowdown - other.slowdown)
