--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -20,7 +20,7 @@
 #: ``soonest.EQUAL_COST_SHARE`` they never decide.
 SAME_SLOWDOWN_SHARE = 0.08
 #: Reports older than this are not passed on.
-MOST_AGE_S = 0.5
+MAX_AGE_S = 0.5
 
 
 class _Sent(msgspec.Struct, frozen=True):
@@ -65,7 +65,7 @@
         and then. That an upstream is full or slowed is repeated each time: what others
         estimate fades to a mean, and would let them send there.
         """
-        if now - upstream.report_at > MOST_AGE_S:
+        if now - upstream.report_at > MAX_AGE_S:
             return False
         sent = self._sent_by_id.get(upstream.spec.id)
         if sent is not None and sent.generation == upstream.spec.generation:
