--- a/features/steps/gateway_reborn_peers.py
+++ b/features/steps/gateway_reborn_peers.py
@@ -70,11 +70,11 @@
             fleets.Fleet(playing.state),
             typing.cast(ports.UpstreamPort, port),
         )
-        asking._match_tasks()
+        asking._reconcile_tasks()
         tasks = dict(asking.task_by_id)
         assert reborn_reading.NAME in tasks
         playing.start_again()
-        asking._match_tasks()
+        asking._reconcile_tasks()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert tasks[reborn_reading.NAME].cancelled()
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -84,13 +84,13 @@
         """Keep one task for each upstream that falls to this gateway."""
         try:
             while True:
-                self._match_tasks()
+                self._reconcile_tasks()
                 await self.state.wakeups.sleep(RECONCILE_PERIOD_S)
         finally:
             for task in self.task_by_id.values():
                 task.cancel()
 
-    def _match_tasks(self) -> None:
+    def _reconcile_tasks(self) -> None:
         key = self._inputs()
         if key != self._target_inputs:
             self._target_inputs = key
