--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -100,8 +100,8 @@
 
 def rank(candidates: abc.Iterable[Candidate], min_per_zone: int) -> Ranking:
     """Return the candidates in the order in which they become active."""
-    chosen, spare = _split(candidates, min_per_zone)
-    return Ranking(chosen + spare, len(chosen))
+    chosen, rest = _split(candidates, min_per_zone)
+    return Ranking(chosen + rest, len(chosen))
 
 
 def precedence(host: ids.HostId) -> float:
@@ -116,12 +116,12 @@
     """Return the strongest of each zone and the rest, both strongest first."""
     count_by_zone: dict[ids.ZoneName, int] = {}
     chosen: list[Candidate] = []
-    spare: list[Candidate] = []
+    rest: list[Candidate] = []
     for candidate in sorted(candidates, key=_strength, reverse=True):
         count = count_by_zone.get(candidate.zone, 0)
         count_by_zone[candidate.zone] = count + 1
-        (chosen if count < min_per_zone else spare).append(candidate)
-    return chosen, spare
+        (chosen if count < min_per_zone else rest).append(candidate)
+    return chosen, rest
 
 
 def _strength(candidate: Candidate) -> tuple[int, tuple[int, str]]:
