--- a/spindlenotch/gateway/cluster/duties.py
+++ b/spindlenotch/gateway/cluster/duties.py
@@ -34,7 +34,7 @@
     for member in members:
         hosts_by_zone.setdefault(member.zone, []).append(member.host)
     return {
-        zone: sorted(h for h in hosts if h not in active) or sorted(hosts)
+        zone: sorted(host for host in hosts if host not in active) or sorted(hosts)
         for zone, hosts in hosts_by_zone.items()
     }
 
@@ -66,7 +66,11 @@
     """
     hosts = probers_by_zone.get(upstream.zone)
     if hosts is None:
-        hosts = sorted(one for some in probers_by_zone.values() for one in some)
+        hosts = sorted(
+            prober
+            for zone_probers in probers_by_zone.values()
+            for prober in zone_probers
+        )
     # Most gateways probe nothing, and need no hash to know it.
     if host not in hosts:
         return False
--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -34,7 +34,7 @@
     ) -> None:
         self.ready = ready
         self.starting = starting
-        self.active_zones = {one.host: one.zone for one in active}
+        self.active_zones = {candidate.host: candidate.zone for candidate in active}
 
     @property
     def count(self) -> int:
@@ -61,7 +61,7 @@
 
     def region_readers(self, region: ids.RegionName) -> list[ids.HostId]:
         """Return those that may read for all zones in view, which are of a region."""
-        hosts = [host for some in self.standby_by_zone.values() for host in some]
+        hosts = [host for group in self.standby_by_zone.values() for host in group]
         if not hosts:
             hosts = [record.host for record in self.starting]
         return duties.readers(ids.ZoneName(region), hosts)
@@ -161,9 +161,14 @@
 
     def _update_members(self, min_per_zone: int) -> None:
         records = self._live_records()
-        ready = [r for r in records if r.status is messages.Status.READY]
-        starting = [r for r in records if r.status is messages.Status.STARTING]
-        candidates = [active_set.Candidate(r.host, r.zone, r.capacity) for r in ready]
+        ready = [record for record in records if record.status is messages.Status.READY]
+        starting = [
+            record for record in records if record.status is messages.Status.STARTING
+        ]
+        candidates = [
+            active_set.Candidate(record.host, record.zone, record.capacity)
+            for record in ready
+        ]
         self._ranking = active_set.rank(candidates, min_per_zone)
         self._set_view(View(ready, starting, self._active(ready)))
 
@@ -171,7 +176,7 @@
         """Choose the active gateways anew; mostly they are the same as before."""
         view = self._view
         active = self._active(view.ready)
-        if {one.host for one in active} != view.active_zones.keys():
+        if {candidate.host for candidate in active} != view.active_zones.keys():
             self._set_view(View(view.ready, view.starting, active))
 
     def _set_view(self, view: View) -> None:
@@ -188,11 +193,11 @@
             if host in ready_hosts
         ]
         demand = workload.Work(
-            sum(one.requests_per_s for one in demands),
-            sum(one.bytes_per_s for one in demands),
+            sum(host_demand.requests_per_s for host_demand in demands),
+            sum(host_demand.bytes_per_s for host_demand in demands),
         )
         active = self._ranking.active(self._regions.required_demand(demand))
-        hosts = {one.host for one in active}
+        hosts = {candidate.host for candidate in active}
         records = [record for record in ready if record.host in hosts]
         self._regions.describe(records, len(ready), demand)
         return active
--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -27,7 +27,7 @@
 
     per_s: float | None
     heard_at: ids.Instant
-    told_at: ids.Instant
+    announced_at: ids.Instant
 
 
 class LimitAnnouncements:
@@ -63,7 +63,9 @@
         if last is not None:
             if limit.per_s is not None and limit.heard_at <= last.heard_at:
                 return False
-            if limit.per_s == last.per_s and now < ids.later(last.told_at, REPEAT_S):
+            if limit.per_s == last.per_s and now < ids.later(
+                last.announced_at, REPEAT_S
+            ):
                 return False
         self._announced_by_id[upstream] = _Announced(limit.per_s, limit.heard_at, now)
         return True
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -122,7 +122,7 @@
         now = self.state.clock.now()
         due = self._filter.due(self._reported_upstreams(active_zones), now)
         limited = self._limit_announcements.due(self._usable(), now)
-        record_by_id = {u.spec.id: _record(u, now) for u in due}
+        record_by_id = {one.spec.id: _record(one, now) for one in due}
         for upstream in limited:
             record = record_by_id.get(upstream.spec.id) or _record(upstream, now)
             record_by_id[upstream.spec.id] = _with_limit(record, upstream, now)
@@ -137,7 +137,7 @@
         self, active_zones: dict[ids.HostId, ids.ZoneName]
     ) -> list[upstreams.Upstream]:
         """Return the upstreams whose reports this gateway sends."""
-        pools = [one.pool for one in self.state.balancer_by_service.values()]
+        pools = [balancer.pool for balancer in self.state.balancer_by_service.values()]
         local_member = self.state.local_member
         if local_member.host not in active_zones:
             return [
--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -118,7 +118,9 @@
     ) -> dict[ids.RegionName, list[ids.Address]]:
         """Return addresses by which a region may be reached that is not heard of."""
         seeds = [
-            a for a in self.state.config.peers if a != self.state.config.peer_listen
+            address
+            for address in self.state.config.peers
+            if address != self.state.config.peer_listen
         ]
         addresses_by_region = {region: list(seeds) for region in links.others}
         for record in self.state.discovery_record_by_zone.values():
@@ -144,9 +146,9 @@
         """
         gateway_state = self.state
         others = [
-            a
-            for a in gateway_state.config.peers
-            if a != gateway_state.config.peer_listen
+            address
+            for address in gateway_state.config.peers
+            if address != gateway_state.config.peer_listen
         ]
         pause_s = FIRST_PAUSE_S
         for _ in range(BOOTSTRAP_ROUNDS):
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -36,7 +36,8 @@
         now = self.state.clock.now()
         reachable = links.young(now, region_links.LOST_S)
         known = {
-            region: one.summary.demand for region, one in links.heard_by_region.items()
+            region: heard.summary.demand
+            for region, heard in links.heard_by_region.items()
         }
         lost = {region: known[region] for region in known.keys() - reachable.keys()}
         return self._failover_demand.expected(
@@ -104,7 +105,11 @@
             reachable.keys() if allowed is None else reachable.keys() & allowed
         )
         return sorted(
-            {a for name in fallback_regions for a in _addresses(reachable, name)}
+            {
+                address
+                for name in fallback_regions
+                for address in _addresses(reachable, name)
+            }
         )
 
     def _permitted_region(
