--- a/spindlenotch/gateway/cluster/__init__.py
+++ b/spindlenotch/gateway/cluster/__init__.py
@@ -1,5 +1,6 @@
 """
-What part a gateway plays among the others: who is active, who probes, who sends what.
+Role of a gateway in the fleet: who is active, who probes, who sends which reports.
 
-Membership itself is the job of ``peers``; here equal views give equal parts.
+Membership itself is kept by ``peers``. Roles are computed from it without further
+messages: gateways with equal views assign equal roles.
 """
--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -1,10 +1,10 @@
 """
-Which gateways callers are sent to: the active ones; the others are standby.
+Selection of the active gateways, to which callers are sent; the rest are standby.
 
-Pure: equal views give equal sets. Few gateways see most of what an upstream
-does, so there are as few as can carry the demand; but callers spread evenly
-over the addresses that they are given, so that the weakest active gateway
-limits what all can carry.
+Pure: equal views give equal sets. The set is as small as the demand allows, because
+each of a few gateways sees most of an upstream's traffic. Callers spread evenly over
+the addresses they are given, so the weakest active gateway limits the capacity of
+the whole set.
 """
 
 import math
@@ -16,29 +16,29 @@
 from spindlenotch.kernel import rendezvous
 from spindlenotch.peers import workload
 
-#: Salt of the hash that orders equally strong hosts. Part of the choice:
-#: gateways of two releases in one fleet must agree on it.
+#: Salt of the rendezvous hash that orders hosts of equal capacity. All releases in a
+#: fleet must use the same one, as it determines the selection.
 TIE_SALT = "entries"
-#: Share of a host's processor that callers' requests may take on average.
+#: Mean share of a host's CPU that callers' requests may use.
 PROCESSOR_SHARE = 0.7
-#: Share of a host's link that they may take on average; uploads come in bursts, which a
-#: link carries one after the other.
+#: Mean share of a host's network link that callers' requests may use. Low, because
+#: uploads arrive in bursts, which the link transfers one after the other.
 LINK_SHARE = 0.25
-#: Requests a second that one processor core carries, with room for a burst.
+#: Requests per second that one CPU core can serve, with headroom for a burst.
 REQUESTS_PER_CORE = 700.0
-#: Bytes a second in one Mbit/s.
+#: Bytes per second in one Mbit/s.
 BYTES_PER_MBIT = 125_000.0
-#: Bytes of a request by which hosts are compared in strength.
+#: Size in bytes of the reference request by which host capacities are compared.
 BYTES_PER_REQUEST = 8_000.0
-#: Hosts within the same power of this factor count as equally strong.
+#: Ratio between capacity tiers; hosts of one tier count as equal in capacity.
 TIER_FACTOR = 1.5
-#: Requests or bytes a second that a host carries at least; keeps the shares
-#: finite where a peer reports no capacity or nonsense.
+#: Lower bound of a host's capacity, in requests or bytes per second. Keeps quotients
+#: finite where a peer reports no capacity or an invalid one.
 MIN_CAPACITY = 1e-9
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A ready gateway and what it can carry."""
+    """A ready gateway and its capacity."""
 
     host: ids.HostId
     zone: ids.ZoneName
@@ -46,7 +46,11 @@
 
 
 def capacity_of(cores: float, link_mbps: float) -> workload.Work:
-    """Return what a host can carry for callers all the time."""
+    """
+    Return the sustained load that a host can serve for callers.
+
+    ``link_mbps`` is the bandwidth of its network link in Mbit/s.
+    """
     return workload.Work(
         PROCESSOR_SHARE * REQUESTS_PER_CORE * cores,
         LINK_SHARE * BYTES_PER_MBIT * link_mbps,
@@ -57,8 +61,8 @@
     """
     The candidates in the order in which they become active.
 
-    The first ``min_count`` always are: the strongest of each zone. The others
-    follow by strength, whatever their zone.
+    The first ``min_count``, the strongest of each zone, are always active. The
+    others follow by capacity, regardless of their zone.
     """
 
     ordered: list[Candidate]
@@ -66,12 +70,14 @@
 
     def active(self, demand: workload.Work) -> list[Candidate]:
         """
-        Return the active ones: the first few that carry an even share of ``demand``.
-
-        Where no number is enough, the one with the least overload is taken. Each
-        candidate is looked at once, the weakest so far kept: summed anew for each
-        number, a choice among 312 took 34.8 ms when more was asked than all can
-        carry, and takes 1.0 ms (mean of 50, whole core).
+        Return the shortest prefix whose members can each serve an even share.
+
+        The share is that of ``demand``; the prefix has at least ``min_count`` members.
+        Where none suffices, the one with the lowest overload is returned. A single pass
+        keeps the highest requirement seen
+        so far: recomputing it for each prefix took 34.8 ms for 312 candidates when
+        the demand exceeded their total capacity, against 1.0 ms (means of 50 runs on
+        a whole core).
         """
         best_count, best_load = self.min_count, math.inf
         max_hosts_needed = 0.0
@@ -91,21 +97,21 @@
     """
     Return the active gateways.
 
-    Each zone gives its ``min_per_zone`` strongest; the next strongest of all
-    zones follow while an even share of ``demand`` is more than the weakest
-    chosen one can carry.
+    These are the ``min_per_zone`` strongest of each zone. The next strongest of all
+    zones are added while an even share of ``demand`` exceeds the capacity of the
+    weakest selected one.
     """
     return rank(candidates, min_per_zone).active(demand)
 
 
 def rank(candidates: abc.Iterable[Candidate], min_per_zone: int) -> Ranking:
-    """Return the candidates in the order in which they become active."""
+    """Return the candidates ranked in the order in which they become active."""
     chosen, rest = _split(candidates, min_per_zone)
     return Ranking(chosen + rest, len(chosen))
 
 
 def precedence(host: ids.HostId) -> float:
-    """Return which share of equally strong hosts becomes active before this one."""
+    """Return the share of hosts of equal capacity that rank before this one, 0 to 1."""
     score, _ = rendezvous.score(TIE_SALT, host)
     return 1.0 - score / rendezvous.SCORES
 
@@ -113,7 +119,7 @@
 def _split(
     candidates: abc.Iterable[Candidate], min_per_zone: int
 ) -> tuple[list[Candidate], list[Candidate]]:
-    """Return the strongest of each zone and the rest, both strongest first."""
+    """Return the ``min_per_zone`` strongest of each zone and the rest, both sorted."""
     count_by_zone: dict[ids.ZoneName, int] = {}
     chosen: list[Candidate] = []
     rest: list[Candidate] = []
@@ -125,14 +131,14 @@
 
 
 def _strength(candidate: Candidate) -> tuple[int, tuple[int, str]]:
-    """Order by capacity in tiers, and by rendezvous hashing within a tier."""
+    """Return the sort key: the capacity tier, then the rendezvous hash score."""
     capacity = 1.0 / _hosts_needed(candidate, workload.Work(1.0, BYTES_PER_REQUEST))
     tier = math.floor(math.log(capacity, TIER_FACTOR))
     return tier, rendezvous.score(TIE_SALT, candidate.host)
 
 
 def _hosts_needed(candidate: Candidate, demand: workload.Work) -> float:
-    """Return how many such hosts the demand needs."""
+    """Return how many hosts of this capacity the demand requires."""
     capacity = candidate.capacity
     return max(
         demand.requests_per_s / max(MIN_CAPACITY, capacity.requests_per_s),
--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -1,9 +1,9 @@
 """
-How much callers ask of this gateway: the busiest second of the last few.
+Demand of callers on this gateway: the maximum over a sliding window of seconds.
 
-Pure. The demand rises at once and falls late, so that standby gateways become
-active fast and do not come and go with each burst. Counted by ``ingress``,
-sent to peers with this gateway's record, used by ``active_set``.
+Pure. The maximum rises at once and falls after a delay, so that standby gateways
+become active quickly and do not flap with each burst. ``ingress`` counts the requests,
+this gateway's record carries the demand to peers, and ``active_set`` uses it.
 """
 
 import collections
@@ -11,20 +11,20 @@
 from spindlenotch import ids
 from spindlenotch.peers import workload
 
-#: Length of one span of counting.
+#: Length of one counting interval, in seconds.
 INTERVAL_S = 1.0
-#: Spans of which the busiest counts.
+#: Intervals in the sliding window whose maximum is the demand.
 INTERVALS_KEPT = 8
-#: Changes by a smaller share than this are not reported to peers.
+#: Smallest relative change of the demand that is reported to peers.
 REPORTED_CHANGE_SHARE = 0.2
 
 
 class DemandMeter:
     """
-    Counts requests and bytes in spans of a second.
+    Counts requests and bytes per interval and reports their maximum.
 
-    Invariant: ``reported`` is within ``REPORTED_CHANGE_SHARE`` of the busiest
-    kept span after each ``update``.
+    Invariant: after each ``update``, ``reported`` is within ``REPORTED_CHANGE_SHARE``
+    of the busiest interval in the window.
     """
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
         self._interval_end = ids.Instant(float("-inf"))
 
     def count(self, size: int) -> None:
-        """Count one request; ``size`` is the bytes of its body and the answer's."""
+        """Count one request; ``size`` is the bytes of its body and its response's."""
         self._requests += 1
         self._bytes += size
 
     def update(self, now: ids.Instant) -> bool:
-        """Close a span that is over; tell whether ``reported`` has changed."""
+        """Close an interval that has ended; tell whether ``reported`` has changed."""
         if now < self._interval_end:
             return False
         self._interval_end = ids.later(now, INTERVAL_S)
--- a/spindlenotch/gateway/cluster/duties.py
+++ b/spindlenotch/gateway/cluster/duties.py
@@ -1,11 +1,11 @@
 """
-Which gateways of a zone read the source, write its discovery record and probe.
+Assignment of duties: reading the source, writing discovery records, and probing.
 
-Pure functions, by rendezvous hashing: equal views give equal choices, and a
-gateway that joins or leaves moves no other's duty. Views differ for a moment
-when the fleet changes; too many or no holders of a duty do no harm then (a
-second reader costs calls, versions only grow). Duties go to standby gateways,
-so that they take no time from callers' requests.
+Pure functions based on rendezvous hashing: equal views give equal assignments, and a
+gateway that joins or leaves does not move the duties of others. Views differ briefly
+when the fleet changes; several holders of a duty, or none, do no harm for that time
+(a second reader only costs calls, because versions only grow). Standby gateways are
+preferred, so that duties take no time from callers' requests.
 """
 
 import collections
@@ -15,12 +15,12 @@
 from spindlenotch import ids
 from spindlenotch.kernel import ownership, rendezvous, upstreams
 
-#: Salts of the hash, one a duty. Part of the choice: gateways of two releases
-#: in one fleet must agree on them.
+#: Salts of the rendezvous hash, one per duty. All releases in a fleet must use the same
+#: ones, as they determine the assignment.
 READER_SALT = "source"
 PROBER_SALT = "probes"
-#: Upstreams for each prober of a zone. Each prober sends its zone's active gateways up
-#: to 25 messages a second, which must not grow with the fleet.
+#: Upstreams of a zone per prober. Each prober sends up to 25 messages per second to the
+#: active gateways of its zone, so their number must not grow with the fleet.
 UPSTREAMS_PER_PROBER = 6
 
 HostsByZone = dict[ids.ZoneName, list[ids.HostId]]
@@ -29,7 +29,7 @@
 def standby_hosts(
     members: abc.Iterable[ownership.Member], active: abc.Container[ids.HostId]
 ) -> HostsByZone:
-    """Return the ready gateways that are not active; all where there are no others."""
+    """Return each zone's ready standby gateways, or all ready ones if none is."""
     hosts_by_zone: HostsByZone = {}
     for member in members:
         hosts_by_zone.setdefault(member.zone, []).append(member.host)
@@ -40,14 +40,14 @@
 
 
 def readers(zone: ids.ZoneName, hosts: abc.Collection[ids.HostId]) -> list[ids.HostId]:
-    """Return ``hosts`` in the order in which they read the source for their zone."""
+    """Return ``hosts`` in order of preference for reading the source for ``zone``."""
     return _chosen(hosts, zone, READER_SALT, len(hosts))
 
 
 def probers(
     standby_by_zone: HostsByZone, specs: abc.Iterable[upstreams.UpstreamSpec]
 ) -> HostsByZone:
-    """Return the gateways that probe in each zone, in number by its upstreams."""
+    """Return the probers of each zone, one per ``UPSTREAMS_PER_PROBER`` upstreams."""
     count_by_zone = collections.Counter(spec.zone for spec in specs)
     return {
         zone: _chosen(hosts, zone, PROBER_SALT, _prober_count(count_by_zone[zone]))
@@ -61,8 +61,8 @@
     """
     Tell whether ``host`` is the one gateway that probes an upstream.
 
-    That is a prober of the upstream's zone, so that probes do not cross zones;
-    of any zone where its own has no gateway.
+    It is a prober of the upstream's own zone, so that probes do not cross zones, or
+    of any zone if the upstream's zone has no gateway.
     """
     hosts = probers_by_zone.get(upstream.zone)
     if hosts is None:
@@ -71,7 +71,7 @@
             for zone_probers in probers_by_zone.values()
             for prober in zone_probers
         )
-    # Most gateways probe nothing, and need no hash to know it.
+    # Most gateways are not probers; skip hashing for them.
     if host not in hosts:
         return False
     return _chosen(hosts, upstream.zone, upstream.id, 1) == [host]
