--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -1,10 +1,10 @@
 """
-The gateways of the fleet as this one sees them, and what part each plays.
+View of the fleet's gateways and their roles, as this gateway sees them.
 
-Reads what gossip holds (``membership`` keeps it up to date) and asks
-``active_set`` and ``duties`` who is active, who is standby and who reads the
-source. Owns nothing but the last answer, which stands until what it depends on
-changes: it walks all members, and is asked for up to 25 times a second.
+Built from the gossip state, which ``membership`` keeps up to date; ``active_set`` and
+``duties`` determine who is active, who is standby and who reads the source. Owns only
+the cached view, which is valid until one of its inputs changes: computing it iterates
+over all members, and it is requested up to 25 times per second.
 """
 
 import functools
@@ -20,10 +20,10 @@
 
 class View:
     """
-    Who plays which part at one time; a part is worked out when it is asked for.
+    Snapshot of the gateways' roles; derived values are computed lazily.
 
-    Compared by identity: as long as ``Fleet.view`` returns the same one, no
-    gateway's part has changed.
+    Compared by identity: as long as ``Fleet.view`` returns the same object, no
+    gateway's role has changed.
     """
 
     def __init__(
@@ -38,21 +38,21 @@
 
     @property
     def count(self) -> int:
-        """Return how many gateways are in view, those that start included."""
+        """Return the number of gateways in view, including those that are starting."""
         return len(self.ready) + len(self.starting)
 
     @functools.cached_property
     def standby_by_zone(self) -> duties.HostsByZone:
-        """Return the gateways of each zone that carry its duties."""
+        """Return the gateways of each zone that are eligible for its duties."""
         members = [ownership.Member(record.zone, record.host) for record in self.ready]
         return duties.standby_hosts(members, self.active_zones)
 
     def readers(self, zone: ids.ZoneName) -> list[ids.HostId]:
         """
-        Return the gateways that may read the source for a zone, first ones first.
+        Return the gateways that may read the source for a zone, most preferred first.
 
-        Standby ones; where none is ready yet, those that are starting, since a
-        fleet that starts is not ready before somebody has read.
+        These are standby gateways or, if none is ready, those that are starting: a
+        fleet that starts does not become ready before a gateway has read the source.
         """
         hosts = self.standby_by_zone.get(zone)
         if hosts is None:
@@ -60,7 +60,7 @@
         return duties.readers(zone, hosts)
 
     def region_readers(self, region: ids.RegionName) -> list[ids.HostId]:
-        """Return those that may read for all zones in view, which are of a region."""
+        """Return the gateways that may read for all zones in view, one region's."""
         hosts = [host for group in self.standby_by_zone.values() for host in group]
         if not hosts:
             hosts = [record.host for record in self.starting]
@@ -69,7 +69,7 @@
 
 class _Inputs(msgspec.Struct, frozen=True):
     """
-    What decides who is ready; the demand decides with it who is active.
+    Inputs of the view besides the demand, which also determines who is active.
 
     ``reachable_regions`` are the other regions that are not lost.
     """
@@ -81,7 +81,7 @@
 
 
 class Fleet:
-    """Answers who is where, from what gossip holds."""
+    """Answers queries on the fleet's gateways and their roles."""
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
@@ -93,7 +93,7 @@
         self._regions = region_exchange.RegionExchange(gateway_state)
 
     def view(self) -> View:
-        """Return who plays which part now; the same one until that changes."""
+        """Return the current view, which is cached until its inputs change."""
         gateway_state = self.state
         inputs = _Inputs(
             gateway_state.gossip.members_revision,
@@ -109,7 +109,7 @@
         return self._view
 
     def update_size(self) -> None:
-        """Tell the state how many gateways are in view; called a few times a second."""
+        """Update ``region_size`` of the state; called a few times per second."""
         config = self.state.config
         now = self.state.clock.now()
         has_others = any(peer != config.peer_listen for peer in config.peers)
@@ -117,7 +117,7 @@
         self.state.region_size.update(count, now, has_others=has_others)
 
     def active_addresses(self) -> dict[ids.HostId, ids.Address]:
-        """Return the addresses of the active gateways, for callers."""
+        """Return the addresses of the active gateways that callers connect to."""
         view = self.view()
         return {
             record.host: record.address
@@ -130,7 +130,11 @@
         region: ids.RegionName,
         allowed: frozenset[ids.RegionName] | None = None,
     ) -> list[ids.Address]:
-        """Return the addresses for callers of a region, in ``allowed`` ones if any."""
+        """
+        Return the gateway addresses for callers of ``region``.
+
+        ``allowed`` are the regions that may serve these callers; None means any.
+        """
         own = self.active_addresses().values()
         return self._regions.addresses(region, own, allowed)
 
@@ -140,10 +144,10 @@
 
     def readers(self) -> list[ids.HostId]:
         """
-        Return who may read the source for this zone, in the order of duty.
+        Return the gateways that may read the source for this zone, preferred first.
 
-        For all zones of the region where there are several: a reading crosses regions
-        then, and what it brings costs less between two zones.
+        With several regions, one reader serves all zones of its region: a read then
+        crosses regions, and passing the result on between zones costs less.
         """
         view = self.view()
         if self._readers is None:
@@ -154,7 +158,7 @@
         return self._readers
 
     def shares_reader(self, zone: ids.ZoneName) -> bool:
-        """Tell whether who reads for this gateway's zone reads for that one too."""
+        """Tell whether the reader of this gateway's zone also reads for ``zone``."""
         if self.state.links is None:
             return zone == self.state.config.zone
         return not self.state.is_far(zone)
@@ -173,7 +177,7 @@
         self._set_view(View(ready, starting, self._active(ready)))
 
     def _update_demand(self) -> None:
-        """Choose the active gateways anew; mostly they are the same as before."""
+        """Reselect the active gateways; keep the view if they are unchanged."""
         view = self._view
         active = self._active(view.ready)
         if {candidate.host for candidate in active} != view.active_zones.keys():
@@ -203,7 +207,7 @@
         return active
 
     def _live_records(self) -> list[messages.MemberRecord]:
-        """Return the records of the gateways believed to live, the own one last."""
+        """Return the records of the gateways presumed alive, this gateway's last."""
         gossip = self.state.gossip
         records = [
             peer.record
--- a/spindlenotch/gateway/cluster/fleet_size.py
+++ b/spindlenotch/gateway/cluster/fleet_size.py
@@ -1,11 +1,12 @@
 """
-How large the fleet is, as far as this gateway has lately seen.
+Size of the fleet, as the maximum over a sliding window of the last minute.
 
-What all gateways share without asking each other (a reserve in equal parts, the
-right to send to cold upstreams) goes by the largest number seen in the last minute:
-hosts that are cut off, or gone, may still use their part or have just used it.
+Gateways divide some resources without communication: a reserve in equal shares, and
+permission to send to cold upstreams. The divisor is the largest size seen in the last
+minute, because hosts that are partitioned off or gone may still use their share, or
+have just used it.
 
-Pure. Owns what was seen when.
+Pure. Owns the samples of the window.
 """
 
 import collections
@@ -14,13 +15,13 @@
 
 from spindlenotch import ids
 
-#: Seconds for which a number of gateways seen counts: longer than hosts are cut off
-#: and than the window of a budget, far longer than upstreams are cold.
+#: Seconds for which a sample counts: longer than network partitions last and than the
+#: window of a budget, far longer than upstreams are cold.
 RETENTION_S = 60.0
 
 
 class _Sample(msgspec.Struct, frozen=True):
-    """How many gateways were seen, and until when that counts."""
+    """A number of gateways in view, and the end of its time in the window."""
 
     count: int
     expires_at: ids.Instant
@@ -28,11 +29,10 @@
 
 class FleetSize:
     """
-    How many gateways are in view, this one included, and how many lately were.
+    Current and recent maximum number of gateways in view, this one included.
 
-    ``is_alone``: none but this one is, although the settings name others.
-    Invariant: ``_samples`` are in the order in which they end to count, each of
-    more gateways than the next.
+    ``is_alone``: only this gateway is in view, although the settings name others.
+    Invariant: ``_samples`` are ordered by expiry, with strictly decreasing counts.
     """
 
     def __init__(self) -> None:
@@ -42,11 +42,11 @@
 
     @property
     def largest(self) -> int:
-        """Return the largest number seen in the last minute."""
+        """Return the largest number of gateways in view in the last minute."""
         return self._samples[0].count if self._samples else self.seen
 
     def update(self, seen: int, now: ids.Instant, *, has_others: bool = False) -> None:
-        """Take in how many are in view now, and whether the settings name others."""
+        """Record the gateways in view now; ``has_others``: the settings name peers."""
         self.seen = seen
         self.is_alone = seen <= 1 and has_others
         while self._samples and self._samples[-1].count <= seen:
--- a/spindlenotch/gateway/cluster/quorum.py
+++ b/spindlenotch/gateway/cluster/quorum.py
@@ -1,19 +1,21 @@
 """
-Whether a gateway sees more than half of the others, so that no other side does.
+Majority quorum: whether more than half of the gateways are in view.
 
-Pure but for the fleet that it looks at; owns no state. Relies on ``fleet_size`` for
-how many gateways were seen lately.
+At most one side of a network partition has a quorum.
+
+Owns no state; depends on the fleet's view and on ``fleet_size`` for the recent number
+of gateways.
 """
 
 from spindlenotch.gateway import state
 from spindlenotch.gateway.cluster import fleet
 
-#: Share of the gateways seen lately that must be in view, and more.
+#: Share of the recent number of gateways that those in view must exceed.
 QUORUM_SHARE = 0.5
 
 
 class Quorum:
-    """Compares the gateways in view with those seen lately."""
+    """Compares the number of gateways in view with the recent maximum."""
 
     def __init__(
         self, gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
@@ -22,7 +24,7 @@
         self.fleet = gateway_fleet
 
     def of_region(self) -> bool:
-        """Tell whether more than half of the own region's gateways are in view."""
+        """Tell whether more than half of this region's gateways are in view."""
         self.fleet.update_size()
         size = self.state.region_size
         return not size.is_alone and size.seen > QUORUM_SHARE * size.largest
@@ -31,7 +33,7 @@
         """
         Tell whether more than half of the whole fleet's gateways are in view.
 
-        In a fleet of several regions that is nobody, also where most lie in one:
-        members of other regions are not in view.
+        Always false in a fleet of several regions, even where most gateways are in
+        one of them, because members of other regions are not in view.
         """
         return self.state.links is None and self.of_region()
--- a/spindlenotch/gateway/cluster/rate_sharers.py
+++ b/spindlenotch/gateway/cluster/rate_sharers.py
@@ -1,12 +1,12 @@
 """
-Which gateways share the rates that upstreams take from all of them together.
+Selection of the gateways that share the rate limits of upstreams.
 
-That is what cold upstreams bear, and the limits that upstreams name. Only gateways
-that see more than half of the fleet share them: of any partition at most one side
-does. The others send nothing to cold upstreams, which are cold for some seconds only,
-and a small part to those that name a limit.
+These limits hold for the sum over all gateways: the rate of cold upstreams, and limits
+that upstreams name. Only gateways with a quorum share them, so that in any partition at
+most one side does. The others send nothing to cold upstreams, which are cold for some
+seconds only, and a small share to those that name a limit.
 
-Pure but for the fleet that it looks at. Relies on ``quorum``.
+Owns no state but its ``quorum``; depends on the fleet's view.
 """
 
 from spindlenotch.gateway import state
@@ -15,7 +15,7 @@
 
 
 class RateSharers:
-    """Keeps in step with the fleet who shares rates in each pool."""
+    """Updates the gateways that share rates in each pool."""
 
     def __init__(
         self, gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
@@ -25,14 +25,14 @@
         self.quorum = quorum.Quorum(gateway_state, gateway_fleet)
 
     def update(self) -> None:
-        """Tell the pools who shares rates now."""
+        """Pass the gateways that share rates to the pools."""
         now = self.state.clock.now()
         view = self.view()
         for service in self.state.balancer_by_service.values():
             service.pool.set_sharers(view, now)
 
     def view(self) -> shared_rate.View:
-        """Return who shares rates, as this gateway sees it."""
+        """Return the gateways that share rates, as this gateway sees them."""
         members: tuple[ownership.Member, ...] = ()
         if self.quorum.of_region():
             active_zones = self.fleet.view().active_zones
