--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -1,10 +1,9 @@
 """
-The link to the other gateways and the gossip that runs over it.
+Gossip membership: the link to the other gateways and the protocol rounds over it.
 
-Owns the socket, the periodic questions to peers and the first contact with a
-fleet (peers of the settings, discovery records of the source). Who is in the
-fleet is kept by ``peers.gossip``; what a message means beyond membership is
-left to listeners.
+Owns the socket, the periodic gossip rounds and the bootstrap (peers from the settings,
+discovery records of the source). ``peers.gossip`` holds the member list; listeners
+handle the parts of a message that do not concern membership.
 """
 
 import asyncio
@@ -24,31 +23,31 @@
     regional_gossip,
 )
 
-#: Seconds between the first two questions of a gateway that starts, and the factor by
-#: which the next pauses are longer: hosts that start together may be up, or have read,
-#: a moment later, and those of the settings must not be asked by all of them at once.
+#: Seconds between the first two bootstrap rounds, and the factor by which each further
+#: pause grows: hosts that start at the same time may be up, or have read the source, a
+#: moment later, and the seed peers of the settings must not be asked by all at once.
 FIRST_PAUSE_S = 0.05
 PAUSE_FACTOR = 1.25
-#: Questions of that kind before the periodic ones begin; together 1.7 s.
+#: Bootstrap rounds before the periodic ones begin; 1.7 s in total.
 BOOTSTRAP_ROUNDS = 10
-#: Known peers that each of them goes to, besides one of the settings.
+#: Known peers asked in each bootstrap round, besides one from the settings.
 BOOTSTRAP_FANOUT = 2
 
 
 class MessageListener(typing.Protocol):
-    """Something that acts on peer messages beyond membership."""
+    """A handler of the parts of peer messages that do not concern membership."""
 
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Handle an authentic message that gossip has handled already."""
+        """Handle an authenticated message that gossip has already processed."""
 
 
 class Membership:
     """
-    Runs the gossip of one gateway.
+    Runs the gossip protocol of one gateway.
 
-    Invariant: a peer that asks for a document gets the one in ``state.fence``.
+    Invariant: a peer that requests a document gets the one in ``state.fence``.
     """
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
@@ -66,26 +65,31 @@
         )
 
     def add_listener(self, listener: MessageListener) -> None:
-        """Pass every later message to ``listener``, after the earlier ones."""
+        """Register ``listener`` for later messages, after those already registered."""
         self._listeners.append(listener)
 
     async def start(self) -> None:
-        """Open the link to peers."""
+        """Open the peer socket."""
         await self.link.start(self.state.config.peer_listen)
 
     async def stop(self) -> None:
-        """Close the link to peers."""
+        """Close the peer socket."""
         await self.link.stop()
 
     async def run(self) -> None:
-        """Ask a few peers each period until cancelled."""
+        """Run the bootstrap, then one gossip round per period until cancelled."""
         await self._bootstrap()
         while True:
             self.run_round()
             await self.state.wakeups.sleep(self.state.gossip.timing.period_s)
 
     def run_round(self) -> None:
-        """Ask a few peers, judge overdue replies, tell another region if it is time."""
+        """
+        Run one gossip round.
+
+        Sends to a few peers, detects failed ones by their overdue replies, and sends
+        the summary of this region to another one if it is due.
+        """
         gateway_state = self.state
         targets = gateway_state.gossip.targets(
             gateway_state.config.peers, gateway_state.clock.now()
@@ -98,7 +102,7 @@
             self._gossip_with_regions(gateway_state.gossip)
 
     def _gossip_with_regions(self, local: regional_gossip.RegionalGossip) -> None:
-        """Tell another region of this one where it is time, and note which are lost."""
+        """Send to another region if due, and report regions that are lost or back."""
         now = self.state.clock.now()
         targets = local.far_targets(
             self._fallback_addresses_by_region(local.links), now
@@ -116,7 +120,7 @@
     def _fallback_addresses_by_region(
         self, links: region_links.RegionLinks
     ) -> dict[ids.RegionName, list[ids.Address]]:
-        """Return addresses by which a region may be reached that is not heard of."""
+        """Return addresses to try where another region has not been heard of."""
         seeds = [
             address
             for address in self.state.config.peers
@@ -130,7 +134,7 @@
         return addresses_by_region
 
     def announce(self) -> None:
-        """Send the own record to every known peer at once."""
+        """Send this gateway's record to every known peer immediately."""
         addresses = [
             peer.record.peer_address
             for peer in self.state.gossip.known_by_host.values()
@@ -139,10 +143,10 @@
 
     async def _bootstrap(self) -> None:
         """
-        Ask peers until this gateway is ready, for a short time.
+        Ask peers until this gateway is ready, for ``BOOTSTRAP_ROUNDS`` at most.
 
-        Those of the settings until one has answered; then one of them and some that
-        became known, so that in a large fleet few are asked by all.
+        Asks all peers from the settings until one has answered, then one of them and
+        some known peers, so that in a large fleet the seeds are not asked by all.
         """
         gateway_state = self.state
         others = [
@@ -163,7 +167,7 @@
             pause_s *= PAUSE_FACTOR
 
     def _unknown_discovered_peers(self, asked: list[ids.Address]) -> list[ids.Address]:
-        """Return the peers that only the source's discovery records name."""
+        """Return the region's peers known only from discovery records of the source."""
         local = self.state.gossip
         reached = {peer.record.peer_address for peer in local.known_by_host.values()}
         reached.update(asked, [local.local.peer_address])
--- a/spindlenotch/gateway/cluster/own_record.py
+++ b/spindlenotch/gateway/cluster/own_record.py
@@ -1,8 +1,8 @@
 """
-What a gateway says of itself to its peers.
+The member record of this gateway, which it sends to its peers.
 
-The record travels with every gossip message; its status and version follow the
-state's phase, its capacity is what ``active_set`` compares.
+Every gossip message carries it. Its status and version follow the phase of the gateway
+state; ``active_set`` compares its capacity.
 """
 
 import random
@@ -23,10 +23,10 @@
     config: settings.GatewaySettings, rng: random.Random, gateway_clock: clock.Clock
 ) -> messages.MemberRecord:
     """
-    Return the record of a process that starts.
+    Return the record of a process that is starting.
 
-    ``epoch`` is its start in milliseconds of Unix time: records of a later
-    process of the host replace it.
+    ``epoch`` is the time of its start in milliseconds of Unix time: the records of a
+    later process on the same host supersede it.
     """
     return messages.MemberRecord(
         host=config.host,
--- a/spindlenotch/gateway/cluster/peer_distance.py
+++ b/spindlenotch/gateway/cluster/peer_distance.py
@@ -1,20 +1,20 @@
 """
-How far away the peer at an address is, for the count of bytes.
+Network distance of the peer at an address, for the metrics of peer traffic.
 
-Looks the address up among the known peers and the gateways that other regions name.
-Owns the zones of these addresses, worked out anew when the members change.
+Looks the address up among the known peers and the gateways of other regions. Owns a map
+from peer address to zone, which is rebuilt when the members change.
 """
 
 from spindlenotch import ids
 from spindlenotch.gateway import state
 from spindlenotch.kernel import regions
 
-#: Label of peers of which nothing is known yet: those of the settings at the start.
+#: Label of peers whose zone is unknown: those of the settings before they answer.
 UNKNOWN = "unknown"
 
 
 class PeerDistance:
-    """Tells distances from one gateway."""
+    """Determines the distance of peers from this gateway."""
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
@@ -22,7 +22,7 @@
         self._zone_by_address: dict[ids.Address, ids.ZoneName] = {}
 
     def to(self, address: ids.Address) -> str:
-        """Return how far a peer address is, as the metrics name it."""
+        """Return the distance label of a peer address, as used in metrics."""
         if self.state.gossip.members_revision != self._revision:
             self._rebuild()
         zone = self._zone_by_address.get(address)
