--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -1,8 +1,9 @@
 """
-Which limits of upstreams, heard with own answers, peers are to be told of.
+Selection of the upstream rate limits that are announced to peers.
 
-Few gateways send to an upstream that names a limit, so that the others hear of it, and
-that it has ended, from these. Owns what was told last. Pure; ``load_sharing`` asks it.
+Few gateways send to an upstream that names a limit; they receive the limit, and its
+end, with the upstream's responses and announce both to the others. Pure; owns the last
+announcement of each limit. Used by ``load_sharing``.
 """
 
 from collections import abc
@@ -12,18 +13,18 @@
 from spindlenotch import ids
 from spindlenotch.kernel import named_limit, shared_rate, upstreams
 
-#: Least seconds between two messages on a limit that stays the same.
+#: Seconds between two announcements of an unchanged limit, at least.
 REPEAT_S = 0.2
-#: Seconds for which it is told that a limit has ended: some rounds, as messages get
-#: lost.
+#: Seconds for which the end of a limit is announced: several rounds, because messages
+#: may be lost.
 END_ANNOUNCED_S = 1.0
-#: Seconds between two looks while there is nothing to tell: most upstreams of a large
-#: fleet name no limit, and all are looked at.
+#: Seconds between two checks while there is nothing to announce. Each check iterates
+#: over all upstreams, most of which name no limit in a large fleet.
 IDLE_PERIOD_S = 0.2
 
 
 class _Announced(msgspec.Struct, frozen=True):
-    """The limit of an upstream that was told last, when it was heard and told."""
+    """The last announced limit of an upstream: when it was received and announced."""
 
     per_s: float | None
     heard_at: ids.Instant
@@ -31,7 +32,7 @@
 
 
 class LimitAnnouncements:
-    """Tells which upstreams' limits are to be told now."""
+    """Selects the upstreams whose limits are to be announced."""
 
     def __init__(self) -> None:
         self._announced_by_id: dict[ids.UpstreamId, _Announced] = {}
@@ -40,7 +41,7 @@
     def due(
         self, candidates: abc.Iterable[upstreams.Upstream], now: ids.Instant
     ) -> list[upstreams.Upstream]:
-        """Return those whose limits are to be told now; they count as told."""
+        """Return the upstreams whose limits are due, and mark them as announced."""
         if now < self._next_check_at:
             return []
         due = []
@@ -72,7 +73,11 @@
 
 
 def _is_announceable(limit: named_limit.NamedLimit, now: ids.Instant) -> bool:
-    """Tell whether peers may not know it: there is a limit, or one has just ended."""
+    """
+    Tell whether a limit is to be announced: it is in force or has just ended.
+
+    Not where a peer has announced a newer one than this gateway received itself.
+    """
     if limit.heard_at < limit.told_at:
         return False
     return limit.per_s is not None or now < ids.later(limit.ended_at, END_ANNOUNCED_S)
--- a/spindlenotch/gateway/cluster/load_sharing.py
+++ b/spindlenotch/gateway/cluster/load_sharing.py
@@ -1,12 +1,13 @@
 """
-Passes on between gateways what upstreams say of themselves.
+Exchange of upstream load reports between gateways.
 
-That is their load, until when they are cold, and the limits that they name.
+Besides its load, a report states until when an upstream is cold, and the rate limit
+that it names.
 
-A prober sends what its upstreams reported to the active gateways of its zone;
-these send the reports of their zone to the active gateways of the others.
-Relies on the pools, which hold the newest report of each upstream, and on the
-age that travels with a report instead of a time, as hosts' clocks differ.
+A prober sends the reports of its upstreams to the active gateways of its zone, which
+send the reports of their zone to the active gateways of the other zones. The pools hold
+the newest report of each upstream. A report carries its age, not a time stamp, because
+the clocks of hosts differ.
 """
 
 import asyncio
@@ -20,18 +21,18 @@
 from spindlenotch.kernel import shared_rate, upstreams
 from spindlenotch.peers import gossip, messages, peer_link, workload
 
-#: Time between two rounds of sending.
+#: Seconds between two rounds of sending.
 SEND_PERIOD_S = 0.04
-#: The same where a gateway has nothing to send, most of a large fleet: idle loops take
-#: processor time.
+#: The same for a gateway that has nothing to send, as most in a large fleet: idle loops
+#: take CPU time.
 IDLE_PERIOD_S = 0.2
-#: Digits behind the point of what is sent: a slowdown to the hundredth it is reported
-#: with, an age to the millisecond. Compressed, twelve reports take 333 bytes in
-#: place of 463 with two digits each.
+#: Decimal places of what is sent: slowdowns in hundredths, the precision in which they
+#: are reported, and ages in milliseconds. Twelve compressed reports take 333 bytes, as
+#: against 463 with two digits each.
 SLOWDOWN_DIGITS = 2
 AGE_DIGITS = 3
-#: Seconds for which it is told that an upstream is warm again: some rounds, as messages
-#: get lost.
+#: Seconds for which it is announced that an upstream is warm again: several rounds,
+#: because messages may be lost.
 COLD_END_ANNOUNCED_S = 1.0
 
 
@@ -39,8 +40,8 @@
     """
     Sends and receives load reports.
 
-    ``probed`` holds the upstreams that this gateway probes itself. Invariant:
-    a report is sent at most once by each gateway.
+    ``probed`` holds the upstreams that this gateway probes itself. Invariant: each
+    gateway sends a report at most once.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Put the reports of a message into the pools where they are newer."""
+        """Apply the reports of a message to the pools that hold older ones."""
         if not message.loads:
             return
         now = self.state.clock.now()
@@ -105,7 +106,11 @@
     def _targets(
         self, active_zones: dict[ids.HostId, ids.ZoneName]
     ) -> list[ids.Address]:
-        """Return all active gateways, or those of its zone for a standby one."""
+        """
+        Return the addresses of the gateways to send to.
+
+        An active gateway sends to all active ones, a standby one to those of its zone.
+        """
         local_member = self.state.local_member
         known = self.state.gossip.known_by_host
         return [
@@ -118,7 +123,7 @@
     def _records(
         self, active_zones: dict[ids.HostId, ids.ZoneName]
     ) -> list[workload.LoadRecord]:
-        """Return the reports that are to be sent now."""
+        """Return the records to send now: due reports and due limits."""
         now = self.state.clock.now()
         due = self._filter.due(self._reported_upstreams(active_zones), now)
         limited = self._limit_announcements.due(self._usable(), now)
@@ -129,7 +134,7 @@
         return list(record_by_id.values())
 
     def _usable(self) -> abc.Iterator[upstreams.Upstream]:
-        """Yield the upstreams of all services that are not leaving."""
+        """Yield the usable upstreams of all services, those that are not leaving."""
         for service_balancer in self.state.balancer_by_service.values():
             yield from service_balancer.pool.usable_order
 
@@ -158,10 +163,10 @@
     load: workload.LoadRecord, at: ids.Instant, upstream: upstreams.Upstream
 ) -> bool:
     """
-    Tell whether what an upstream said at ``at`` is of the start that is known here.
+    Tell whether a report made at ``at`` is from the known start of an upstream.
 
-    Where either does not tell its start, what was said before this gateway knew of it
-    is not taken in: it may be of an earlier one.
+    If its start is unknown on either side, reports from before this gateway knew the
+    upstream are rejected, because they may be from an earlier start.
     """
     if load.born == upstream.spec.born:
         return True
@@ -173,7 +178,7 @@
 def _apply_cold_state(
     upstream: upstreams.Upstream, load: workload.LoadRecord, now: ids.Instant
 ) -> None:
-    """Take in what a peer knows of an upstream's coldness, where it is newer."""
+    """Apply a peer's information on until when an upstream is cold, if it is newer."""
     if load.cold_s is None:
         return
     told_at = ids.Instant(now - load.cold_age_s)
@@ -184,7 +189,7 @@
 def _apply_limit(
     upstream: upstreams.Upstream, load: workload.LoadRecord, now: ids.Instant
 ) -> None:
-    """Take in the limit of an upstream that a peer has heard, where it is newer."""
+    """Apply a rate limit that a peer has received from an upstream, if it is newer."""
     if load.limit_age_s is None:
         return
     told_at = ids.Instant(now - load.limit_age_s)
@@ -195,7 +200,7 @@
 def _with_limit(
     record: workload.LoadRecord, upstream: upstreams.Upstream, now: ids.Instant
 ) -> workload.LoadRecord:
-    """Return a record that tells of an upstream's limit, too."""
+    """Return a copy of ``record`` that also states the upstream's rate limit."""
     limit = upstream.backpressure.limit
     return msgspec.structs.replace(
         record,
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -1,11 +1,10 @@
 """
-Asks upstreams how fast they work at the moment.
+Active health probing: polls upstreams for load reports.
 
-Each upstream is asked by one gateway of its own zone, a standby one if there
-is any (see ``duties``): probing then takes no time from requests and does not
-cross zones. Owns one task for each upstream that falls to this gateway; what
-upstreams report goes into their pools, and from there to other gateways (see
-``load_sharing``).
+Each upstream is probed by one gateway of its own zone, a standby one if there is any
+(see ``duties``), so that probing takes no time from requests and does not cross zones.
+Owns one task per upstream assigned to this gateway. Reports go into the upstream's pool
+and from there to other gateways (see ``load_sharing``).
 """
 
 import asyncio
@@ -18,22 +17,23 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import hearing, service_policy, upstream_pool, upstreams
 
-#: Longest wait for the answer to a probe, in seconds.
+#: Timeout of a probe, in seconds.
 PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
-#: Time between two looks at which upstreams fall to this gateway.
+#: Seconds between two updates of the tasks to the upstreams assigned to this gateway.
 RECONCILE_PERIOD_S = 0.2
-#: A probing task ends after about this long and is begun anew with the settings of that
-#: moment.
+#: Approximate lifetime of a probing task in seconds; the next one starts with the
+#: settings then in force.
 TASK_LIFETIME_S = 1.0
-#: Probes in the time that the work of a service takes on an idle upstream: what one
-#: has to do changes with the work that begins and ends there. By the mean of the
-#: routes, as nearly every service may at times get the shortest work. Not by the
-#: latency seen, which grows under load, when reports matter most.
+#: Probes per service time of a request on an idle upstream: the load of an upstream
+#: changes as requests start and end there. Based on the mean over the service's routes,
+#: because nearly every service may at times get the shortest requests. Not based on the
+#: observed latency, which grows under load, when reports matter most.
 PROBES_PER_SERVICE_TIME = 10.0
-#: Most seconds between two probes of an upstream: slowdowns come and go within half a
-#: second.
+#: Upper bound of the seconds between two probes of an upstream: slowdowns come and go
+#: within half a second.
 MAX_PERIOD_S = 0.25
-#: Keeps the period finite where the setting is nearly zero.
+#: Lower bound of the probes per second, which keeps the period finite where the setting
+#: is nearly zero.
 MIN_PROBES_PER_S = 0.001
 
 
@@ -49,10 +49,11 @@
     report: upstreams.LoadReport, service: service_policy.ServicePolicy
 ) -> upstreams.LoadReport:
     """
-    Return the report of a health answer, with what its silence on coldness says.
+    Return the report of a health response, with ``cold_s`` 0 where its absence says so.
 
-    Where what cold upstreams bear is bounded, they say that they are cold, and the
-    others say nothing. Elsewhere only their entries in the source tell.
+    Where the request rate of cold upstreams is limited, a cold upstream states so in
+    its response, and one that does not is warm. For other services only the entries of
+    the upstreams in the source tell.
     """
     if report.cold_s is None and service.cold_rate_per_s is not None:
         return msgspec.structs.replace(report, cold_s=0.0)
@@ -63,8 +64,8 @@
     """
     Probes each upstream on its own schedule.
 
-    Invariant: this gateway asks an upstream at most ``probes_per_s`` times a
-    second; with equal views, no other gateway asks it too.
+    Invariant: this gateway probes an upstream at most ``probes_per_s`` times per
+    second; with equal views, no other gateway probes it as well.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         self._target_inputs: tuple[object, ...] = ()
 
     async def run(self) -> None:
-        """Keep one task for each upstream that falls to this gateway."""
+        """Run one probing task per assigned upstream until cancelled."""
         try:
             while True:
                 self._reconcile_tasks()
@@ -107,7 +108,7 @@
                 self.task_by_id[upstream_id] = asyncio.ensure_future(work)
 
     def _inputs(self) -> tuple[object, ...]:
-        """Return what decides which upstreams fall to this gateway."""
+        """Return the inputs that determine the upstreams assigned to this gateway."""
         balancers = self.state.balancer_by_service.values()
         return (
             self.fleet.view(),
@@ -117,7 +118,7 @@
         )
 
     def _targets(self) -> dict[ids.UpstreamId, Target]:
-        """Return the upstreams that fall to this gateway."""
+        """Return the upstreams that this gateway is to probe."""
         if self.state.config.probes_per_s <= 0 or not self.state.ready:
             return {}
         standby_by_zone = self.fleet.view().standby_by_zone
@@ -162,8 +163,8 @@
         for _ in range(max(1, int(TASK_LIFETIME_S / period_s))):
             self.state.metrics.probes.labels(target.service).inc()
             report = await self.port.probe(address, PROBE_TIMEOUT_S, health_path)
-            # A fault leaves the last report; how old it is counts where
-            # upstreams are compared.
+            # After a failed probe the last report stays; selection takes its age into
+            # account.
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
                 told = with_default_cold_s(report, target.pool.service)
@@ -173,8 +174,9 @@
 
 def _is_replaced(before: Target, now: Target | None) -> bool:
     """
-    Tell whether an upstream is no longer to be probed as it was before.
+    Tell whether the probing task of an upstream is obsolete.
 
-    One that has started again is another: what it answers is not of the earlier one.
+    A restarted upstream counts as another one: its responses must not be attributed to
+    its earlier start.
     """
     return now is None or now.upstream is not before.upstream
--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -1,9 +1,9 @@
 """
-Which load reports of upstreams are worth sending to other gateways.
+Filter of the upstream load reports that are sent to other gateways.
 
-Answers the calm of a large fleet: an upstream is probed many times in the time of its
-work, and reports the same again and again. Pure; ``load_sharing`` asks it and sends.
-Owns which report of each upstream was sent last.
+Drops repeated reports: an upstream is probed many times per service time of a request
+and, in a large fleet with little load, mostly reports the same. Pure; used by
+``load_sharing``. Owns the last report sent of each upstream.
 """
 
 from collections import abc
@@ -13,18 +13,18 @@
 from spindlenotch import ids
 from spindlenotch.kernel import crowding, upstreams
 
-#: Time after which a report is repeated that says the same as the one before. By
-#: then the slowdown that it told counts for two thirds (``SLOWDOWN_DECAY_S``).
+#: Seconds after which a report equivalent to the last one is sent again. By then the
+#: slowdown of the last one has a weight of two thirds (``SLOWDOWN_DECAY_S``).
 REPEAT_S = 0.2
-#: Slowdowns within this share of each other count as the same. Below
-#: ``soonest.EQUAL_COST_SHARE`` they never decide.
+#: Slowdowns whose relative difference is at most this count as equal. Differences below
+#: ``least_latency.EQUAL_COST_SHARE`` never decide a selection.
 SAME_SLOWDOWN_SHARE = 0.08
-#: Reports older than this are not passed on.
+#: Age in seconds above which reports are not sent.
 MAX_AGE_S = 0.5
 
 
 class _Sent(msgspec.Struct, frozen=True):
-    """The report of an upstream that was sent last, and when to repeat it."""
+    """The report of an upstream that was sent last, and when it is sent again."""
 
     generation: int
     report: upstreams.LoadReport
@@ -35,10 +35,10 @@
 
 class ReportFilter:
     """
-    Tells which reports are to be sent.
+    Selects the reports that are to be sent.
 
-    Invariant: a report is sent at most once; nothing is kept of upstreams that are no
-    longer among those whose reports are sent.
+    Invariant: a report is sent at most once; no state is kept of upstreams that are no
+    longer candidates.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
     def due(
         self, candidates: abc.Collection[upstreams.Upstream], now: ids.Instant
     ) -> list[upstreams.Upstream]:
-        """Return those whose reports are to be sent now; they count as sent."""
+        """Return the candidates whose reports are due, and mark these as sent."""
         if len(self._sent_by_id) > len(candidates):
             self._discard_others(candidates)
         return [upstream for upstream in candidates if self._is_due(upstream, now)]
@@ -59,11 +59,11 @@
 
     def _is_due(self, upstream: upstreams.Upstream, now: ids.Instant) -> bool:
         """
-        Tell whether a report is recent and tells anything new; it counts as sent then.
+        Tell whether a report is recent and new, and mark it as sent if so.
 
-        One that says the same as the last, and that there is room, is sent only now
-        and then. That an upstream is full or slowed is repeated each time: what others
-        estimate fades to a mean, and would let them send there.
+        A report equivalent to the last one is sent only every ``REPEAT_S`` while the
+        upstream has room. Reports of a full or slowed upstream are always sent: the
+        estimates of other gateways decay to a mean, and they would send requests there.
         """
         if now - upstream.report_at > MAX_AGE_S:
             return False
@@ -87,14 +87,14 @@
 
 
 def _is_equivalent(report: upstreams.LoadReport, other: upstreams.LoadReport) -> bool:
-    """Tell whether two reports differ in nothing that decides where calls go."""
+    """Tell whether two reports do not differ in anything that affects selection."""
     same_load = report.running + report.queued == other.running + other.queued
     change = abs(report.slowdown - other.slowdown)
     return same_load and change <= SAME_SLOWDOWN_SHARE * other.slowdown
 
 
 def _has_room(upstream: upstreams.Upstream) -> bool:
-    """Tell whether an upstream reports that it is neither nearly full nor slowed."""
+    """Tell whether an upstream reports to be neither nearly full nor slowed."""
     report = upstream.report
     if report.slowdown > upstreams.SLOWED_FACTOR:
         return False
