--- a/spindlenotch/gateway/cluster/moved_demand.py
+++ b/spindlenotch/gateway/cluster/moved_demand.py
@@ -1,9 +1,9 @@
 """
-What callers of one region will ask of another before that can be measured.
+Expected demand on a region after failover or failback, before it can be measured.
 
-Answers two moments: a region is lost, and its callers come to the others at once; a
-region is back, and its callers return to gateways that nobody has asked anything yet.
-Pure. Owns since when that is so.
+Covers two cases: a region is lost, and its callers move to the others at once; a region
+is back, and its callers return to gateways that have not received requests yet. Pure;
+owns the times since when regions are lost and this one was last idle.
 """
 
 from collections import abc
@@ -11,13 +11,13 @@
 from spindlenotch import ids
 from spindlenotch.peers import workload
 
-#: Seconds for which demand is expected that is not measured yet: callers keep an
-#: address for some seconds, and the meter then holds its busiest second for eight.
+#: Seconds for which moved demand is expected before it is measured: callers keep an
+#: address for several seconds, and the meter then holds its busiest second for eight.
 EXPECTED_S = 10.0
 
 
 class FailoverDemand:
-    """Follows which regions are heard, and adds what is expected of their callers."""
+    """Tracks which regions are reachable and estimates the demand that moves here."""
 
     def __init__(self) -> None:
         self._lost_at_by_region: dict[ids.RegionName, ids.Instant] = {}
@@ -31,10 +31,12 @@
         now: ids.Instant,
     ) -> workload.Work:
         """
-        Return the demand for which this region must be able to serve.
+        Return the demand that this region must be able to serve.
 
-        ``own`` is measured here; ``reachable`` and ``lost`` are the last demands of the
-        regions that are and that are no longer heard of.
+        ``own`` is the demand measured here; ``reachable`` and ``lost`` are the last
+        known demands of the other regions. The demand of a recently lost region is
+        divided evenly among the remaining ones. A region that was idle recently expects
+        at least an even share of the demand on all reachable ones.
         """
         self._update(own, reachable, lost, now)
         moved = [
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -1,9 +1,9 @@
 """
-What a gateway makes of other regions: their addresses and their callers' demand.
+Exchange with other regions: gateway addresses and the demand of their callers.
 
-Keeps the summary of the own region in step with the fleet and says which addresses of
-another region its callers are to be given. Relies on ``peers.region_links`` for what
-is known of the others and on ``moved_demand`` for what their callers will ask.
+Updates the summary of this region from the fleet and selects the addresses that callers
+of a region are given. ``peers.region_links`` holds the summaries of the other regions;
+``moved_demand`` estimates the demand that moves here from them.
 """
 
 from collections import abc
@@ -15,7 +15,7 @@
 
 
 class RegionExchange:
-    """The other regions, as the fleet of one needs them; nothing where there is one."""
+    """The other regions, as seen by this region's fleet; no-op with a single region."""
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
@@ -29,7 +29,7 @@
         return frozenset(links.young(self.state.clock.now(), region_links.LOST_S))
 
     def required_demand(self, own: workload.Work) -> workload.Work:
-        """Return the demand to be ready for: the own one and what will move here."""
+        """Return the demand to provision for: ``own`` and what will move here."""
         links = self.state.links
         if links is None:
             return own
@@ -50,7 +50,7 @@
         member_count: int,
         demand: workload.Work,
     ) -> None:
-        """Let other regions know of this one."""
+        """Update the summary of this region that is sent to others."""
         links = self.state.links
         if links is not None:
             gateways = [
@@ -68,12 +68,13 @@
         allowed: frozenset[ids.RegionName] | None,
     ) -> list[ids.Address]:
         """
-        Return the addresses for callers of a region; ``own`` are those of this one.
+        Return the gateway addresses for callers of a region.
 
-        While it is not sure that the other region is there, the own ones stand beside
-        its last ones. Where this region has none, all others help out. Callers who may
-        be served only in the ``allowed`` regions are sent to one of these; to the own
-        one, which refuses them, where none of these is heard of.
+        ``own`` are the addresses of this region. While it is uncertain that the other
+        region is reachable, they are returned together with its last known ones. Where
+        neither has any, those of all reachable regions are returned. Callers who may be
+        served only in the ``allowed`` regions (None: any) are sent to one of these, or
+        to this region, which rejects them, where none of these is reachable.
         """
         links = self.state.links
         if links is None:
@@ -90,7 +91,7 @@
         own: abc.Collection[ids.Address],
         allowed: frozenset[ids.RegionName] | None,
     ) -> list[ids.Address]:
-        """Return the addresses of a region, of ``own`` ones or of all that help out."""
+        """Return the addresses of a region, with the fallbacks of ``addresses``."""
         if region not in links.others and own:
             return sorted(own)
         now = self.state.clock.now()
@@ -118,7 +119,7 @@
         region: ids.RegionName,
         allowed: frozenset[ids.RegionName] | None,
     ) -> ids.RegionName:
-        """Return the caller's region, this one or one that is heard: an allowed one."""
+        """Return the region to serve a caller in, an allowed one where there is one."""
         if allowed is None:
             return region
         reachable = self.reachable() & allowed
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -1,9 +1,9 @@
 """
-How full the upstreams of each region are: told to other regions, learnt of them.
+Utilization of the upstreams of each region, exchanged between regions.
 
-Load reports of single upstreams do not cross regions; the mean over a service does,
-with the region's summary. Relies on the pools for the own region's and puts those of
-the others into them, where ``decisions.overflow`` looks.
+Load reports of single upstreams do not cross regions; the mean over a service does, in
+the region's summary. Reads this region's utilization from the pools and stores that of
+the other regions there, where ``decisions.overflow`` uses it.
 """
 
 from spindlenotch import ids
@@ -11,18 +11,18 @@
 from spindlenotch.gateway import state
 from spindlenotch.peers import messages, region_links
 
-#: Digits behind the point of a share: hundredths decide nothing.
+#: Decimal places of a share; finer differences do not affect decisions.
 SHARE_DIGITS = 2
 
 
 class RegionLoads:
-    """Keeps summaries and pools in step; nothing where there is one region."""
+    """Synchronizes summaries and pools; no-op with a single region."""
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
 
     def update(self) -> None:
-        """Tell what is known here, and take in what other regions have told."""
+        """Update this region's summary, and the pools from those of other regions."""
         links = self.state.links
         if links is None:
             return
