--- a/features/steps/gateway_loads.py
+++ b/features/steps/gateway_loads.py
@@ -5,7 +5,7 @@
 from features.steps import kernel
 from features.support import started_gateway
 from spindlenotch import clock, ids
-from spindlenotch.gateway.cluster import load_sharing, report_filter
+from spindlenotch.gateway.cluster import load_exchange, report_filter
 from spindlenotch.gateway.source import routing, sources
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import messages
@@ -41,7 +41,7 @@
         )
         state.apply_snapshot(sources.Snapshot(1, configuration, {UPSTREAM: listed}))
         self.pool = state.balancer_by_service[SERVICE].pool
-        self.sharing = load_sharing.LoadExchange(
+        self.sharing = load_exchange.LoadExchange(
             state, relayed.fleet, relayed.link, {UPSTREAM}
         )
         self.sent: list[int] = []
--- a/features/steps/gateway_reborn_peers.py
+++ b/features/steps/gateway_reborn_peers.py
@@ -8,7 +8,7 @@
 from features.support import platform_worker, reborn_reading, store_reading
 from spindlenotch import ids, ports
 from spindlenotch.drivers import upstream_http
-from spindlenotch.gateway.cluster import fleet as fleets, load_sharing, prober
+from spindlenotch.gateway.cluster import fleet as fleets, load_exchange, prober
 from spindlenotch.gateway.source import sources
 from spindlenotch.kernel import upstreams
 from spindlenotch.peers import messages, workload
@@ -44,7 +44,7 @@
             born=there,
         )
         message = messages.Message(playing.state.gossip.local, 1, loads=(record,))
-        sharing = load_sharing.LoadExchange(
+        sharing = load_exchange.LoadExchange(
             playing.state, playing.relay.fleet, playing.relay.link, ()
         )
         handled = playing.state.gossip.handle(message, playing.clock.now())
@@ -56,7 +56,7 @@
         )
     # What this gateway sends says of which start it is.
     playing = reborn_reading.Playing()
-    sent = load_sharing._record(playing.upstream, playing.clock.now())
+    sent = load_exchange._record(playing.upstream, playing.clock.now())
     assert sent.born == reborn_reading.FIRST
 
 
--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -4,14 +4,14 @@
 
 from features.steps import kernel
 from spindlenotch.gateway import gateway, state, wakeups
-from spindlenotch.gateway.cluster import load_sharing, prober
+from spindlenotch.gateway.cluster import load_exchange, prober
 from spindlenotch.gateway.source import discovery, relay, source_reader
 
 PERIODS_S = (
     gateway.TICK_S,
     source_reader.OFF_DUTY_S,
     prober.RECONCILE_PERIOD_S,
-    load_sharing.IDLE_PERIOD_S,
+    load_exchange.IDLE_PERIOD_S,
     relay.ASK_PERIOD_S,
     state.GOSSIP_TIMING.period_s,
     discovery.LOOK_PERIOD_S,
--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -3,7 +3,7 @@
 
 Few gateways send to an upstream that names a limit; they receive the limit, and its
 end, with the upstream's responses and announce both to the others. Pure; owns the last
-announcement of each limit. Used by ``load_sharing``.
+announcement of each limit. Used by ``load_exchange``.
 """
 
 from collections import abc
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -4,7 +4,7 @@
 Each upstream is probed by one gateway of its own zone, a standby one if there is any
 (see ``duties``), so that probing takes no time from requests and does not cross zones.
 Owns one task per upstream assigned to this gateway. Reports go into the upstream's pool
-and from there to other gateways (see ``load_sharing``).
+and from there to other gateways (see ``load_exchange``).
 """
 
 import asyncio
--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -3,7 +3,7 @@
 
 Drops repeated reports: an upstream is probed many times per service time of a request
 and, in a large fleet with little load, mostly reports the same. Pure; used by
-``load_sharing``. Owns the last report sent of each upstream.
+``load_exchange``. Owns the last report sent of each upstream.
 """
 
 from collections import abc
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -22,7 +22,7 @@
 )
 from spindlenotch.gateway.cluster import (
     fleet,
-    load_sharing,
+    load_exchange,
     membership,
     prober,
     rate_sharers,
@@ -88,7 +88,7 @@
             gateway_state, source, self.relay.is_reader
         )
         self.prober = prober.Prober(gateway_state, self.fleet, port)
-        self.load_sharing = load_sharing.LoadExchange(
+        self.load_sharing = load_exchange.LoadExchange(
             gateway_state, self.fleet, link, self.prober.task_by_id.keys()
         )
         self.rollout = rollout_loop.RolloutLoop(gateway_state, self.fleet, link, source)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -189,7 +189,7 @@
             "kernel/shared_rate.LATE_S",
             "gateway/cluster/fleet_size.RETENTION_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
-            "gateway/cluster/load_sharing.COLD_END_ANNOUNCED_S",
+            "gateway/cluster/load_exchange.COLD_END_ANNOUNCED_S",
             "decisions/least_latency.COLD_FACTOR",
         ),
         tests=(
@@ -307,7 +307,7 @@
             "gateway/source/leases.Lease.is_same_start",
             "gateway/source/leases.renewed",
             "kernel/upstream_set.UpstreamSet.set_listed",
-            "gateway/cluster/load_sharing.LoadExchange.message_received",
+            "gateway/cluster/load_exchange.LoadExchange.message_received",
         ),
         inputs="the start that its entry tells (Unix ms, or none), state, service, zone"
         " and address; of what peers report: its start, and how old it is (s).",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -170,7 +170,7 @@
     ),
     Mutant(
         "a late load record of an earlier start counts",
-        "gateway/cluster/load_sharing",
+        "gateway/cluster/load_exchange",
         "        return at >= upstream.known_since\n    return False",
         "        return at >= upstream.known_since\n    return True",
         held_by="what peers report of another start is not taken in",
