--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -12,7 +12,7 @@
 from features.support import regional_fleet
 from spindlenotch import ids, ports
 from spindlenotch.gateway import dialect, service_defaults
-from spindlenotch.gateway.cluster import moved_demand, prober
+from spindlenotch.gateway.cluster import failover_demand, prober
 from spindlenotch.gateway.source import reader_duty, relay, routing, sources
 from spindlenotch.kernel import (
     cold_start,
@@ -171,7 +171,7 @@
     "a region that returns is ready for its part of all callers"
 )
 def returning() -> None:
-    moved = moved_demand.FailoverDemand()
+    moved = failover_demand.FailoverDemand()
     north, south = ids.RegionName("north"), ids.RegionName("south")
     heard = {north: workload.Work(300.0, 30.0), south: workload.Work(600.0, 60.0)}
     now = kernel.NOW
@@ -181,20 +181,20 @@
     first = workload.Work(10.0, 1.0)
     soon = ids.later(now, 1.0)
     assert moved.expected(first, heard, {}, soon).requests_per_s > 300.0
-    later = ids.later(soon, moved_demand.EXPECTED_S)
+    later = ids.later(soon, failover_demand.EXPECTED_S)
     assert moved.expected(first, heard, {}, later) == first
 
 
 @kernel.PROPERTIES.register("what a lost region was asked is expected by the others")
 def expected() -> None:
-    moved = moved_demand.FailoverDemand()
+    moved = failover_demand.FailoverDemand()
     north, south = ids.RegionName("north"), ids.RegionName("south")
     own = workload.Work(100.0, 10.0)
     heard = {north: workload.Work(100.0, 10.0)}
     lost = {south: workload.Work(400.0, 40.0)}
     now = kernel.NOW
     assert moved.expected(own, heard, lost, now) == workload.Work(300.0, 30.0)
-    later = ids.later(now, moved_demand.EXPECTED_S)
+    later = ids.later(now, failover_demand.EXPECTED_S)
     assert moved.expected(own, heard, lost, later) == own
     # Lost once more, it is expected once more.
     moved.expected(own, {**heard, **lost}, {}, later)
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -3,14 +3,14 @@
 
 Updates the summary of this region from the fleet and selects the addresses that callers
 of a region are given. ``peers.region_links`` holds the summaries of the other regions;
-``moved_demand`` estimates the demand that moves here from them.
+``failover_demand`` estimates the demand that moves here from them.
 """
 
 from collections import abc
 
 from spindlenotch import ids
 from spindlenotch.gateway import state
-from spindlenotch.gateway.cluster import moved_demand
+from spindlenotch.gateway.cluster import failover_demand
 from spindlenotch.peers import messages, region_links, workload
 
 
@@ -19,7 +19,7 @@
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
-        self._failover_demand = moved_demand.FailoverDemand()
+        self._failover_demand = failover_demand.FailoverDemand()
 
     def reachable(self) -> frozenset[ids.RegionName]:
         """Return the other regions that are not lost."""
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -119,7 +119,7 @@
         question="Which region's gateways callers are sent to",
         functions=(
             "gateway/cluster/region_exchange.RegionExchange.addresses",
-            "gateway/cluster/moved_demand.FailoverDemand.expected",
+            "gateway/cluster/failover_demand.FailoverDemand.expected",
             "peers/region_links.RegionLinks.targets",
         ),
         inputs="the caller's region or zone, setting `region_by_zone`, regions that all"
@@ -134,7 +134,7 @@
             "peers/region_links.DOUBTFUL_S",
             "peers/region_links.LOST_S",
             "peers/region_links.MOST_INTRODUCED",
-            "gateway/cluster/moved_demand.EXPECTED_S",
+            "gateway/cluster/failover_demand.EXPECTED_S",
         ),
         events=("REGION_LOST", "REGION_BACK"),
         tests=(
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -352,7 +352,7 @@
     ),
     Mutant(
         "a lost region's callers are not expected",
-        "gateway/cluster/moved_demand",
+        "gateway/cluster/failover_demand",
         "needed = _sum([own, _even_share(_sum(moved), parts)])",
         "needed = own",
         "what a lost region was asked is expected by the others",
