--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -88,7 +88,7 @@
             gateway_state, source, self.relay.is_reader
         )
         self.prober = prober.Prober(gateway_state, self.fleet, port)
-        self.load_sharing = load_exchange.LoadExchange(
+        self.load_exchange = load_exchange.LoadExchange(
             gateway_state, self.fleet, link, self.prober.task_by_id.keys()
         )
         self.rollout = rollout_loop.RolloutLoop(gateway_state, self.fleet, link, source)
@@ -101,7 +101,7 @@
         self.membership.add_listener(self.quarantine_sharing)
         self.membership.add_listener(self.relay)
         self.membership.add_listener(self.rollout)
-        self.membership.add_listener(self.load_sharing)
+        self.membership.add_listener(self.load_exchange)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -115,7 +115,7 @@
             self.source_reader.run,
             self.discovery.run,
             self.prober.run,
-            self.load_sharing.run,
+            self.load_exchange.run,
             self.rollout.run,
             self.quarantine_sharing.run,
             self.quarantine_writer.run,
