--- a/spindlenotch/gateway/cluster/active_set.py
+++ b/spindlenotch/gateway/cluster/active_set.py
@@ -73,11 +73,11 @@
         Return the shortest prefix whose members can each serve an even share.
 
         The share is that of ``demand``; the prefix has at least ``min_count`` members.
-        Where none suffices, the one with the lowest overload is returned. A single pass
-        keeps the highest requirement seen
-        so far: recomputing it for each prefix took 34.8 ms for 312 candidates when
-        the demand exceeded their total capacity, against 1.0 ms (means of 50 runs on
-        a whole core).
+        Where none suffices, the one with the lowest overload is returned.
+
+        A single pass keeps the highest requirement seen so far. Recomputing it for each
+        prefix took 34.8 ms for 312 candidates when the demand exceeded what all can
+        serve; a single pass takes 1.0 ms (mean of 50 runs on a whole core).
         """
         best_count, best_load = self.min_count, math.inf
         max_hosts_needed = 0.0
--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -15,7 +15,7 @@
 INTERVAL_S = 1.0
 #: Intervals in the sliding window whose maximum is the demand.
 INTERVALS_KEPT = 8
-#: Smallest relative change of the demand that is reported to peers.
+#: Relative change of the demand above which it is reported to peers.
 REPORTED_CHANGE_SHARE = 0.2
 
 
--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -60,7 +60,7 @@
         return duties.readers(zone, hosts)
 
     def region_readers(self, region: ids.RegionName) -> list[ids.HostId]:
-        """Return the gateways that may read for all zones in view, one region's."""
+        """Return the gateways that may read the source for all zones of this region."""
         hosts = [host for group in self.standby_by_zone.values() for host in group]
         if not hosts:
             hosts = [record.host for record in self.starting]
--- a/spindlenotch/gateway/cluster/limit_news.py
+++ b/spindlenotch/gateway/cluster/limit_news.py
@@ -24,7 +24,7 @@
 
 
 class _Announced(msgspec.Struct, frozen=True):
-    """The last announced limit of an upstream: when it was received and announced."""
+    """The last announced limit of an upstream, its time of receipt and of sending."""
 
     per_s: float | None
     heard_at: ids.Instant
--- a/spindlenotch/gateway/cluster/load_exchange.py
+++ b/spindlenotch/gateway/cluster/load_exchange.py
@@ -27,8 +27,8 @@
 #: take CPU time.
 IDLE_PERIOD_S = 0.2
 #: Decimal places of what is sent: slowdowns in hundredths, the precision in which they
-#: are reported, and ages in milliseconds. Twelve compressed reports take 333 bytes, as
-#: against 463 with two digits each.
+#: are reported, and ages in milliseconds. Twelve compressed reports take 333 bytes, not
+#: 463 as with two digits each.
 SLOWDOWN_DIGITS = 2
 AGE_DIGITS = 3
 #: Seconds for which it is announced that an upstream is warm again: several rounds,
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -19,7 +19,7 @@
 
 #: Timeout of a probe, in seconds.
 PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
-#: Seconds between two updates of the tasks to the upstreams assigned to this gateway.
+#: Seconds between two checks which upstreams are assigned to this gateway.
 RECONCILE_PERIOD_S = 0.2
 #: Approximate lifetime of a probing task in seconds; the next one starts with the
 #: settings then in force.
@@ -92,20 +92,20 @@
                 task.cancel()
 
     def _reconcile_tasks(self) -> None:
-        key = self._inputs()
-        if key != self._target_inputs:
-            self._target_inputs = key
-            before, self._target_by_id = self._target_by_id, self._targets()
+        inputs = self._inputs()
+        if inputs != self._target_inputs:
+            self._target_inputs = inputs
+            previous, self._target_by_id = self._target_by_id, self._targets()
             for upstream_id in list(self.task_by_id):
                 if _is_replaced(
-                    before[upstream_id], self._target_by_id.get(upstream_id)
+                    previous[upstream_id], self._target_by_id.get(upstream_id)
                 ):
                     self.task_by_id.pop(upstream_id).cancel()
         for upstream_id, target in self._target_by_id.items():
             task = self.task_by_id.get(upstream_id)
             if task is None or task.done():
-                work = self._probe(target)
-                self.task_by_id[upstream_id] = asyncio.ensure_future(work)
+                probing = self._probe(target)
+                self.task_by_id[upstream_id] = asyncio.ensure_future(probing)
 
     def _inputs(self) -> tuple[object, ...]:
         """Return the inputs that determine the upstreams assigned to this gateway."""
@@ -142,12 +142,16 @@
     def _period_s(self, configuration: routing.Configuration, target: Target) -> float:
         """Return the time between two probes of an upstream, in seconds."""
         allowed_s = 1.0 / max(MIN_PROBES_PER_S, self.state.config.probes_per_s)
-        work_s = [
+        service_times_s = [
             service_defaults.typical_latency_s(route)
             for route in configuration.routes
             if any(part.service == target.service for part in route.parts)
         ]
-        wanted_s = sum(work_s) / max(1, len(work_s)) / PROBES_PER_SERVICE_TIME
+        wanted_s = (
+            sum(service_times_s)
+            / max(1, len(service_times_s))
+            / PROBES_PER_SERVICE_TIME
+        )
         return max(allowed_s, min(wanted_s, MAX_PERIOD_S))
 
     async def _probe(self, target: Target) -> None:
@@ -167,16 +171,16 @@
             # account.
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
-                told = with_default_cold_s(report, target.pool.service)
-                target.pool.told(target.upstream, told, now)
+                effective_report = with_default_cold_s(report, target.pool.service)
+                target.pool.told(target.upstream, effective_report, now)
             await asyncio.sleep(jitter.jittered(period_s, rng))
 
 
-def _is_replaced(before: Target, now: Target | None) -> bool:
+def _is_replaced(previous: Target, current: Target | None) -> bool:
     """
     Tell whether the probing task of an upstream is obsolete.
 
     A restarted upstream counts as another one: its responses must not be attributed to
     its earlier start.
     """
-    return now is None or now.upstream is not before.upstream
+    return current is None or current.upstream is not previous.upstream
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -178,8 +178,8 @@
     Mutant(
         "probes of an earlier start go on",
         "gateway/cluster/prober",
-        "return now is None or now.upstream is not before.upstream",
-        "return now is None",
+        "return current is None or current.upstream is not previous.upstream",
+        "return current is None",
         held_by="probes of an earlier start end with it",
     ),
     Mutant(
