--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -98,7 +98,7 @@
         "gateway/cluster/limit_news",
         "return limit.per_s is not None or now",
         "return limit.per_s is not None and now",
-        "a limit is last on by who heard it, and that it ended",
+        "a limit is told on by who heard it, and that it ended",
     ),
     mutant_table.Mutant(
         "a call waits for a turn that comes just in time",
