--- a/spindlenotch/gateway/cluster/quorum.py
+++ b/spindlenotch/gateway/cluster/quorum.py
@@ -1,8 +1,9 @@
 """
 Majority quorum: whether more than half of the gateways are in view.
 
-At most one side of a network partition has a quorum. Owns no state; depends on the
-fleet's view and on ``fleet_size`` for the recent number of gateways.
+At most one side of a network partition has a quorum, as long as ``fleet_size`` retains
+the number of gateways before it. Owns no state; depends on the fleet's view and on
+``fleet_size``.
 """
 
 from spindlenotch.gateway import state
--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -37,8 +37,8 @@
     """
     Selects the reports that are to be sent.
 
-    Invariant: a report is sent at most once; no state is kept of upstreams that are no
-    longer candidates.
+    Invariant: a report is sent at most once. The state of upstreams that are no longer
+    candidates is discarded once there are more entries than candidates.
     """
 
     def __init__(self) -> None:
