--- a/spindlenotch/gateway/cluster/demand_meter.py
+++ b/spindlenotch/gateway/cluster/demand_meter.py
@@ -1,9 +1,9 @@
 """
-How much callers ask of this gateway: the busiest second of the last few.
+Demand of callers on this gateway: the maximum over a sliding window of seconds.
 
-Pure. The demand rises at once and falls late, so that standby gateways become
-active fast and do not come and go with each burst. Counted by ``ingress``,
-sent to peers with this gateway's record, used by ``active_set``.
+Pure. The maximum rises at once and falls after a delay, so that standby gateways
+become active quickly and do not flap with each burst. ``ingress`` counts the requests,
+this gateway's record carries the demand to peers, and ``active_set`` uses it.
 """
 
 import collections
@@ -11,46 +11,48 @@
 from spindlenotch import ids
 from spindlenotch.peers import workload
 
-#: Length of one span of counting.
-SPAN_S = 1.0
-#: Spans of which the busiest counts.
-SPANS_KEPT = 8
-#: Changes by a smaller share than this are not reported to peers.
+#: Length of one counting interval, in seconds.
+INTERVAL_S = 1.0
+#: Intervals in the sliding window whose maximum is the demand.
+INTERVALS_KEPT = 8
+#: Relative change of the demand above which it is reported to peers.
 REPORTED_CHANGE_SHARE = 0.2
 
 
 class DemandMeter:
     """
-    Counts requests and bytes in spans of a second.
+    Counts requests and bytes per interval and reports their maximum.
 
-    Invariant: ``reported`` is within ``REPORTED_CHANGE_SHARE`` of the busiest
-    kept span after each ``update``.
+    Invariant: after each ``update``, ``reported`` is within ``REPORTED_CHANGE_SHARE``
+    of the busiest interval in the window.
     """
 
     def __init__(self) -> None:
         self.reported = workload.Work(0.0, 0.0)
-        self._spans: collections.deque[workload.Work] = collections.deque(
-            maxlen=SPANS_KEPT
+        self._intervals: collections.deque[workload.Work] = collections.deque(
+            maxlen=INTERVALS_KEPT
         )
         self._requests = 0
         self._bytes = 0
-        self._span_end = ids.Instant(float("-inf"))
+        self._interval_end = ids.Instant(float("-inf"))
 
     def count(self, size: int) -> None:
-        """Count one request; ``size`` is the bytes of its body and the answer's."""
+        """Count one request; ``size`` is the bytes of its body and its response's."""
         self._requests += 1
         self._bytes += size
 
     def update(self, now: ids.Instant) -> bool:
-        """Close a span that is over; tell whether ``reported`` has changed."""
-        if now < self._span_end:
+        """Close an interval that has ended; tell whether ``reported`` has changed."""
+        if now < self._interval_end:
             return False
-        self._span_end = ids.later(now, SPAN_S)
-        self._spans.append(workload.Work(self._requests / SPAN_S, self._bytes / SPAN_S))
+        self._interval_end = ids.later(now, INTERVAL_S)
+        self._intervals.append(
+            workload.Work(self._requests / INTERVAL_S, self._bytes / INTERVAL_S)
+        )
         self._requests = self._bytes = 0
         busiest = workload.Work(
-            max(span.requests_per_s for span in self._spans),
-            max(span.bytes_per_s for span in self._spans),
+            max(interval.requests_per_s for interval in self._intervals),
+            max(interval.bytes_per_s for interval in self._intervals),
         )
         if not _differs(busiest, self.reported):
             return False
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -1,11 +1,10 @@
 """
-Asks upstreams how fast they work at the moment.
+Active health probing: polls upstreams for load reports.
 
-Each upstream is asked by one gateway of its own zone, a standby one if there
-is any (see ``duties``): probing then takes no time from requests and does not
-cross zones. Owns one task for each upstream that falls to this gateway; what
-upstreams report goes into their pools, and from there to other gateways (see
-``load_sharing``).
+Each upstream is probed by one gateway of its own zone, a standby one if there is any
+(see ``duties``), so that probing takes no time from requests and does not cross zones.
+Owns one task per upstream assigned to this gateway. Reports go into the upstream's pool
+and from there to other gateways (see ``load_exchange``).
 """
 
 import asyncio
@@ -18,23 +17,24 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import hearing, service_policy, upstream_pool, upstreams
 
-#: Longest wait for the answer to a probe, in seconds.
+#: Timeout of a probe, in seconds.
 PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
-#: Time between two looks at which upstreams fall to this gateway.
-MATCH_PERIOD_S = 0.2
-#: A probing task ends after about this long and is begun anew with the settings of that
-#: moment.
-TASK_S = 1.0
-#: Probes in the time that the work of a service takes on an idle upstream: what one
-#: has to do changes with the work that begins and ends there. By the mean of the
-#: routes, as nearly every service may at times get the shortest work. Not by the
-#: latency seen, which grows under load, when reports matter most.
-PROBES_PER_WORK = 10.0
-#: Most seconds between two probes of an upstream: slowdowns come and go within half a
-#: second.
-MOST_PERIOD_S = 0.25
-#: Keeps the period finite where the setting is nearly zero.
-LEAST_PROBES_PER_S = 0.001
+#: Seconds between two checks which upstreams are assigned to this gateway.
+RECONCILE_PERIOD_S = 0.2
+#: Approximate lifetime of a probing task in seconds; the next one starts with the
+#: settings then in force.
+TASK_LIFETIME_S = 1.0
+#: Probes per service time of a request on an idle upstream: the load of an upstream
+#: changes as requests start and end there. Based on the mean over the service's routes,
+#: because nearly every service may at times get the shortest requests. Not based on the
+#: observed latency, which grows under load, when reports matter most.
+PROBES_PER_SERVICE_TIME = 10.0
+#: Upper bound of the seconds between two probes of an upstream: slowdowns come and go
+#: within half a second.
+MAX_PERIOD_S = 0.25
+#: Lower bound of the probes per second, which keeps the period finite where the setting
+#: is nearly zero.
+MIN_PROBES_PER_S = 0.001
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -45,14 +45,15 @@
     upstream: upstreams.Upstream
 
 
-def with_coldness(
+def with_default_cold_s(
     report: upstreams.LoadReport, service: service_policy.ServicePolicy
 ) -> upstreams.LoadReport:
     """
-    Return the report of a health answer, with what its silence on coldness says.
+    Return the report of a health response, with ``cold_s`` 0 where its absence says so.
 
-    Where what cold upstreams bear is bounded, they say that they are cold, and the
-    others say nothing. Elsewhere only their entries in the source tell.
+    Where the request rate of cold upstreams is limited, a cold upstream states so in
+    its response, and one that does not is warm. For other services only the entries of
+    the upstreams in the source tell.
     """
     if report.cold_s is None and service.cold_rate_per_s is not None:
         return msgspec.structs.replace(report, cold_s=0.0)
@@ -63,8 +64,8 @@
     """
     Probes each upstream on its own schedule.
 
-    Invariant: this gateway asks an upstream at most ``probes_per_s`` times a
-    second; with equal views, no other gateway asks it too.
+    Invariant: this gateway probes an upstream at most ``probes_per_s`` times per
+    second; with equal views, no other gateway probes it as well.
     """
 
     def __init__(
@@ -78,34 +79,36 @@
         self.port = port
         self.task_by_id: dict[ids.UpstreamId, asyncio.Task[None]] = {}
         self._target_by_id: dict[ids.UpstreamId, Target] = {}
-        self._target_key: tuple[object, ...] = ()
+        self._target_inputs: tuple[object, ...] = ()
 
     async def run(self) -> None:
-        """Keep one task for each upstream that falls to this gateway."""
+        """Run one probing task per assigned upstream until cancelled."""
         try:
             while True:
-                self._match_tasks()
-                await self.state.wakeups.sleep(MATCH_PERIOD_S)
+                self._reconcile_tasks()
+                await self.state.wakeups.sleep(RECONCILE_PERIOD_S)
         finally:
             for task in self.task_by_id.values():
                 task.cancel()
 
-    def _match_tasks(self) -> None:
-        key = self._inputs()
-        if key != self._target_key:
-            self._target_key = key
-            before, self._target_by_id = self._target_by_id, self._targets()
+    def _reconcile_tasks(self) -> None:
+        inputs = self._inputs()
+        if inputs != self._target_inputs:
+            self._target_inputs = inputs
+            previous, self._target_by_id = self._target_by_id, self._targets()
             for upstream_id in list(self.task_by_id):
-                if _is_other(before[upstream_id], self._target_by_id.get(upstream_id)):
+                if _is_replaced(
+                    previous[upstream_id], self._target_by_id.get(upstream_id)
+                ):
                     self.task_by_id.pop(upstream_id).cancel()
         for upstream_id, target in self._target_by_id.items():
             task = self.task_by_id.get(upstream_id)
             if task is None or task.done():
-                work = self._probe(target)
-                self.task_by_id[upstream_id] = asyncio.ensure_future(work)
+                probing = self._probe(target)
+                self.task_by_id[upstream_id] = asyncio.ensure_future(probing)
 
     def _inputs(self) -> tuple[object, ...]:
-        """Return what decides which upstreams fall to this gateway."""
+        """Return the inputs that determine the upstreams assigned to this gateway."""
         balancers = self.state.balancer_by_service.values()
         return (
             self.fleet.view(),
@@ -115,7 +118,7 @@
         )
 
     def _targets(self) -> dict[ids.UpstreamId, Target]:
-        """Return the upstreams that fall to this gateway."""
+        """Return the upstreams that this gateway is to probe."""
         if self.state.config.probes_per_s <= 0 or not self.state.ready:
             return {}
         standby_by_zone = self.fleet.view().standby_by_zone
@@ -138,14 +141,18 @@
 
     def _period_s(self, configuration: routing.Configuration, target: Target) -> float:
         """Return the time between two probes of an upstream, in seconds."""
-        allowed_s = 1.0 / max(LEAST_PROBES_PER_S, self.state.config.probes_per_s)
-        work_s = [
+        allowed_s = 1.0 / max(MIN_PROBES_PER_S, self.state.config.probes_per_s)
+        service_times_s = [
             service_defaults.typical_latency_s(route)
             for route in configuration.routes
             if any(part.service == target.service for part in route.parts)
         ]
-        wanted_s = sum(work_s) / max(1, len(work_s)) / PROBES_PER_WORK
-        return max(allowed_s, min(wanted_s, MOST_PERIOD_S))
+        wanted_s = (
+            sum(service_times_s)
+            / max(1, len(service_times_s))
+            / PROBES_PER_SERVICE_TIME
+        )
+        return max(allowed_s, min(wanted_s, MAX_PERIOD_S))
 
     async def _probe(self, target: Target) -> None:
         rng = self.state.rng
@@ -157,22 +164,23 @@
         spec = table.configuration.service_by_name.get(target.service)
         health_path = None if spec is None else spec.health_path
         address = target.upstream.spec.address
-        for _ in range(max(1, int(TASK_S / period_s))):
+        for _ in range(max(1, int(TASK_LIFETIME_S / period_s))):
             self.state.metrics.probes.labels(target.service).inc()
             report = await self.port.probe(address, PROBE_TIMEOUT_S, health_path)
-            # A fault leaves the last report; how old it is counts where
-            # upstreams are compared.
+            # After a failed probe the last report stays; selection takes its age into
+            # account.
             if isinstance(report, upstreams.LoadReport):
                 now = self.state.clock.now()
-                told = with_coldness(report, target.pool.service)
-                target.pool.probe_reported(target.upstream, told, now)
+                effective_report = with_default_cold_s(report, target.pool.service)
+                target.pool.probe_reported(target.upstream, effective_report, now)
             await asyncio.sleep(jitter.jittered(period_s, rng))
 
 
-def _is_other(before: Target, now: Target | None) -> bool:
+def _is_replaced(previous: Target, current: Target | None) -> bool:
     """
-    Tell whether an upstream is no longer to be probed as it was before.
+    Tell whether the probing task of an upstream is obsolete.
 
-    One that has started again is another: what it answers is not of the earlier one.
+    A restarted upstream counts as another one: its responses must not be attributed to
+    its earlier start.
     """
-    return now is None or now.upstream is not before.upstream
+    return current is None or current.upstream is not previous.upstream
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -1,46 +1,47 @@
 """
-What a gateway makes of other regions: their addresses and their callers' demand.
+Exchange with other regions: gateway addresses and the demand of their callers.
 
-Keeps the summary of the own region in step with the fleet and says which addresses of
-another region its callers are to be given. Relies on ``peers.region_links`` for what
-is known of the others and on ``moved_demand`` for what their callers will ask.
+Updates the summary of this region from the fleet and selects the addresses that callers
+of a region are given. ``peers.region_links`` holds the summaries of the other regions;
+``failover_demand`` estimates the demand that moves here from them.
 """
 
 from collections import abc
 
 from spindlenotch import ids
 from spindlenotch.gateway import state
-from spindlenotch.gateway.cluster import moved_demand
+from spindlenotch.gateway.cluster import failover_demand
 from spindlenotch.peers import messages, region_links, workload
 
 
 class RegionExchange:
-    """The other regions, as the fleet of one needs them; nothing where there is one."""
+    """The other regions, as seen by this region's fleet; no-op with a single region."""
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
-        self._moved = moved_demand.MovedDemand()
+        self._failover_demand = failover_demand.FailoverDemand()
 
-    def heard(self) -> frozenset[ids.RegionName]:
+    def reachable(self) -> frozenset[ids.RegionName]:
         """Return the other regions that are not lost."""
         links = self.state.links
         if links is None:
             return frozenset()
         return frozenset(links.young(self.state.clock.now(), region_links.LOST_S))
 
-    def needed(self, own: workload.Work) -> workload.Work:
-        """Return the demand to be ready for: the own one and what will move here."""
+    def required_demand(self, own: workload.Work) -> workload.Work:
+        """Return the demand to provision for: ``own`` and what will move here."""
         links = self.state.links
         if links is None:
             return own
         now = self.state.clock.now()
-        heard = links.young(now, region_links.LOST_S)
+        reachable = links.young(now, region_links.LOST_S)
         known = {
-            region: one.summary.demand for region, one in links.heard_by_region.items()
+            region: heard.summary.demand
+            for region, heard in links.heard_by_region.items()
         }
-        lost = {region: known[region] for region in known.keys() - heard.keys()}
-        return self._moved.expected(
-            own, {region: known[region] for region in heard}, lost, now
+        lost = {region: known[region] for region in known.keys() - reachable.keys()}
+        return self._failover_demand.expected(
+            own, {region: known[region] for region in reachable}, lost, now
         )
 
     def describe(
@@ -49,7 +50,7 @@
         member_count: int,
         demand: workload.Work,
     ) -> None:
-        """Let other regions know of this one."""
+        """Update the summary of this region that is sent to others."""
         links = self.state.links
         if links is not None:
             gateways = [
@@ -67,57 +68,66 @@
         allowed: frozenset[ids.RegionName] | None,
     ) -> list[ids.Address]:
         """
-        Return the addresses for callers of a region; ``own`` are those of this one.
+        Return the gateway addresses for callers of a region.
 
-        While it is not sure that the other region is there, the own ones stand beside
-        its last ones. Where this region has none, all others help out. Callers who may
-        be served only in the ``allowed`` regions are sent to one of these; to the own
-        one, which refuses them, where none of these is heard of.
+        ``own`` are the addresses of this region. While it is uncertain that the other
+        region is reachable, they are returned together with its last known ones. Where
+        neither has any, those of all reachable regions are returned. Callers who may be
+        served only in the ``allowed`` regions (None: any) are sent to one of these, or
+        to this region, which rejects them, where none of these is reachable.
         """
         links = self.state.links
         if links is None:
             return sorted(own)
-        permitted = self._permitted(links, region, allowed)
+        permitted = self._permitted_region(links, region, allowed)
         if allowed is None or links.local_region in allowed:
-            return self._named(links, permitted, own, allowed)
-        return self._named(links, permitted, (), allowed) or sorted(own)
+            return self._addresses_of(links, permitted, own, allowed)
+        return self._addresses_of(links, permitted, (), allowed) or sorted(own)
 
-    def _named(
+    def _addresses_of(
         self,
         links: region_links.RegionLinks,
         region: ids.RegionName,
         own: abc.Collection[ids.Address],
         allowed: frozenset[ids.RegionName] | None,
     ) -> list[ids.Address]:
-        """Return the addresses of a region, of ``own`` ones or of all that help out."""
+        """Return the addresses of a region, with the fallbacks of ``addresses``."""
         if region not in links.others and own:
             return sorted(own)
         now = self.state.clock.now()
-        lately = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
-        if lately:
-            return lately
-        heard = links.young(now, region_links.LOST_S)
-        last = _addresses(heard, region)
-        if own or last:
-            return sorted({*own, *last})
-        helping = heard.keys() if allowed is None else heard.keys() & allowed
-        return sorted({a for name in helping for a in _addresses(heard, name)})
+        recent = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
+        if recent:
+            return recent
+        reachable = links.young(now, region_links.LOST_S)
+        last_known = _addresses(reachable, region)
+        if own or last_known:
+            return sorted({*own, *last_known})
+        fallback_regions = (
+            reachable.keys() if allowed is None else reachable.keys() & allowed
+        )
+        return sorted(
+            {
+                address
+                for name in fallback_regions
+                for address in _addresses(reachable, name)
+            }
+        )
 
-    def _permitted(
+    def _permitted_region(
         self,
         links: region_links.RegionLinks,
         region: ids.RegionName,
         allowed: frozenset[ids.RegionName] | None,
     ) -> ids.RegionName:
-        """Return the caller's region, this one or one that is heard: an allowed one."""
+        """Return the region to serve a caller in, an allowed one where there is one."""
         if allowed is None:
             return region
-        heard = self.heard() & allowed
-        if region in heard:
+        reachable = self.reachable() & allowed
+        if region in reachable:
             return region
-        if links.local_region in allowed or not heard:
+        if links.local_region in allowed or not reachable:
             return links.local_region
-        return min(heard)
+        return min(reachable)
 
 
 def _addresses(
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -100,8 +100,8 @@
             "gateway/cluster/active_set.REQUESTS_PER_CORE",
             "gateway/cluster/active_set.BYTES_PER_REQUEST",
             "gateway/cluster/active_set.TIER_FACTOR",
-            "gateway/cluster/demand_meter.SPAN_S",
-            "gateway/cluster/demand_meter.SPANS_KEPT",
+            "gateway/cluster/demand_meter.INTERVAL_S",
+            "gateway/cluster/demand_meter.INTERVALS_KEPT",
             "gateway/cluster/demand_meter.REPORTED_CHANGE_SHARE",
         ),
         events=("PEER_SEEN", "PEER_GONE"),
@@ -119,7 +119,7 @@
         question="Which region's gateways callers are sent to",
         functions=(
             "gateway/cluster/region_exchange.RegionExchange.addresses",
-            "gateway/cluster/moved_demand.MovedDemand.expected",
+            "gateway/cluster/failover_demand.FailoverDemand.expected",
             "peers/region_links.RegionLinks.targets",
         ),
         inputs="the caller's region or zone, setting `region_by_zone`, regions that all"
@@ -134,7 +134,7 @@
             "peers/region_links.DOUBTFUL_S",
             "peers/region_links.LOST_S",
             "peers/region_links.MOST_INTRODUCED",
-            "gateway/cluster/moved_demand.EXPECTED_S",
+            "gateway/cluster/failover_demand.EXPECTED_S",
         ),
         events=("REGION_LOST", "REGION_BACK"),
         tests=(
@@ -187,9 +187,9 @@
         constants=(
             "kernel/shared_rate.MIN_WINDOW_REQUESTS",
             "kernel/shared_rate.MAX_TRANSIT_S",
-            "gateway/cluster/fleet_size.MEMORY_S",
+            "gateway/cluster/fleet_size.RETENTION_S",
             "gateway/cluster/quorum.QUORUM_SHARE",
-            "gateway/cluster/load_sharing.COLDNESS_TOLD_S",
+            "gateway/cluster/load_exchange.COLD_END_ANNOUNCED_S",
             "decisions/least_latency.COLD_FACTOR",
         ),
         tests=(
@@ -232,8 +232,8 @@
             "gateway/source/reader_duty.FIRST_PEER_WAIT_S",
             "gateway/source/relay.ANSWERED_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
-            "gateway/cluster/prober.PROBES_PER_WORK",
-            "gateway/cluster/prober.MOST_PERIOD_S",
+            "gateway/cluster/prober.PROBES_PER_SERVICE_TIME",
+            "gateway/cluster/prober.MAX_PERIOD_S",
             "gateway/source/discovery.SETTLE_S",
             "gateway/source/discovery.REWRITE_S",
         ),
@@ -307,7 +307,7 @@
             "gateway/source/leases.Lease.is_same_start",
             "gateway/source/leases.renewed",
             "kernel/upstream_set.UpstreamSet.set_listed",
-            "gateway/cluster/load_sharing.LoadSharing.message_received",
+            "gateway/cluster/load_exchange.LoadExchange.message_received",
         ),
         inputs="the start that its entry tells (Unix ms, or none), state, service, zone"
         " and address; of what peers report: its start, and how old it is (s).",
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -17,7 +17,7 @@
             "kernel/shared_rate.Participant.holders",
             "kernel/shared_rate.Participant.held_since",
             "kernel/shared_rate.Pacer.may_send",
-            "gateway/cluster/limit_news.LimitNews.due",
+            "gateway/cluster/limit_news.LimitAnnouncements.due",
         ),
         inputs="requests a second that the upstream takes, as its answers or peers"
         " said last, active gateways now and a window ago, gateways seen now and"
@@ -34,7 +34,7 @@
             "kernel/named_limit.TRIAL_AFTER_S",
             "kernel/said.RETENTION_S",
             "gateway/cluster/limit_news.REPEAT_S",
-            "gateway/cluster/limit_news.ENDED_TOLD_S",
+            "gateway/cluster/limit_news.END_ANNOUNCED_S",
         ),
         events=("UPSTREAM_LIMITED", "UPSTREAM_LIMIT_ENDED", "SENT_TO_LIMITED"),
         tests=(
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -170,7 +170,7 @@
     ),
     Mutant(
         "a late load record of an earlier start counts",
-        "gateway/cluster/load_sharing",
+        "gateway/cluster/load_exchange",
         "        return at >= upstream.known_since\n    return False",
         "        return at >= upstream.known_since\n    return True",
         held_by="what peers report of another start is not taken in",
@@ -178,8 +178,8 @@
     Mutant(
         "probes of an earlier start go on",
         "gateway/cluster/prober",
-        "return now is None or now.upstream is not before.upstream",
-        "return now is None",
+        "return current is None or current.upstream is not previous.upstream",
+        "return current is None",
         held_by="probes of an earlier start end with it",
     ),
     Mutant(
@@ -262,7 +262,7 @@
     Mutant(
         "the size of the fleet is what is in view",
         "gateway/cluster/fleet_size",
-        "return self._sightings[0].count if self._sightings else self.seen",
+        "return self._samples[0].count if self._samples else self.seen",
         "return self.seen",
         "the size of the fleet is the largest of the last minute",
     ),
@@ -297,8 +297,8 @@
     Mutant(
         "callers are sent to gateways that refuse them for their region",
         "gateway/cluster/region_exchange",
-        "return self._named(links, permitted, (), allowed) or sorted(own)",
-        "return self._named(links, permitted, own, allowed)",
+        "return self._addresses_of(links, permitted, (), allowed) or sorted(own)",
+        "return self._addresses_of(links, permitted, own, allowed)",
         "where an allowed region is lost, such callers are sent to another",
     ),
     Mutant(
@@ -352,8 +352,8 @@
     ),
     Mutant(
         "a lost region's callers are not expected",
-        "gateway/cluster/moved_demand",
-        "needed = _sum([own, _part(_sum(moved), parts)])",
+        "gateway/cluster/failover_demand",
+        "needed = _sum([own, _even_share(_sum(moved), parts)])",
         "needed = own",
         "what a lost region was asked is expected by the others",
     ),
