--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -322,11 +322,11 @@
 
     # A reader of its own may yet be heard, for a while after the start.
     assert hear() == []
-    made.clock.advance(reader_duty.READER_LOST_S + 0.1)
+    made.clock.advance(reader_duty.READER_TIMEOUT_S + 0.1)
     assert hear() == [far.address]
     passing.duty.zone_peer_heard(ids.HostId("near"), made.clock.now(), reads=True)
     assert hear() == []
-    made.clock.advance(reader_duty.READER_LOST_S + 0.1)
+    made.clock.advance(reader_duty.READER_TIMEOUT_S + 0.1)
     one.state.reads_source = True
     assert hear() == []
 
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -20,7 +20,7 @@
 
 #: Seconds without a word of a reader after which the next in turn reads: it has left
 #: two questions unanswered (``relay.ASK_PERIOD_S``); one answer may just get lost.
-READER_LOST_S = 1.0
+READER_TIMEOUT_S = 1.0
 #: Seconds that each further one in the order of duty waits longer: a reading and its
 #: announcement take less than 0.1 s.
 TURN_S = 0.2
@@ -143,7 +143,7 @@
             return False
         if self._is_reading:
             return True
-        wait_s = READER_LOST_S + TURN_S * (min(turn, TURNS) - 1)
+        wait_s = READER_TIMEOUT_S + TURN_S * (min(turn, TURNS) - 1)
         if now - self._reader_heard_at <= wait_s:
             return False
         return turn < TURNS or not self._tried_in_vain(order, now)
@@ -168,4 +168,4 @@
         return heard is not None and heard.reads and not self._is_stale(heard.at, now)
 
     def _is_stale(self, heard_at: ids.Instant, now: ids.Instant) -> bool:
-        return now - heard_at > READER_LOST_S
+        return now - heard_at > READER_TIMEOUT_S
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -223,7 +223,7 @@
         " lease: too many or too few holders for a moment do no harm. While no reader"
         " is heard, the next in the order step in one after the other.",
         constants=(
-            "gateway/source/reader_duty.READER_LOST_S",
+            "gateway/source/reader_duty.READER_TIMEOUT_S",
             "gateway/source/reader_duty.TURN_S",
             "gateway/source/reader_duty.TURNS",
             "gateway/source/reader_duty.TRIED_IN_VAIN",
