--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -81,9 +81,9 @@
 @kernel.PROPERTIES.register("an outage of the source is not met by the whole zone")
 def outage() -> None:
     played = play(lambda host, now: False, everyone, 9.0)
-    assert len(played.callers) <= reader_duty.TURNS, played
+    assert len(played.callers) <= reader_duty.TAKEOVER_CANDIDATES, played
     back = play(lambda host, now: now > 4.5, everyone, 9.0)
-    assert len(back.callers) <= reader_duty.TURNS, back
+    assert len(back.callers) <= reader_duty.TAKEOVER_CANDIDATES, back
     assert back.readers_at_end == {HOSTS[0]}
     assert back.news_at < 4.5 + 2 * STEP_S
 
@@ -94,9 +94,12 @@
         away = set(random.Random(seed).sample(HOSTS, len(HOSTS) // 3))
         played = play(lambda host, now, away=away: host not in away, everyone, 4.0)
         first = next(n for n, host in enumerate(HOSTS) if host not in away)
-        if first < reader_duty.TURNS:
+        if first < reader_duty.TAKEOVER_CANDIDATES:
             assert 0 <= played.news_at <= turn_s(first) + 2 * STEP_S, played
-            assert len(played.callers) <= reader_duty.TURNS, (seed, played)
+            assert len(played.callers) <= reader_duty.TAKEOVER_CANDIDATES, (
+                seed,
+                played,
+            )
             assert played.readers_at_end == {HOSTS[first]}
 
 
@@ -107,5 +110,7 @@
     for size in (1, 3, 12):
         group = HOSTS[-size:]
         played = play(lambda host, now: True, everyone, 3.0, group)
-        assert 0 <= played.news_at <= turn_s(reader_duty.TURNS) + 2 * STEP_S, played
+        assert (
+            0 <= played.news_at <= turn_s(reader_duty.TAKEOVER_CANDIDATES) + 2 * STEP_S
+        ), played
         assert len(played.readers_at_end) >= 1
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -26,7 +26,7 @@
 TURN_S = 0.2
 #: How many step in one after the other; later ones wait as long as the last of
 #: them, so that a group cut off from all of these reads within 1.8 s.
-TURNS = 5
+TAKEOVER_CANDIDATES = 5
 #: How many that were heard lately must have had their turn in vain for the others
 #: to leave the source alone. Where it turns a third of the hosts away, the first
 #: four are among them once in 80 times.
@@ -128,7 +128,7 @@
         reading = [host for host in self._heard_by_host if self._reads(host, now)]
         if reading:
             return [*first, reading[0]]
-        next_ones = others[1 : TURNS + 1]
+        next_ones = others[1 : TAKEOVER_CANDIDATES + 1]
         if not next_ones:
             return first
         self._asked += 1
@@ -143,10 +143,10 @@
             return False
         if self._is_reading:
             return True
-        wait_s = READER_TIMEOUT_S + TURN_S * (min(turn, TURNS) - 1)
+        wait_s = READER_TIMEOUT_S + TURN_S * (min(turn, TAKEOVER_CANDIDATES) - 1)
         if now - self._reader_heard_at <= wait_s:
             return False
-        return turn < TURNS or not self._tried_in_vain(order, now)
+        return turn < TAKEOVER_CANDIDATES or not self._tried_in_vain(order, now)
 
     def _turn(self, order: abc.Sequence[ids.HostId]) -> int:
         """Return this gateway's place in the order; the last one where it has none."""
@@ -157,7 +157,7 @@
     def _tried_in_vain(self, order: abc.Sequence[ids.HostId], now: ids.Instant) -> bool:
         heard = [
             host
-            for host in order[:TURNS]
+            for host in order[:TAKEOVER_CANDIDATES]
             if host in self._heard_by_host
             and now - self._heard_by_host[host].at <= IN_VAIN_KEPT_S
         ]
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -225,7 +225,7 @@
         constants=(
             "gateway/source/reader_duty.READER_TIMEOUT_S",
             "gateway/source/reader_duty.TURN_S",
-            "gateway/source/reader_duty.TURNS",
+            "gateway/source/reader_duty.TAKEOVER_CANDIDATES",
             "gateway/source/reader_duty.TRIED_IN_VAIN",
             "gateway/source/reader_duty.IN_VAIN_KEPT_S",
             "gateway/source/relay.ASK_PERIOD_S",
