--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -70,7 +70,7 @@
 
 def turn_s(turn: int) -> float:
     """Return after how many seconds of silence a gateway's turn has come."""
-    return reader_duty.READER_TIMEOUT_S + reader_duty.TURN_S * (turn - 1)
+    return reader_duty.READER_TIMEOUT_S + reader_duty.TAKEOVER_STEP_S * (turn - 1)
 
 
 def everyone(one: ids.HostId, other: ids.HostId) -> bool:
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -23,7 +23,7 @@
 READER_TIMEOUT_S = 1.0
 #: Seconds that each further one in the order of duty waits longer: a reading and its
 #: announcement take less than 0.1 s.
-TURN_S = 0.2
+TAKEOVER_STEP_S = 0.2
 #: How many step in one after the other; later ones wait as long as the last of
 #: them, so that a group cut off from all of these reads within 1.8 s.
 TAKEOVER_CANDIDATES = 5
@@ -143,7 +143,9 @@
             return False
         if self._is_reading:
             return True
-        wait_s = READER_TIMEOUT_S + TURN_S * (min(turn, TAKEOVER_CANDIDATES) - 1)
+        wait_s = READER_TIMEOUT_S + TAKEOVER_STEP_S * (
+            min(turn, TAKEOVER_CANDIDATES) - 1
+        )
         if now - self._reader_heard_at <= wait_s:
             return False
         return turn < TAKEOVER_CANDIDATES or not self._tried_in_vain(order, now)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -224,7 +224,7 @@
         " is heard, the next in the order step in one after the other.",
         constants=(
             "gateway/source/reader_duty.READER_TIMEOUT_S",
-            "gateway/source/reader_duty.TURN_S",
+            "gateway/source/reader_duty.TAKEOVER_STEP_S",
             "gateway/source/reader_duty.TAKEOVER_CANDIDATES",
             "gateway/source/reader_duty.TRIED_IN_VAIN",
             "gateway/source/reader_duty.IN_VAIN_KEPT_S",
