--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -30,7 +30,7 @@
 #: How many that were heard lately must have had their turn in vain for the others
 #: to leave the source alone. Where it turns a third of the hosts away, the first
 #: four are among them once in 80 times.
-TRIED_IN_VAIN = 4
+MIN_FAILED_TAKEOVERS = 4
 #: Seconds for which they count as heard: all of them are asked in turn meanwhile.
 IN_VAIN_KEPT_S = 2.5
 
@@ -163,7 +163,7 @@
             if host in self._heard_by_host
             and now - self._heard_by_host[host].at <= IN_VAIN_KEPT_S
         ]
-        return len(heard) >= TRIED_IN_VAIN
+        return len(heard) >= MIN_FAILED_TAKEOVERS
 
     def _reads(self, host: ids.HostId, now: ids.Instant) -> bool:
         heard = self._heard_by_host.get(host)
