--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -148,7 +148,7 @@
         )
         if now - self._reader_heard_at <= wait_s:
             return False
-        return turn < TAKEOVER_CANDIDATES or not self._tried_in_vain(order, now)
+        return turn < TAKEOVER_CANDIDATES or not self._have_takeovers_failed(order, now)
 
     def _turn(self, order: abc.Sequence[ids.HostId]) -> int:
         """Return this gateway's place in the order; the last one where it has none."""
@@ -156,7 +156,9 @@
             return order.index(self.local_host)
         return len(order)
 
-    def _tried_in_vain(self, order: abc.Sequence[ids.HostId], now: ids.Instant) -> bool:
+    def _have_takeovers_failed(
+        self, order: abc.Sequence[ids.HostId], now: ids.Instant
+    ) -> bool:
         heard = [
             host
             for host in order[:TAKEOVER_CANDIDATES]
