--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -32,7 +32,7 @@
 #: four are among them once in 80 times.
 MIN_FAILED_TAKEOVERS = 4
 #: Seconds for which they count as heard: all of them are asked in turn meanwhile.
-IN_VAIN_KEPT_S = 2.5
+FAILED_TAKEOVER_WINDOW_S = 2.5
 
 
 #: How long a starting gateway waits on average for a peer that has read already, at
@@ -163,7 +163,7 @@
             host
             for host in order[:TAKEOVER_CANDIDATES]
             if host in self._heard_by_host
-            and now - self._heard_by_host[host].at <= IN_VAIN_KEPT_S
+            and now - self._heard_by_host[host].at <= FAILED_TAKEOVER_WINDOW_S
         ]
         return len(heard) >= MIN_FAILED_TAKEOVERS
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -227,7 +227,7 @@
             "gateway/source/reader_duty.TAKEOVER_STEP_S",
             "gateway/source/reader_duty.TAKEOVER_CANDIDATES",
             "gateway/source/reader_duty.MIN_FAILED_TAKEOVERS",
-            "gateway/source/reader_duty.IN_VAIN_KEPT_S",
+            "gateway/source/reader_duty.FAILED_TAKEOVER_WINDOW_S",
             "gateway/source/relay.ASK_PERIOD_S",
             "gateway/source/reader_duty.FIRST_PEER_WAIT_S",
             "gateway/source/relay.ANSWERED_WAIT_S",
