--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -41,7 +41,7 @@
 FIRST_PEER_WAIT_S = 0.2
 #: Power of the number of cores by which stronger hosts wait less:
 #: hosts of 2.15 cores wait 0.04 s on average, about a reading.
-STRENGTH_POWER = 2
+CORES_EXPONENT = 2
 
 
 def first_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
@@ -56,7 +56,7 @@
     same time; shorter on a host of more than one core, ``cores``, which is up before
     the weaker ones and sooner among the active.
     """
-    mean_s = max(FIRST_PEER_WAIT_S, start_took_s) / max(1.0, cores) ** STRENGTH_POWER
+    mean_s = max(FIRST_PEER_WAIT_S, start_took_s) / max(1.0, cores) ** CORES_EXPONENT
     return 2.0 * mean_s * active_set.precedence(local_host)
 
 
