--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -55,8 +55,8 @@
         active_set.Candidate(host, ids.ZoneName("a"), capacity) for host in hosts
     ]
     ordered = [one.host for one in active_set.rank(candidates, 1).ordered]
-    waits = [reader_duty.first_wait_s(host, 0.0, 1.0) for host in ordered]
-    strong = [reader_duty.first_wait_s(host, 0.0, 2.0) for host in ordered]
+    waits = [reader_duty.start_wait_s(host, 0.0, 1.0) for host in ordered]
+    strong = [reader_duty.start_wait_s(host, 0.0, 2.0) for host in ordered]
     assert max(strong) <= max(waits) / 4 + 1e-9
     assert waits == sorted(waits)
     assert waits[2] < 0.02
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -44,7 +44,7 @@
 CORES_EXPONENT = 2
 
 
-def first_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
+def start_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
     """
     Return for how long a gateway that starts waits for a peer that has read.
 
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -63,7 +63,7 @@
             link, self._receive, self.tasks
         )
         self.started_at = gateway_state.started_at
-        self.first_peer_wait_s = reader_duty.first_wait_s(
+        self.first_peer_wait_s = reader_duty.start_wait_s(
             gateway_state.config.host, start_took_s, gateway_state.config.cores
         )
         self._announce_rounds = 0
@@ -107,7 +107,7 @@
         Tell whether a peer may yet spare this gateway's first reading.
 
         Seeds do not wait: somebody has to read first. The others wait in turn
-        (``reader_duty.first_wait_s``), and longer once a peer has answered, which may
+        (``reader_duty.start_wait_s``), and longer once a peer has answered, which may
         soon have read.
         """
         config = self.state.config
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -88,9 +88,9 @@
         ``OFF_DUTY_S`` only, a fleet that had lost power served its first request 0.2 s
         later than it could.
         """
-        first_wait_s = self.publisher.first_wait_left_s()
-        if 0.0 < first_wait_s < OFF_DUTY_S:
-            await asyncio.sleep(first_wait_s)
+        start_wait_s = self.publisher.first_wait_left_s()
+        if 0.0 < start_wait_s < OFF_DUTY_S:
+            await asyncio.sleep(start_wait_s)
         else:
             await self.state.wakeups.sleep(OFF_DUTY_S)
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -214,7 +214,7 @@
             "gateway/cluster/duties.probers",
             "gateway/cluster/duties.is_prober",
             "gateway/source/reader_duty.ReaderDuty.must_read",
-            "gateway/source/reader_duty.first_wait_s",
+            "gateway/source/reader_duty.start_wait_s",
             "gateway/source/discovery.DiscoveryWriter.due",
         ),
         inputs="ready gateways by zone, which of them are active, when the zone's"
