--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -92,7 +92,7 @@
         """Return for how many seconds yet a peer may spare the first reading."""
         if not self._awaits_first_peer():
             return 0.0
-        return self.started_at + self._first_wait_s() - self.state.clock.now()
+        return self.started_at + self._start_wait_s() - self.state.clock.now()
 
     def is_reader(self) -> bool:
         """Tell whether reading for its zone is this gateway's duty."""
@@ -115,9 +115,9 @@
             return False
         if self.state.ready:
             return False
-        return self.state.clock.now() - self.started_at < self._first_wait_s()
+        return self.state.clock.now() - self.started_at < self._start_wait_s()
 
-    def _first_wait_s(self) -> float:
+    def _start_wait_s(self) -> float:
         """Return for how long after its start this gateway waits for a peer."""
         if self.duty.has_heard_peer:
             return max(self.first_peer_wait_s, ANSWERED_WAIT_S)
