--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -68,17 +68,17 @@
 def first_reading() -> None:
     state, passing = started_gateway.gateway(started_gateway.SEED)
     assert isinstance(state.clock, clock.ManualClock)
-    left_s = passing.first_wait_left_s()
+    left_s = passing.start_wait_left_s()
     assert abs(left_s - passing.first_peer_wait_s) < 1e-9
     state.clock.advance(left_s / 2)
-    assert abs(passing.first_wait_left_s() - left_s / 2) < 1e-9
+    assert abs(passing.start_wait_left_s() - left_s / 2) < 1e-9
     state.clock.advance(left_s)
-    assert passing.first_wait_left_s() == 0.0
+    assert passing.start_wait_left_s() == 0.0
     assert passing.must_read()
     state, answered = started_gateway.gateway(started_gateway.SEED)
     started_gateway.peer(state, "p", messages.Status.STARTING)
     started_gateway.heard(state, answered, "p", reads=False)
-    assert answered.first_wait_left_s() == relay.ANSWERED_WAIT_S
+    assert answered.start_wait_left_s() == relay.ANSWERED_WAIT_S
 
     async def waits() -> float:
         reader = source_reader.SourceReader(state, typing.cast(typing.Any, None), quick)
@@ -88,7 +88,7 @@
         return loop.time() - begun_at
 
     quick = typing.cast(
-        typing.Any, types.SimpleNamespace(first_wait_left_s=lambda: 0.001)
+        typing.Any, types.SimpleNamespace(start_wait_left_s=lambda: 0.001)
     )
     assert asyncio.run(waits()) < source_reader.OFF_DUTY_S / 2
 
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -88,7 +88,7 @@
             return False
         return self.duty.must_read(self.fleet.readers(), self.state.clock.now())
 
-    def first_wait_left_s(self) -> float:
+    def start_wait_left_s(self) -> float:
         """Return for how many seconds yet a peer may spare the first reading."""
         if not self._awaits_first_peer():
             return 0.0
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -35,7 +35,7 @@
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
 
-    def first_wait_left_s(self) -> float:
+    def start_wait_left_s(self) -> float:
         """Return for how many seconds yet a peer may spare the first reading."""
 
     def reading_began(self) -> None:
@@ -88,7 +88,7 @@
         ``OFF_DUTY_S`` only, a fleet that had lost power served its first request 0.2 s
         later than it could.
         """
-        start_wait_s = self.publisher.first_wait_left_s()
+        start_wait_s = self.publisher.start_wait_left_s()
         if 0.0 < start_wait_s < OFF_DUTY_S:
             await asyncio.sleep(start_wait_s)
         else:
