--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -62,7 +62,7 @@
     return 2.0 * mean_s * active_set.precedence(local_host)
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _LastMessage(msgspec.Struct, frozen=True):
     """The last message of a gateway: when it came, and whether that one reads."""
 
     at: ids.Instant
@@ -79,7 +79,7 @@
 
     def __init__(self, local_host: ids.HostId, started_at: ids.Instant) -> None:
         self.local_host = local_host
-        self._heard_by_host: dict[ids.HostId, _Heard] = {}
+        self._heard_by_host: dict[ids.HostId, _LastMessage] = {}
         self._peer_heard_at = ids.Instant(float("-inf"))
         self._reader_heard_at = started_at
         self._is_reading = False
@@ -102,7 +102,7 @@
         self, host: ids.HostId, now: ids.Instant, *, reads: bool
     ) -> None:
         """Note a message of a gateway of this zone, and whether it reads."""
-        self._heard_by_host[host] = _Heard(now, reads)
+        self._heard_by_host[host] = _LastMessage(now, reads)
         if reads:
             self._reader_heard_at = now
 
