--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -137,7 +137,7 @@
         return [*first, next_ones[self._asked % len(next_ones)]]
 
     def _decide(self, order: abc.Sequence[ids.HostId], now: ids.Instant) -> bool:
-        turn = self._turn(order)
+        turn = self._rank(order)
         is_alone = self._is_stale(self._peer_heard_at, now)
         if turn == 0 or is_alone:
             return True
@@ -152,7 +152,7 @@
             return False
         return turn < TAKEOVER_CANDIDATES or not self._have_takeovers_failed(order, now)
 
-    def _turn(self, order: abc.Sequence[ids.HostId]) -> int:
+    def _rank(self, order: abc.Sequence[ids.HostId]) -> int:
         """Return this gateway's place in the order; the last one where it has none."""
         if self.local_host in order:
             return order.index(self.local_host)
