--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -137,20 +137,20 @@
         return [*first, next_ones[self._asked % len(next_ones)]]
 
     def _decide(self, order: abc.Sequence[ids.HostId], now: ids.Instant) -> bool:
-        turn = self._rank(order)
+        rank = self._rank(order)
         is_alone = self._is_stale(self._peer_heard_at, now)
-        if turn == 0 or is_alone:
+        if rank == 0 or is_alone:
             return True
-        if any(self._reads(host, now) for host in order[:turn]):
+        if any(self._reads(host, now) for host in order[:rank]):
             return False
         if self._is_reading:
             return True
         wait_s = READER_TIMEOUT_S + TAKEOVER_STEP_S * (
-            min(turn, TAKEOVER_CANDIDATES) - 1
+            min(rank, TAKEOVER_CANDIDATES) - 1
         )
         if now - self._reader_heard_at <= wait_s:
             return False
-        return turn < TAKEOVER_CANDIDATES or not self._have_takeovers_failed(order, now)
+        return rank < TAKEOVER_CANDIDATES or not self._have_takeovers_failed(order, now)
 
     def _rank(self, order: abc.Sequence[ids.HostId]) -> int:
         """Return this gateway's place in the order; the last one where it has none."""
