--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -58,7 +58,7 @@
         for host in hosts:
             if now >= ask_at[host]:
                 ask_at[host] = now + relay.ASK_PERIOD_S
-                for asked in duties[host].whom_to_ask(HOSTS, now):
+                for asked in duties[host].poll_targets(HOSTS, now):
                     if asked in duties and reach(host, asked):
                         duties[host].peer_heard(now)
                         duties[host].zone_peer_heard(asked, now, reads=asked in reads)
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -115,7 +115,7 @@
         self._is_reading = self._decide(order, now)
         return self._is_reading
 
-    def whom_to_ask(
+    def poll_targets(
         self, order: abc.Sequence[ids.HostId], now: ids.Instant
     ) -> list[ids.HostId]:
         """
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -128,7 +128,7 @@
         known_by_host = self.state.gossip.known_by_host
         return [
             known_by_host[host].record.peer_address
-            for host in self.duty.whom_to_ask(order, self.state.clock.now())
+            for host in self.duty.poll_targets(order, self.state.clock.now())
             if host in known_by_host
         ]
 
