--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -74,7 +74,7 @@
     async def run(self) -> None:
         """Ask whoever reads for the zone for newer documents until cancelled."""
         while True:
-            targets = self._addresses_to_ask()
+            targets = self._poll_addresses()
             if targets:
                 message = self.state.gossip.compose(wants_reply=True)
                 self.link.send(message, targets)
@@ -123,7 +123,7 @@
             return max(self.first_peer_wait_s, ANSWERED_WAIT_S)
         return self.first_peer_wait_s
 
-    def _addresses_to_ask(self) -> list[ids.Address]:
+    def _poll_addresses(self) -> list[ids.Address]:
         order = self.fleet.readers()
         known_by_host = self.state.gossip.known_by_host
         return [
