--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -41,7 +41,7 @@
         duty.peer_heard(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
             duty.zone_peer_heard(HOSTS[0], ids.Instant(0.0), reads=True)
-    ask_at = {host: rng.uniform(0, relay.ASK_PERIOD_S) for host in hosts}
+    ask_at = {host: rng.uniform(0, relay.POLL_PERIOD_S) for host in hosts}
     played = Played(set(), set(), -1.0)
     reads: set[ids.HostId] = set()
     for step in range(1, int(end_s / STEP_S)):
@@ -57,7 +57,7 @@
                     duties[host].zone_peer_heard(reader, now, reads=True)
         for host in hosts:
             if now >= ask_at[host]:
-                ask_at[host] = now + relay.ASK_PERIOD_S
+                ask_at[host] = now + relay.POLL_PERIOD_S
                 for asked in duties[host].poll_targets(HOSTS, now):
                     if asked in duties and reach(host, asked):
                         duties[host].peer_heard(now)
--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -12,7 +12,7 @@
     source_reader.OFF_DUTY_S,
     prober.MATCH_PERIOD_S,
     load_sharing.IDLE_PERIOD_S,
-    relay.ASK_PERIOD_S,
+    relay.POLL_PERIOD_S,
     state.GOSSIP_TIMING.period_s,
     discovery.LOOK_PERIOD_S,
 )
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -27,7 +27,7 @@
 )
 
 #: Time between two questions to the zone's reader; every second instant of ``wakeups``.
-ASK_PERIOD_S = 0.4
+POLL_PERIOD_S = 0.4
 #: How long it waits where peers answer, but none has read yet. They are asked ten times
 #: meanwhile (``membership.FIRST_PAUSE_S``).
 ANSWERED_WAIT_S = 1.0
@@ -78,7 +78,7 @@
             if targets:
                 message = self.state.gossip.compose(wants_reply=True)
                 self.link.send(message, targets)
-            await self.state.wakeups.sleep(ASK_PERIOD_S)
+            await self.state.wakeups.sleep(POLL_PERIOD_S)
 
     # Who reads
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -228,7 +228,7 @@
             "gateway/source/reader_duty.TAKEOVER_CANDIDATES",
             "gateway/source/reader_duty.MIN_FAILED_TAKEOVERS",
             "gateway/source/reader_duty.FAILED_TAKEOVER_WINDOW_S",
-            "gateway/source/relay.ASK_PERIOD_S",
+            "gateway/source/relay.POLL_PERIOD_S",
             "gateway/source/reader_duty.MIN_MEAN_START_WAIT_S",
             "gateway/source/relay.ANSWERED_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
