--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -79,7 +79,7 @@
 
     def __init__(self, local_host: ids.HostId, started_at: ids.Instant) -> None:
         self.local_host = local_host
-        self._heard_by_host: dict[ids.HostId, _LastMessage] = {}
+        self._message_by_host: dict[ids.HostId, _LastMessage] = {}
         self._peer_heard_at = ids.Instant(float("-inf"))
         self._reader_heard_at = started_at
         self._is_reading = False
@@ -102,7 +102,7 @@
         self, host: ids.HostId, now: ids.Instant, *, reads: bool
     ) -> None:
         """Note a message of a gateway of this zone, and whether it reads."""
-        self._heard_by_host[host] = _LastMessage(now, reads)
+        self._message_by_host[host] = _LastMessage(now, reads)
         if reads:
             self._reader_heard_at = now
 
@@ -127,7 +127,7 @@
         first = others[:1]
         if not first or self._reads(first[0], now):
             return first
-        reading = [host for host in self._heard_by_host if self._reads(host, now)]
+        reading = [host for host in self._message_by_host if self._reads(host, now)]
         if reading:
             return [*first, reading[0]]
         next_ones = others[1 : TAKEOVER_CANDIDATES + 1]
@@ -164,13 +164,13 @@
         heard = [
             host
             for host in order[:TAKEOVER_CANDIDATES]
-            if host in self._heard_by_host
-            and now - self._heard_by_host[host].at <= FAILED_TAKEOVER_WINDOW_S
+            if host in self._message_by_host
+            and now - self._message_by_host[host].at <= FAILED_TAKEOVER_WINDOW_S
         ]
         return len(heard) >= MIN_FAILED_TAKEOVERS
 
     def _reads(self, host: ids.HostId, now: ids.Instant) -> bool:
-        heard = self._heard_by_host.get(host)
+        heard = self._message_by_host.get(host)
         return heard is not None and heard.reads and not self._is_stale(heard.at, now)
 
     def _is_stale(self, heard_at: ids.Instant, now: ids.Instant) -> bool:
