--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -38,7 +38,7 @@
     rng = random.Random(1)
     duties = {host: reader_duty.ReaderDuty(host, ids.Instant(0.0)) for host in hosts}
     for host, duty in duties.items():
-        duty.peer_heard(ids.Instant(0.0))
+        duty.note_peer(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
             duty.zone_peer_heard(HOSTS[0], ids.Instant(0.0), reads=True)
     ask_at = {host: rng.uniform(0, relay.POLL_PERIOD_S) for host in hosts}
@@ -53,14 +53,14 @@
         for reader in began:
             for host in hosts:
                 if host != reader and reach(host, reader):
-                    duties[host].peer_heard(now)
+                    duties[host].note_peer(now)
                     duties[host].zone_peer_heard(reader, now, reads=True)
         for host in hosts:
             if now >= ask_at[host]:
                 ask_at[host] = now + relay.POLL_PERIOD_S
                 for asked in duties[host].poll_targets(HOSTS, now):
                     if asked in duties and reach(host, asked):
-                        duties[host].peer_heard(now)
+                        duties[host].note_peer(now)
                         duties[host].zone_peer_heard(asked, now, reads=asked in reads)
         if reads and played.news_at < 0:
             played.news_at = now
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -94,7 +94,7 @@
         """Tell whether no reader was heard lately, so that other regions know more."""
         return self._is_stale(self._reader_heard_at, now)
 
-    def peer_heard(self, now: ids.Instant) -> None:
+    def note_peer(self, now: ids.Instant) -> None:
         """Note a message of any gateway of the fleet."""
         self._peer_heard_at = now
 
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -240,7 +240,7 @@
         """Note whether the sender reads; fetch documents that are newer there."""
         sender = message.sender
         now = self.state.clock.now()
-        self.duty.peer_heard(now)
+        self.duty.note_peer(now)
         if self.fleet.shares_reader(sender.zone):
             self.duty.zone_peer_heard(sender.host, now, reads=message.reads_source)
         if not self.state.is_far(sender.zone) or (
