--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -40,7 +40,7 @@
     for host, duty in duties.items():
         duty.note_peer(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
-            duty.zone_peer_heard(HOSTS[0], ids.Instant(0.0), reads=True)
+            duty.note_zone_peer(HOSTS[0], ids.Instant(0.0), reads=True)
     ask_at = {host: rng.uniform(0, relay.POLL_PERIOD_S) for host in hosts}
     played = Played(set(), set(), -1.0)
     reads: set[ids.HostId] = set()
@@ -54,14 +54,14 @@
             for host in hosts:
                 if host != reader and reach(host, reader):
                     duties[host].note_peer(now)
-                    duties[host].zone_peer_heard(reader, now, reads=True)
+                    duties[host].note_zone_peer(reader, now, reads=True)
         for host in hosts:
             if now >= ask_at[host]:
                 ask_at[host] = now + relay.POLL_PERIOD_S
                 for asked in duties[host].poll_targets(HOSTS, now):
                     if asked in duties and reach(host, asked):
                         duties[host].note_peer(now)
-                        duties[host].zone_peer_heard(asked, now, reads=asked in reads)
+                        duties[host].note_zone_peer(asked, now, reads=asked in reads)
         if reads and played.news_at < 0:
             played.news_at = now
     played.readers_at_end = reads
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -98,7 +98,7 @@
         """Note a message of any gateway of the fleet."""
         self._peer_heard_at = now
 
-    def zone_peer_heard(
+    def note_zone_peer(
         self, host: ids.HostId, now: ids.Instant, *, reads: bool
     ) -> None:
         """Note a message of a gateway of this zone, and whether it reads."""
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -242,7 +242,7 @@
         now = self.state.clock.now()
         self.duty.note_peer(now)
         if self.fleet.shares_reader(sender.zone):
-            self.duty.zone_peer_heard(sender.host, now, reads=message.reads_source)
+            self.duty.note_zone_peer(sender.host, now, reads=message.reads_source)
         if not self.state.is_far(sender.zone) or (
             self.duty.lacks_reader(now) and not self.state.reads_source
         ):
