--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -41,7 +41,7 @@
     assert isinstance(state.clock, clock.ManualClock)
     started_gateway.peer(state, "p", messages.Status.STARTING)
     started_gateway.heard(state, answered, "p", reads=False)
-    state.clock.advance(relay.ANSWERED_WAIT_S - 0.01)
+    state.clock.advance(relay.ANSWERED_START_WAIT_S - 0.01)
     assert not answered.must_read()
     state.clock.advance(1.0)
     assert answered.must_read()
@@ -78,7 +78,7 @@
     state, answered = started_gateway.gateway(started_gateway.SEED)
     started_gateway.peer(state, "p", messages.Status.STARTING)
     started_gateway.heard(state, answered, "p", reads=False)
-    assert answered.start_wait_left_s() == relay.ANSWERED_WAIT_S
+    assert answered.start_wait_left_s() == relay.ANSWERED_START_WAIT_S
 
     async def waits() -> float:
         reader = source_reader.SourceReader(state, typing.cast(typing.Any, None), quick)
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -30,7 +30,7 @@
 POLL_PERIOD_S = 0.4
 #: How long it waits where peers answer, but none has read yet. They are asked ten times
 #: meanwhile (``membership.FIRST_PAUSE_S``).
-ANSWERED_WAIT_S = 1.0
+ANSWERED_START_WAIT_S = 1.0
 #: How many times, and how far apart in seconds, a reader announces a new document at
 #: once.
 ANNOUNCE_ROUNDS = 2
@@ -120,7 +120,7 @@
     def _start_wait_s(self) -> float:
         """Return for how long after its start this gateway waits for a peer."""
         if self.duty.has_heard_peer:
-            return max(self.first_peer_wait_s, ANSWERED_WAIT_S)
+            return max(self.first_peer_wait_s, ANSWERED_START_WAIT_S)
         return self.first_peer_wait_s
 
     def _poll_addresses(self) -> list[ids.Address]:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -230,7 +230,7 @@
             "gateway/source/reader_duty.FAILED_TAKEOVER_WINDOW_S",
             "gateway/source/relay.POLL_PERIOD_S",
             "gateway/source/reader_duty.MIN_MEAN_START_WAIT_S",
-            "gateway/source/relay.ANSWERED_WAIT_S",
+            "gateway/source/relay.ANSWERED_START_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
             "gateway/cluster/prober.PROBES_PER_WORK",
             "gateway/cluster/prober.MOST_PERIOD_S",
