--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -98,7 +98,7 @@
         """Tell whether reading for its zone is this gateway's duty."""
         return self.fleet.readers()[:1] == [self.state.config.host]
 
-    def reading_began(self) -> None:
+    def announce_reading(self) -> None:
         """Let the zone know that this gateway reads the source from now on."""
         self._begin_announcing()
 
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -38,7 +38,7 @@
     def start_wait_left_s(self) -> float:
         """Return for how many seconds yet a peer may spare the first reading."""
 
-    def reading_began(self) -> None:
+    def announce_reading(self) -> None:
         """Let the zone know that this gateway reads the source from now on."""
 
     def publish(self, revision: int, era: int | None) -> None:
@@ -100,7 +100,7 @@
         begins = fault is None and not self.state.reads_source
         self.state.reads_source = fault is None
         if begins:
-            self.publisher.reading_began()
+            self.publisher.announce_reading()
         if fault is None:
             self._backoff.reset()
             self._report(lost=False, reason="")
