--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -36,7 +36,9 @@
 ) -> Played:
     """Let ``hosts`` run from a moment at which all have just heard the first one."""
     rng = random.Random(1)
-    duties = {host: reader_duty.ReaderDuty(host, ids.Instant(0.0)) for host in hosts}
+    duties = {
+        host: reader_duty.ReaderElection(host, ids.Instant(0.0)) for host in hosts
+    }
     for host, duty in duties.items():
         duty.note_peer(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -69,7 +69,7 @@
     reads: bool
 
 
-class ReaderDuty:
+class ReaderElection:
     """
     Decides whether this gateway reads the source.
 
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -69,7 +69,9 @@
         self._announce_rounds = 0
         self._is_announcing = False
         self._last_era: int | None = None
-        self.duty = reader_duty.ReaderDuty(gateway_state.config.host, self.started_at)
+        self.duty = reader_duty.ReaderElection(
+            gateway_state.config.host, self.started_at
+        )
 
     async def run(self) -> None:
         """Ask whoever reads for the zone for newer documents until cancelled."""
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -213,7 +213,7 @@
             "gateway/cluster/duties.readers",
             "gateway/cluster/duties.probers",
             "gateway/cluster/duties.is_prober",
-            "gateway/source/reader_duty.ReaderDuty.must_read",
+            "gateway/source/reader_duty.ReaderElection.must_read",
             "gateway/source/reader_duty.start_wait_s",
             "gateway/source/discovery.DiscoveryWriter.due",
         ),
