--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -39,10 +39,10 @@
     duties = {
         host: reader_duty.ReaderElection(host, ids.Instant(0.0)) for host in hosts
     }
-    for host, duty in duties.items():
-        duty.note_peer(ids.Instant(0.0))
+    for host, election in duties.items():
+        election.note_peer(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
-            duty.note_zone_peer(HOSTS[0], ids.Instant(0.0), reads=True)
+            election.note_zone_peer(HOSTS[0], ids.Instant(0.0), reads=True)
     ask_at = {host: rng.uniform(0, relay.POLL_PERIOD_S) for host in hosts}
     played = Played(set(), set(), -1.0)
     reads: set[ids.HostId] = set()
--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -324,7 +324,7 @@
     assert hear() == []
     made.clock.advance(reader_duty.READER_TIMEOUT_S + 0.1)
     assert hear() == [far.address]
-    passing.duty.note_zone_peer(ids.HostId("near"), made.clock.now(), reads=True)
+    passing.election.note_zone_peer(ids.HostId("near"), made.clock.now(), reads=True)
     assert hear() == []
     made.clock.advance(reader_duty.READER_TIMEOUT_S + 0.1)
     one.state.reads_source = True
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -69,7 +69,7 @@
         self._announce_rounds = 0
         self._is_announcing = False
         self._last_era: int | None = None
-        self.duty = reader_duty.ReaderElection(
+        self.election = reader_duty.ReaderElection(
             gateway_state.config.host, self.started_at
         )
 
@@ -88,7 +88,7 @@
         """Tell whether this gateway has to read the source itself."""
         if self._awaits_first_peer():
             return False
-        return self.duty.must_read(self.fleet.readers(), self.state.clock.now())
+        return self.election.must_read(self.fleet.readers(), self.state.clock.now())
 
     def start_wait_left_s(self) -> float:
         """Return for how many seconds yet a peer may spare the first reading."""
@@ -121,7 +121,7 @@
 
     def _start_wait_s(self) -> float:
         """Return for how long after its start this gateway waits for a peer."""
-        if self.duty.has_heard_peer:
+        if self.election.has_heard_peer:
             return max(self.first_peer_wait_s, ANSWERED_START_WAIT_S)
         return self.first_peer_wait_s
 
@@ -130,7 +130,7 @@
         known_by_host = self.state.gossip.known_by_host
         return [
             known_by_host[host].record.peer_address
-            for host in self.duty.poll_targets(order, self.state.clock.now())
+            for host in self.election.poll_targets(order, self.state.clock.now())
             if host in known_by_host
         ]
 
@@ -242,11 +242,11 @@
         """Note whether the sender reads; fetch documents that are newer there."""
         sender = message.sender
         now = self.state.clock.now()
-        self.duty.note_peer(now)
+        self.election.note_peer(now)
         if self.fleet.shares_reader(sender.zone):
-            self.duty.note_zone_peer(sender.host, now, reads=message.reads_source)
+            self.election.note_zone_peer(sender.host, now, reads=message.reads_source)
         if not self.state.is_far(sender.zone) or (
-            self.duty.lacks_reader(now) and not self.state.reads_source
+            self.election.lacks_reader(now) and not self.state.reads_source
         ):
             self.exchange.fetch(sender.peer_address, handled.newer)
 
