--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -17,7 +17,7 @@
 
 #: Longest wait of one call; also bounds how long a lost answer goes unseen. A longer
 #: wait costs fewer calls.
-WAIT_S = 2.4
+FOLLOW_TIMEOUT_S = 2.4
 #: Changes within this time of each other are fetched by one call. Docs/CAPACITY.md,
 #: "The gateway on the grown site", has the calls.
 GATHER_S = 0.1
@@ -137,7 +137,7 @@
 
     async def _follow(self, after: int) -> sources.SourceFault | None:
         self.state.metrics.store_calls.labels("follow").inc()
-        changes = await self.source.follow(after, WAIT_S)
+        changes = await self.source.follow(after, FOLLOW_TIMEOUT_S)
         if isinstance(changes, sources.SourceFault):
             return changes
         if changes.era != self.era:
