--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -20,7 +20,7 @@
 FOLLOW_TIMEOUT_S = 2.4
 #: Changes within this time of each other are fetched by one call. Docs/CAPACITY.md,
 #: "The gateway on the grown site", has the calls.
-GATHER_S = 0.1
+BATCH_WINDOW_S = 0.1
 #: Time between two looks whether this gateway must read: most of a fleet need not,
 #: and idle loops take processor time.
 OFF_DUTY_S = 0.2
@@ -146,7 +146,7 @@
         self.revision = max(after, changes.revision)
         if self.state.apply_changes(changes):
             self.publisher.publish(changes.revision, changes.era)
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_WINDOW_S)
         return None
 
     def _report(self, *, lost: bool, reason: str) -> None:
