--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -84,7 +84,7 @@
         reader = source_reader.SourceReader(state, typing.cast(typing.Any, None), quick)
         loop = asyncio.get_running_loop()
         begun_at = loop.time()
-        await reader._wait_off_duty()
+        await reader._wait_on_standby()
         return loop.time() - begun_at
 
     quick = typing.cast(
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -78,9 +78,9 @@
                 # What changes meanwhile comes from peers.
                 self.state.reads_source = False
                 self.revision = None
-                await self._wait_off_duty()
+                await self._wait_on_standby()
 
-    async def _wait_off_duty(self) -> None:
+    async def _wait_on_standby(self) -> None:
         """
         Wait until it may be this gateway's duty to read.
 
