--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -25,7 +25,7 @@
 #: and idle loops take processor time.
 OFF_DUTY_S = 0.2
 #: Bounds of the wait after a call that failed.
-BACKOFF_LEAST_S = 0.15
+MIN_BACKOFF_S = 0.15
 BACKOFF_MOST_S = 0.8
 
 
@@ -66,7 +66,7 @@
         self.era: int | None = None
         self.lost = False
         self._backoff = backoff.Backoff(
-            gateway_state.rng, BACKOFF_LEAST_S, BACKOFF_MOST_S
+            gateway_state.rng, MIN_BACKOFF_S, BACKOFF_MOST_S
         )
 
     async def run(self) -> None:
