--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -26,7 +26,7 @@
 OFF_DUTY_S = 0.2
 #: Bounds of the wait after a call that failed.
 MIN_BACKOFF_S = 0.15
-BACKOFF_MOST_S = 0.8
+MAX_BACKOFF_S = 0.8
 
 
 class Publisher(typing.Protocol):
@@ -65,9 +65,7 @@
         self.revision: int | None = None
         self.era: int | None = None
         self.lost = False
-        self._backoff = backoff.Backoff(
-            gateway_state.rng, MIN_BACKOFF_S, BACKOFF_MOST_S
-        )
+        self._backoff = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_BACKOFF_S)
 
     async def run(self) -> None:
         """Read and follow the source, while it is this gateway's duty."""
