--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -64,7 +64,7 @@
         self.publisher = publisher
         self.revision: int | None = None
         self.era: int | None = None
-        self.lost = False
+        self.is_unreachable = False
         self._backoff = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_BACKOFF_S)
 
     async def run(self) -> None:
@@ -101,13 +101,13 @@
             self.publisher.announce_reading()
         if fault is None:
             self._backoff.reset()
-            self._report(lost=False, reason="")
+            self._report(is_unreachable=False, reason="")
         elif fault is sources.SourceFault.HISTORY_GONE:
             # Changes since the last revision are no longer held: read anew.
             self.revision = None
         else:
             self.state.listing.note_fault(self.state.clock.now())
-            self._report(lost=True, reason=fault.value)
+            self._report(is_unreachable=True, reason=fault.value)
             await asyncio.sleep(self._backoff.next())
 
     async def _call(self) -> sources.SourceFault | None:
@@ -147,12 +147,12 @@
             await asyncio.sleep(BATCH_WINDOW_S)
         return None
 
-    def _report(self, *, lost: bool, reason: str) -> None:
+    def _report(self, *, is_unreachable: bool, reason: str) -> None:
         """Log when the source was lost or answers again."""
-        if lost == self.lost:
+        if is_unreachable == self.is_unreachable:
             return
-        self.lost = lost
-        if lost:
+        self.is_unreachable = is_unreachable
+        if is_unreachable:
             events.emit(events.Event.STORE_LOST, reason=reason)
         else:
             events.emit(events.Event.STORE_BACK)
