--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -95,9 +95,9 @@
     async def _read_or_wait(self) -> None:
         """Make one call; wait a while after one that failed."""
         fault = await self._call()
-        begins = fault is None and not self.state.reads_source
+        is_starting = fault is None and not self.state.reads_source
         self.state.reads_source = fault is None
-        if begins:
+        if is_starting:
             self.publisher.announce_reading()
         if fault is None:
             self._backoff.reset()
