--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -14,7 +14,7 @@
     load_sharing.IDLE_PERIOD_S,
     relay.POLL_PERIOD_S,
     state.GOSSIP_TIMING.period_s,
-    discovery.LOOK_PERIOD_S,
+    discovery.CHECK_PERIOD_S,
 )
 PLAYED_S = 20.0
 
--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -17,7 +17,7 @@
 from spindlenotch.gateway.source import sources
 
 #: Time between two looks at the record of the zone.
-LOOK_PERIOD_S = 1.0
+CHECK_PERIOD_S = 1.0
 #: How long a new reader waits before it writes: views differ while a fleet starts or
 #: heals.
 SETTLE_S = 3.0
@@ -48,7 +48,7 @@
     async def run(self) -> None:
         """Look after the record until cancelled."""
         while True:
-            await self.state.wakeups.sleep(LOOK_PERIOD_S)
+            await self.state.wakeups.sleep(CHECK_PERIOD_S)
             if self.due(self.state.clock.now()):
                 await self.write()
 
