--- a/features/steps/gateway_restored.py
+++ b/features/steps/gateway_restored.py
@@ -419,7 +419,7 @@
     # The backup predates the record.
     state.apply_snapshot(snapshot_with(reading, 5, None))
     assert not writer.due(reading.clock.now())
-    reading.clock.advance(discovery.SETTLE_S + 0.1)
+    reading.clock.advance(discovery.WRITE_DELAY_S + 0.1)
     assert writer.due(reading.clock.now())
     assert config.zone not in state.discovery_record_by_zone
 
--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -20,7 +20,7 @@
 CHECK_PERIOD_S = 1.0
 #: How long a new reader waits before it writes: views differ while a fleet starts or
 #: heals.
-SETTLE_S = 3.0
+WRITE_DELAY_S = 3.0
 #: Least time between two writes, also of two gateways that both believe to be the
 #: reader.
 REWRITE_S = 6.0
@@ -58,7 +58,7 @@
             self.write_at = ids.NEVER
             return False
         if self.write_at == ids.NEVER:
-            self.write_at = ids.later(now, SETTLE_S)
+            self.write_at = ids.later(now, WRITE_DELAY_S)
         return now >= self.write_at
 
     async def write(self) -> None:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -234,7 +234,7 @@
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
             "gateway/cluster/prober.PROBES_PER_WORK",
             "gateway/cluster/prober.MOST_PERIOD_S",
-            "gateway/source/discovery.SETTLE_S",
+            "gateway/source/discovery.WRITE_DELAY_S",
             "gateway/source/discovery.REWRITE_S",
         ),
         events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
