--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -54,7 +54,7 @@
 
     def due(self, now: ids.Instant) -> bool:
         """Tell whether this gateway has to write its record now."""
-        if not self._is_wanted():
+        if not self._is_write_needed():
             self.write_at = ids.NEVER
             return False
         if self.write_at == ids.NEVER:
@@ -78,7 +78,7 @@
             outcome="written" if fault is None else fault.value,
         )
 
-    def _is_wanted(self) -> bool:
+    def _is_write_needed(self) -> bool:
         """Tell whether this gateway reads for its zone and another's address stands."""
         gateway_state = self.state
         if not (
