--- a/spindlenotch/gateway/source/lease_expiry.py
+++ b/spindlenotch/gateway/source/lease_expiry.py
@@ -12,7 +12,7 @@
 
 #: Leases that vanish this soon after the source was out of reach may have expired
 #: because they could not be renewed.
-AFTER_OUTAGE_S = 4.0
+OUTAGE_WINDOW_S = 4.0
 #: How long an upstream whose lease expired in an outage still gets work. Those
 #: that live are listed again about two seconds after the source's return, as its
 #: operators say.
@@ -37,7 +37,7 @@
     after an outage could more likely not renew their leases than left; to drop them
     would leave the service without upstreams. One that was draining has left.
     """
-    if now - fault_at >= AFTER_OUTAGE_S:
+    if now - fault_at >= OUTAGE_WINDOW_S:
         return False
     if lease.listed.state is not sources.UpstreamState.READY:
         return False
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -263,7 +263,7 @@
         reason="Leases that expire together right after the store was out of reach more"
         " likely expired in its outage than by a stop of the upstreams.",
         constants=(
-            "gateway/source/lease_expiry.AFTER_OUTAGE_S",
+            "gateway/source/lease_expiry.OUTAGE_WINDOW_S",
             "gateway/source/lease_expiry.GRACE_S",
             "gateway/source/lease_expiry.EXPIRY_SHARE",
         ),
