--- a/spindlenotch/gateway/source/lease_expiry.py
+++ b/spindlenotch/gateway/source/lease_expiry.py
@@ -19,7 +19,7 @@
 GRACE_S = 2.2
 #: More than this share of a service must vanish at once to count as expired in the
 #: outage; fewer have left.
-EXPIRY_SHARE = 0.3
+MASS_EXPIRY_SHARE = 0.3
 
 
 def is_in_outage(
@@ -44,4 +44,4 @@
     service = lease.listed.service
     gone = sum(one.listed.service == service for one in vanished)
     total = sum(one.listed.service == service for one in known)
-    return gone > EXPIRY_SHARE * total
+    return gone > MASS_EXPIRY_SHARE * total
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -265,7 +265,7 @@
         constants=(
             "gateway/source/lease_expiry.OUTAGE_WINDOW_S",
             "gateway/source/lease_expiry.GRACE_S",
-            "gateway/source/lease_expiry.EXPIRY_SHARE",
+            "gateway/source/lease_expiry.MASS_EXPIRY_SHARE",
         ),
         events=("UPSTREAM_LEAVING",),
         tests=(
