--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -29,7 +29,7 @@
     leave_at: ids.Instant = ids.NEVER
     is_start_known: bool = True
 
-    def holds(self, listed: sources.ListedUpstream) -> bool:
+    def is_unchanged(self, listed: sources.ListedUpstream) -> bool:
         """Tell whether it is still listed, and in the same words."""
         return self.drop_at == ids.NEVER and self.listed == listed
 
--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -175,7 +175,7 @@
             if lease is not None and not lease.is_same_start(upstream):
                 self._end(lease, now, is_replaced=True)
                 lease = None
-            if lease is None or not lease.holds(upstream):
+            if lease is None or not lease.is_unchanged(upstream):
                 lease = self._renewed(lease, upstream, now)
                 self.lease_by_id[upstream.id] = lease
             lease.is_start_known = True
