--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -84,7 +84,7 @@
     return Lease(listed, spec, leave_at=lease.leave_at)
 
 
-def as_listed_by_peer(
+def with_known_start(
     listed: sources.ListedUpstream, lease: Lease | None
 ) -> sources.ListedUpstream:
     """Return an entry of a peer's list, with the known start where it tells none."""
--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -83,7 +83,7 @@
     ) -> None:
         """Put a peer's whole list in place; the peer has judged expired leases."""
         listed_by_id = {
-            upstream.id: leases.as_listed_by_peer(
+            upstream.id: leases.with_known_start(
                 upstream, self.lease_by_id.get(upstream.id)
             )
             for upstream in listed
