--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -17,7 +17,7 @@
 from spindlenotch.kernel import upstreams
 
 
-class Ended(msgspec.Struct, frozen=True):
+class EndedUpstream(msgspec.Struct, frozen=True):
     """An upstream that is gone; ``is_replaced``: the same id has started again."""
 
     listed: sources.ListedUpstream
@@ -47,7 +47,7 @@
         self.era: int | None = None
         self.withdrawals = withdrawals.Withdrawals()
         self._generation = 0
-        self._ended: list[Ended] = []
+        self._ended: list[EndedUpstream] = []
 
     def set_position(self, revision: int, era: int | None, now: ids.Instant) -> None:
         """
@@ -212,14 +212,14 @@
             self._end(self.lease_by_id.pop(upstream_id), now, is_replaced=False)
         return bool(dropped)
 
-    def take_ended(self) -> list[Ended]:
+    def take_ended(self) -> list[EndedUpstream]:
         """Return the upstreams that are gone since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
     def _end(self, lease: leases.Lease, now: ids.Instant, *, is_replaced: bool) -> None:
         self.withdrawals.note_ended(lease.listed, now)
-        self._ended.append(Ended(lease.listed, is_replaced))
+        self._ended.append(EndedUpstream(lease.listed, is_replaced))
 
     def _renewed(
         self,
