--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -117,7 +117,7 @@
         self.evacuated_zones = zones
         for lease in self.lease_by_id.values():
             if lease.listed.zone not in zones:
-                self._take_back(lease, now)
+                self._cancel_evacuation(lease, now)
             elif lease.leave_at == ids.NEVER:
                 lease.leave_at = evacuation.leave_at(
                     lease.spec.id, now, self.evacuate_s
@@ -273,7 +273,7 @@
             listed, state=sources.UpstreamState.DRAINING, is_evacuated=True
         )
 
-    def _take_back(self, lease: leases.Lease, now: ids.Instant) -> None:
+    def _cancel_evacuation(self, lease: leases.Lease, now: ids.Instant) -> None:
         """Let an upstream whose zone is not evacuated get work if it did not."""
         if lease.leave_at <= now:
             self._generation += 1
