--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -336,7 +336,7 @@
     reading = store_reading.Reading()
     known = reading.state.rollouts.orders
     listed = reading.state.listing.listed(reading.clock.now())
-    mark = sources.RolloutMark(newer, newer.by_s, status)
+    mark = sources.RolloutAnnotation(newer, newer.by_s, status)
     marked = [msgspec.structs.replace(one, rollout=mark) for one in listed]
     reading.state.apply_listing(marked, 50)
     by_id = {one.id: one for one in listed}
--- a/features/support/recorded_gateway.py
+++ b/features/support/recorded_gateway.py
@@ -163,10 +163,10 @@
     )
 
 
-def rollout_mark() -> sources.RolloutMark:
+def rollout_mark() -> sources.RolloutAnnotation:
     """Return what is told of an order to change the version of "core"."""
     core, target = ids.ServiceName("core"), ids.SoftwareVersion("v2")
-    return sources.RolloutMark(
+    return sources.RolloutAnnotation(
         order=sources.RolloutOrder(core, target, by_s=12.0, revision=811),
         left_s=12.0,
         status=sources.RolloutStatus(
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -130,24 +130,29 @@
         Of a service without upstreams the list says nothing, and what is known stays.
         """
         plain = []
-        mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
+        mark_by_service: dict[ids.ServiceName, sources.RolloutAnnotation | None] = {}
         for one in listed:
             mark_by_service[one.service] = one.rollout
             plain.append(_marked(one, None))
         for service, mark in mark_by_service.items():
-            self._take_mark(service, mark or sources.RolloutMark(), now)
+            self._take_mark(service, mark or sources.RolloutAnnotation(), now)
         return plain
 
-    def _mark(self, service: ids.ServiceName, now: ids.Instant) -> sources.RolloutMark:
+    def _mark(
+        self, service: ids.ServiceName, now: ids.Instant
+    ) -> sources.RolloutAnnotation:
         end_at = self.end_at_by_service.get(service, now)
-        return sources.RolloutMark(
+        return sources.RolloutAnnotation(
             order=self.order_by_service.get(service),
             left_s=end_at - now,
             status=self.status_by_service.get(service),
         )
 
     def _take_mark(
-        self, service: ids.ServiceName, mark: sources.RolloutMark, now: ids.Instant
+        self,
+        service: ids.ServiceName,
+        mark: sources.RolloutAnnotation,
+        now: ids.Instant,
     ) -> None:
         before = self.order_by_service.get(service)
         self._set_order(service, mark.order, now)
@@ -226,7 +231,7 @@
 
 
 def _marked(
-    one: sources.ListedUpstream, mark: sources.RolloutMark | None
+    one: sources.ListedUpstream, mark: sources.RolloutAnnotation | None
 ) -> sources.ListedUpstream:
     if one.rollout == mark:
         return one
--- a/spindlenotch/gateway/source/sources.py
+++ b/spindlenotch/gateway/source/sources.py
@@ -75,7 +75,7 @@
     revision: int = 0
 
 
-class RolloutMark(msgspec.Struct, frozen=True, omit_defaults=True):
+class RolloutAnnotation(msgspec.Struct, frozen=True, omit_defaults=True):
     """
     What a peer's list says on each upstream of a service that has an order or a status.
 
@@ -111,7 +111,7 @@
     is_evacuated: bool = False
     version: ids.SoftwareVersion = ids.SoftwareVersion("")
     born: int | None = None
-    rollout: RolloutMark | None = None
+    rollout: RolloutAnnotation | None = None
 
 
 class BadItem(msgspec.Struct, frozen=True):
