--- a/spindlenotch/gateway/source/withdrawals.py
+++ b/spindlenotch/gateway/source/withdrawals.py
@@ -17,7 +17,7 @@
 #: renewed expire.
 WITHHOLD_S = 6.0
 #: Seconds for which ended upstreams are remembered; has to exceed the age of a backup.
-ENDED_KEPT_S = 60.0
+ENDED_RETENTION_S = 60.0
 
 
 class UpstreamStart(typing.NamedTuple):
@@ -99,7 +99,7 @@
         ended = self._ended_at_by_start
         while ended:
             start, ended_at = next(iter(ended.items()))
-            if now - ended_at <= ENDED_KEPT_S:
+            if now - ended_at <= ENDED_RETENTION_S:
                 return
             del ended[start]
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -291,7 +291,7 @@
         " renews have expired.",
         constants=(
             "gateway/source/withdrawals.WITHHOLD_S",
-            "gateway/source/withdrawals.ENDED_KEPT_S",
+            "gateway/source/withdrawals.ENDED_RETENTION_S",
         ),
         events=("UPSTREAMS_WITHDRAWN", "SOURCE_RESTORED"),
         tests=(
