--- a/spindlenotch/gateway/source/withdrawals.py
+++ b/spindlenotch/gateway/source/withdrawals.py
@@ -47,7 +47,7 @@
         # In order of their ends, so that the oldest come first.
         self._ended_at_by_start.pop(start, None)
         self._ended_at_by_start[start] = now
-        self._forget_old(now)
+        self._remove_expired(now)
 
     def note_era(
         self,
@@ -82,7 +82,7 @@
         return True
 
     def _withhold(self, known: abc.Collection[leases.Lease], now: ids.Instant) -> None:
-        self._forget_old(now)
+        self._remove_expired(now)
         ended = self._ended_at_by_start
         ready = sources.UpstreamState.READY
         in_use = {
@@ -95,7 +95,7 @@
         self.withheld_until = ids.later(now, WITHHOLD_S)
         self._is_released = False
 
-    def _forget_old(self, now: ids.Instant) -> None:
+    def _remove_expired(self, now: ids.Instant) -> None:
         ended = self._ended_at_by_start
         while ended:
             start, ended_at = next(iter(ended.items()))
