--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -33,7 +33,9 @@
 names = strategies.text("ab/", max_size=6)
 
 
-def route(prefix: str, parts: tuple[routing.Part, ...] = ()) -> routing.Route:
+def route(
+    prefix: str, parts: tuple[routing.WeightedService, ...] = ()
+) -> routing.Route:
     """Return a route of host ``h``."""
     return routing.Route(
         routing.RouteName(prefix),
@@ -44,7 +46,7 @@
         0.5,
         1,
         2,
-        parts or (routing.Part(SERVICE, 1.0),),
+        parts or (routing.WeightedService(SERVICE, 1.0),),
     )
 
 
@@ -103,7 +105,7 @@
     )
     def check(found: list[int], count: int) -> None:
         parts = tuple(
-            routing.Part(ids.ServiceName(f"s{n}"), float(weight))
+            routing.WeightedService(ids.ServiceName(f"s{n}"), float(weight))
             for n, weight in enumerate(found)
         )
         round_robin = routing.WeightedRoundRobin()
--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -34,7 +34,7 @@
     target_s=0.5,
     rank=1,
     most_tries=2,
-    parts=(routing.Part(ids.ServiceName("s"), 1.0),),
+    parts=(routing.WeightedService(ids.ServiceName("s"), 1.0),),
 )
 NEW_ROUTE = routing.RouteName("new")
 NO_LIMITS = msgspec.structs.replace(ROUTE, timeout_s=None, target_s=None)
--- a/features/support/recorded_gateway.py
+++ b/features/support/recorded_gateway.py
@@ -40,8 +40,8 @@
             rank=2 + number,
             most_tries=3 + number,
             parts=(
-                routing.Part(service=ids.ServiceName("core"), weight=2.5),
-                routing.Part(service=ids.ServiceName("extra"), weight=0.5),
+                routing.WeightedService(service=ids.ServiceName("core"), weight=2.5),
+                routing.WeightedService(service=ids.ServiceName("extra"), weight=0.5),
             ),
         )
         for number, kind in enumerate((kinds.SAFE, kinds.UNSAFE, kinds.UPLOAD))
--- a/features/support/recorded_store.py
+++ b/features/support/recorded_store.py
@@ -294,7 +294,7 @@
         target_s=None,
         rank=1,
         most_tries=2,
-        parts=(routing.Part(service=core, weight=1.0),),
+        parts=(routing.WeightedService(service=core, weight=1.0),),
     )
     spec = routing.ServiceSpec(name=core, health_path="/health", connections=1)
     return routing.Configuration(
--- a/features/support/rollout_service.py
+++ b/features/support/rollout_service.py
@@ -36,7 +36,7 @@
         target_s=4.0 * work_s,
         rank=1,
         most_tries=2,
-        parts=(routing.Part(SERVICE, 1.0),),
+        parts=(routing.WeightedService(SERVICE, 1.0),),
     )
 
 
--- a/features/support/served_gateway.py
+++ b/features/support/served_gateway.py
@@ -38,7 +38,7 @@
     target_s=None,
     rank=1,
     most_tries=2,
-    parts=(routing.Part(ids.ServiceName("s"), 1.0),),
+    parts=(routing.WeightedService(ids.ServiceName("s"), 1.0),),
 )
 
 
--- a/spindlenotch/gateway/source/routing.py
+++ b/spindlenotch/gateway/source/routing.py
@@ -26,7 +26,7 @@
     UPLOAD = "upload"
 
 
-class Part(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """One service behind a route; shares are ``weight`` by the sum of weights."""
 
     service: ids.ServiceName
@@ -53,7 +53,7 @@
     target_s: float | None
     rank: int
     most_tries: int
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
     allowed_regions: tuple[ids.RegionName, ...] | None = None
     has_large_answers: bool = False
 
