--- a/spindlenotch/gateway/source/routing.py
+++ b/spindlenotch/gateway/source/routing.py
@@ -138,9 +138,9 @@
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self._routes_by_host: dict[str, list[Route | RefusedRoute]] = {}
-        every: list[Route | RefusedRoute] = [*configuration.routes]
-        every += configuration.refused_routes
-        for route in every:
+        all_routes: list[Route | RefusedRoute] = [*configuration.routes]
+        all_routes += configuration.refused_routes
+        for route in all_routes:
             self._routes_by_host.setdefault(route.host, []).append(route)
         for routes in self._routes_by_host.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
