--- a/spindlenotch/gateway/source/routing.py
+++ b/spindlenotch/gateway/source/routing.py
@@ -206,7 +206,7 @@
     def forget_missing(self, routes: tuple[Route, ...]) -> None:
         """Drop the credit of routes that are gone or whose parts changed."""
         parts_by_route = {
-            route.name: {p.service for p in route.parts} for route in routes
+            route.name: {part.service for part in route.parts} for route in routes
         }
         for name, credit in list(self._credit_by_route.items()):
             if parts_by_route.get(name) != set(credit):
