--- a/features/steps/gateway_allowed.py
+++ b/features/steps/gateway_allowed.py
@@ -86,12 +86,12 @@
 def shared() -> None:
     everywhere, north = route(None), route((NORTH, MIDDLE), "/a/")
     south, nobody = route((SOUTH,), "/b/"), route((), "/c/")
-    assert region_rules.shared([everywhere]) is None
-    assert region_rules.shared([everywhere, north]) == {NORTH, MIDDLE}
-    assert region_rules.shared([north, route((MIDDLE, SOUTH))]) == {MIDDLE}
+    assert region_rules.common_regions([everywhere]) is None
+    assert region_rules.common_regions([everywhere, north]) == {NORTH, MIDDLE}
+    assert region_rules.common_regions([north, route((MIDDLE, SOUTH))]) == {MIDDLE}
     # Some of its callers are refused wherever they go: they stay where they are.
-    assert region_rules.shared([north, south]) is None
-    assert region_rules.shared([nobody]) is None
+    assert region_rules.common_regions([north, south]) is None
+    assert region_rules.common_regions([nobody]) is None
 
 
 @kernel.PROPERTIES.register(
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -114,7 +114,7 @@
         table = self.state.table
         if table is None or origin.host is None:
             return None
-        return region_rules.shared(table.routes_of(origin.host))
+        return region_rules.common_regions(table.routes_of(origin.host))
 
     def _metrics(self) -> web_response.Response:
         return web_response.Response(
--- a/spindlenotch/gateway/source/region_rules.py
+++ b/spindlenotch/gateway/source/region_rules.py
@@ -23,7 +23,7 @@
     return region != regions.UNNAMED and region in route.allowed_regions
 
 
-def shared(
+def common_regions(
     routes: abc.Iterable[routing.Route | routing.RefusedRoute],
 ) -> frozenset[ids.RegionName] | None:
     """
