--- a/spindlenotch/gateway/source/region_rules.py
+++ b/spindlenotch/gateway/source/region_rules.py
@@ -35,6 +35,6 @@
     allowed: frozenset[ids.RegionName] | None = None
     for route in routes:
         if isinstance(route, routing.Route) and route.allowed_regions is not None:
-            these = frozenset(route.allowed_regions)
-            allowed = these if allowed is None else allowed & these
+            route_regions = frozenset(route.allowed_regions)
+            allowed = route_regions if allowed is None else allowed & route_regions
     return allowed or None
