--- a/features/steps/gateway_bad_entries.py
+++ b/features/steps/gateway_bad_entries.py
@@ -169,7 +169,7 @@
         for _ in range(3):
             odd = [
                 store_reading.item(f"x{n}", b"odd")
-                for n in range(3 * bad_items.MOST_KEYS)
+                for n in range(3 * bad_items.MAX_REMEMBERED_ITEMS)
             ]
             playing.follow(*odd)
             playing.clock.advance(10.0)
@@ -178,7 +178,7 @@
         playing.follow(store_reading.item("u2", b"odd"))
         assert len(seen.of(refused)) == bad_items.MOST_LINES + 1
     counted = playing.state.metrics.bad_items.labels("servers")
-    assert counted._value.get() == 101 + 9 * bad_items.MOST_KEYS
+    assert counted._value.get() == 101 + 9 * bad_items.MAX_REMEMBERED_ITEMS
 
 
 @kernel.PROPERTIES.register("an item that is none spoils no other of its page")
--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -15,7 +15,7 @@
 
 #: Items of which it is remembered what was said, the latest ones: about two for each
 #: upstream of the largest fleet that is planned for.
-MOST_KEYS = 1000
+MAX_REMEMBERED_ITEMS = 1000
 #: Seconds over which lines are counted: an operator who looks at a log sees that long.
 WINDOW_S = 60.0
 #: Lines of one item in that time: an operator's few tries to mend it are all told, a
@@ -70,6 +70,6 @@
         said.reason = item.reason
         said.lines += 1
         self._lines += 1
-        if len(self._said_by_key) > MOST_KEYS:
+        if len(self._said_by_key) > MAX_REMEMBERED_ITEMS:
             del self._said_by_key[next(iter(self._said_by_key))]
         return True
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -351,7 +351,7 @@
         reason="Its entry was written, so its lease did not merely expire: it gets no"
         " new work at once, like one that has left, until a good entry follows.",
         constants=(
-            "gateway/source/bad_items.MOST_KEYS",
+            "gateway/source/bad_items.MAX_REMEMBERED_ITEMS",
             "gateway/source/bad_items.WINDOW_S",
             "gateway/source/bad_items.MOST_LINES_OF_ONE",
             "gateway/source/bad_items.MOST_LINES",
