--- a/features/steps/gateway_bad_entries.py
+++ b/features/steps/gateway_bad_entries.py
@@ -164,7 +164,7 @@
         assert playing.published == 1
         for number in range(50):
             playing.follow(store_reading.item("u1", store_reading.entry(slots=-number)))
-        assert len(seen.of(refused)) == bad_items.MOST_LINES_OF_ONE
+        assert len(seen.of(refused)) == bad_items.MAX_LINES_PER_ITEM
         # Those of many others too, and what is remembered of them.
         for _ in range(3):
             odd = [
--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -20,7 +20,7 @@
 WINDOW_S = 60.0
 #: Lines of one item in that time: an operator's few tries to mend it are all told, a
 #: writer whose every entry is odd in another way is not.
-MOST_LINES_OF_ONE = 5
+MAX_LINES_PER_ITEM = 5
 #: Lines of all items in that time: what one screen shows.
 MOST_LINES = 50
 #: Longest account of all reasons, in characters: one line of a log or an answer.
@@ -65,7 +65,7 @@
         if said.window_end != self._window_end:
             said.window_end = self._window_end
             said.lines = 0
-        if said.reason == item.reason or said.lines >= MOST_LINES_OF_ONE:
+        if said.reason == item.reason or said.lines >= MAX_LINES_PER_ITEM:
             return False
         said.reason = item.reason
         said.lines += 1
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -353,7 +353,7 @@
         constants=(
             "gateway/source/bad_items.MAX_REMEMBERED_ITEMS",
             "gateway/source/bad_items.WINDOW_S",
-            "gateway/source/bad_items.MOST_LINES_OF_ONE",
+            "gateway/source/bad_items.MAX_LINES_PER_ITEM",
             "gateway/source/bad_items.MOST_LINES",
         ),
         events=("SOURCE_ITEM_REFUSED",),
