--- a/features/steps/gateway_bad_entries.py
+++ b/features/steps/gateway_bad_entries.py
@@ -173,10 +173,10 @@
             ]
             playing.follow(*odd)
             playing.clock.advance(10.0)
-        assert len(seen.of(refused)) == bad_items.MOST_LINES
+        assert len(seen.of(refused)) == bad_items.MAX_LINES
         playing.clock.advance(bad_items.WINDOW_S)
         playing.follow(store_reading.item("u2", b"odd"))
-        assert len(seen.of(refused)) == bad_items.MOST_LINES + 1
+        assert len(seen.of(refused)) == bad_items.MAX_LINES + 1
     counted = playing.state.metrics.bad_items.labels("servers")
     assert counted._value.get() == 101 + 9 * bad_items.MAX_REMEMBERED_ITEMS
 
--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -22,7 +22,7 @@
 #: writer whose every entry is odd in another way is not.
 MAX_LINES_PER_ITEM = 5
 #: Lines of all items in that time: what one screen shows.
-MOST_LINES = 50
+MAX_LINES = 50
 #: Longest account of all reasons, in characters: one line of a log or an answer.
 LONGEST_ACCOUNT = 500
 
@@ -58,7 +58,7 @@
         return "; ".join(f"{key}: {one.reason}" for key, one in said)[:LONGEST_ACCOUNT]
 
     def _is_worth_a_line(self, item: sources.BadItem) -> bool:
-        if self._lines >= MOST_LINES:
+        if self._lines >= MAX_LINES:
             return False
         said = self._said_by_key.pop(item.key, None) or _Said("", 0, self._window_end)
         self._said_by_key[item.key] = said
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -354,7 +354,7 @@
             "gateway/source/bad_items.MAX_REMEMBERED_ITEMS",
             "gateway/source/bad_items.WINDOW_S",
             "gateway/source/bad_items.MAX_LINES_PER_ITEM",
-            "gateway/source/bad_items.MOST_LINES",
+            "gateway/source/bad_items.MAX_LINES",
         ),
         events=("SOURCE_ITEM_REFUSED",),
         tests=(
