--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -24,7 +24,7 @@
 #: Lines of all items in that time: what one screen shows.
 MAX_LINES = 50
 #: Longest account of all reasons, in characters: one line of a log or an answer.
-LONGEST_ACCOUNT = 500
+MAX_SUMMARY_CHARS = 500
 
 
 class _Said(msgspec.Struct):
@@ -55,7 +55,9 @@
     def account(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
         said = self._said_by_key.items()
-        return "; ".join(f"{key}: {one.reason}" for key, one in said)[:LONGEST_ACCOUNT]
+        return "; ".join(f"{key}: {one.reason}" for key, one in said)[
+            :MAX_SUMMARY_CHARS
+        ]
 
     def _is_worth_a_line(self, item: sources.BadItem) -> bool:
         if self._lines >= MAX_LINES:
