--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -52,7 +52,7 @@
             self._lines = 0
         return [item for item in items if self._is_worth_a_line(item)]
 
-    def account(self) -> str:
+    def summary(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
         said = self._said_by_key.items()
         return "; ".join(f"{key}: {one.reason}" for key, one in said)[
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -99,7 +99,7 @@
             return "a planned stop"
         if self.table is not None:
             return "no upstreams are known"
-        return self._source_events.bad_items.account() or "no configuration is known"
+        return self._source_events.bad_items.summary() or "no configuration is known"
 
     @property
     def ready(self) -> bool:
