--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -43,7 +43,7 @@
         self._window_end = ids.Instant(0.0)
         self._lines = 0
 
-    def worth_a_line(
+    def select_for_log(
         self, items: abc.Iterable[sources.BadItem], now: ids.Instant
     ) -> list[sources.BadItem]:
         """Return those of which a line is to be written; they count as written."""
--- a/spindlenotch/gateway/source/source_events.py
+++ b/spindlenotch/gateway/source/source_events.py
@@ -26,7 +26,7 @@
         """Count what can't be used, and log what of it is new."""
         for item in items:
             self.metrics.bad_items.labels(item.key.partition("/")[0]).inc()
-        for item in self.bad_items.worth_a_line(items, now):
+        for item in self.bad_items.select_for_log(items, now):
             events.emit(
                 events.Event.SOURCE_ITEM_REFUSED, key=item.key, reason=item.reason
             )
