--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -50,7 +50,7 @@
         if now >= self._window_end:
             self._window_end = ids.later(now, WINDOW_S)
             self._lines = 0
-        return [item for item in items if self._is_worth_a_line(item)]
+        return [item for item in items if self._should_log(item)]
 
     def summary(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
@@ -59,7 +59,7 @@
             :MAX_SUMMARY_CHARS
         ]
 
-    def _is_worth_a_line(self, item: sources.BadItem) -> bool:
+    def _should_log(self, item: sources.BadItem) -> bool:
         if self._lines >= MAX_LINES:
             return False
         said = self._said_by_key.pop(item.key, None) or _Said("", 0, self._window_end)
