--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -27,7 +27,7 @@
 MAX_SUMMARY_CHARS = 500
 
 
-class _Said(msgspec.Struct):
+class _LoggedItem(msgspec.Struct):
     """What was said last of one item, and how many lines up to ``window_end``."""
 
     reason: str
@@ -39,7 +39,7 @@
     """The items that could not be used, the latest one last."""
 
     def __init__(self) -> None:
-        self._said_by_key: dict[str, _Said] = {}
+        self._said_by_key: dict[str, _LoggedItem] = {}
         self._window_end = ids.Instant(0.0)
         self._lines = 0
 
@@ -62,7 +62,9 @@
     def _should_log(self, item: sources.BadItem) -> bool:
         if self._lines >= MAX_LINES:
             return False
-        said = self._said_by_key.pop(item.key, None) or _Said("", 0, self._window_end)
+        said = self._said_by_key.pop(item.key, None) or _LoggedItem(
+            "", 0, self._window_end
+        )
         self._said_by_key[item.key] = said
         if said.window_end != self._window_end:
             said.window_end = self._window_end
