--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -39,7 +39,7 @@
     """The items that could not be used, the latest one last."""
 
     def __init__(self) -> None:
-        self._said_by_key: dict[str, _LoggedItem] = {}
+        self._logged_by_key: dict[str, _LoggedItem] = {}
         self._window_end = ids.Instant(0.0)
         self._lines = 0
 
@@ -54,7 +54,7 @@
 
     def summary(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
-        said = self._said_by_key.items()
+        said = self._logged_by_key.items()
         return "; ".join(f"{key}: {one.reason}" for key, one in said)[
             :MAX_SUMMARY_CHARS
         ]
@@ -62,10 +62,10 @@
     def _should_log(self, item: sources.BadItem) -> bool:
         if self._lines >= MAX_LINES:
             return False
-        said = self._said_by_key.pop(item.key, None) or _LoggedItem(
+        said = self._logged_by_key.pop(item.key, None) or _LoggedItem(
             "", 0, self._window_end
         )
-        self._said_by_key[item.key] = said
+        self._logged_by_key[item.key] = said
         if said.window_end != self._window_end:
             said.window_end = self._window_end
             said.lines = 0
@@ -74,6 +74,6 @@
         said.reason = item.reason
         said.lines += 1
         self._lines += 1
-        if len(self._said_by_key) > MAX_REMEMBERED_ITEMS:
-            del self._said_by_key[next(iter(self._said_by_key))]
+        if len(self._logged_by_key) > MAX_REMEMBERED_ITEMS:
+            del self._logged_by_key[next(iter(self._logged_by_key))]
         return True
