--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -54,25 +54,25 @@
 
     def summary(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
-        said = self._logged_by_key.items()
-        return "; ".join(f"{key}: {one.reason}" for key, one in said)[
+        logged = self._logged_by_key.items()
+        return "; ".join(f"{key}: {one.reason}" for key, one in logged)[
             :MAX_SUMMARY_CHARS
         ]
 
     def _should_log(self, item: sources.BadItem) -> bool:
         if self._lines >= MAX_LINES:
             return False
-        said = self._logged_by_key.pop(item.key, None) or _LoggedItem(
+        logged = self._logged_by_key.pop(item.key, None) or _LoggedItem(
             "", 0, self._window_end
         )
-        self._logged_by_key[item.key] = said
-        if said.window_end != self._window_end:
-            said.window_end = self._window_end
-            said.lines = 0
-        if said.reason == item.reason or said.lines >= MAX_LINES_PER_ITEM:
+        self._logged_by_key[item.key] = logged
+        if logged.window_end != self._window_end:
+            logged.window_end = self._window_end
+            logged.lines = 0
+        if logged.reason == item.reason or logged.lines >= MAX_LINES_PER_ITEM:
             return False
-        said.reason = item.reason
-        said.lines += 1
+        logged.reason = item.reason
+        logged.lines += 1
         self._lines += 1
         if len(self._logged_by_key) > MAX_REMEMBERED_ITEMS:
             del self._logged_by_key[next(iter(self._logged_by_key))]
