--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -35,7 +35,7 @@
     window_end: ids.Instant
 
 
-class BadItems:
+class BadItemLog:
     """The items that could not be used, the latest one last."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/source/source_events.py
+++ b/spindlenotch/gateway/source/source_events.py
@@ -18,7 +18,7 @@
 
     def __init__(self, gateway_metrics: metrics.Metrics) -> None:
         self.metrics = gateway_metrics
-        self.bad_items = bad_items.BadItems()
+        self.bad_items = bad_items.BadItemLog()
 
     def report_bad(
         self, items: abc.Collection[sources.BadItem], now: ids.Instant
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -344,7 +344,7 @@
         question="What becomes of an upstream whose entry can't be used",
         functions=(
             "gateway/source/listing.Listing.discard",
-            "gateway/source/bad_items.BadItems.select_for_log",
+            "gateway/source/bad_items.BadItemLog.select_for_log",
         ),
         inputs="whether the entry can be read and is within bounds; which lines were"
         " written of it in the last minute.",
