--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -90,7 +90,7 @@
     quick = typing.cast(
         typing.Any, types.SimpleNamespace(start_wait_left_s=lambda: 0.001)
     )
-    assert asyncio.run(waits()) < source_reader.OFF_DUTY_S / 2
+    assert asyncio.run(waits()) < source_reader.STANDBY_CHECK_S / 2
 
 
 @kernel.PROPERTIES.register("a fleet that starts has one reader a zone")
--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -9,7 +9,7 @@
 
 PERIODS_S = (
     gateway.TICK_S,
-    source_reader.OFF_DUTY_S,
+    source_reader.STANDBY_CHECK_S,
     prober.MATCH_PERIOD_S,
     load_sharing.IDLE_PERIOD_S,
     relay.POLL_PERIOD_S,
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -23,7 +23,7 @@
 BATCH_WINDOW_S = 0.1
 #: Time between two looks whether this gateway must read: most of a fleet need not,
 #: and idle loops take processor time.
-OFF_DUTY_S = 0.2
+STANDBY_CHECK_S = 0.2
 #: Bounds of the wait after a call that failed.
 MIN_BACKOFF_S = 0.15
 MAX_BACKOFF_S = 0.8
@@ -82,15 +82,15 @@
         """
         Wait until it may be this gateway's duty to read.
 
-        Not longer than a peer may spare the first reading: looked at every
-        ``OFF_DUTY_S`` only, a fleet that had lost power served its first request 0.2 s
-        later than it could.
+        A first reading that a peer may spare is not put off for longer: checked only
+        every ``STANDBY_CHECK_S``, a fleet that had lost power served its first request
+        0.2 s later than it could.
         """
         start_wait_s = self.publisher.start_wait_left_s()
-        if 0.0 < start_wait_s < OFF_DUTY_S:
+        if 0.0 < start_wait_s < STANDBY_CHECK_S:
             await asyncio.sleep(start_wait_s)
         else:
-            await self.state.wakeups.sleep(OFF_DUTY_S)
+            await self.state.wakeups.sleep(STANDBY_CHECK_S)
 
     async def _read_or_wait(self) -> None:
         """Make one call; wait a while after one that failed."""
