--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -23,15 +23,15 @@
 WRITE_DELAY_S = 3.0
 #: Least time between two writes, also of two gateways that both believe to be the
 #: reader.
-REWRITE_S = 6.0
+MIN_WRITE_INTERVAL_S = 6.0
 
 
 class DiscoveryWriter:
     """
     Keeps the discovery record of this gateway's zone up to date.
 
-    Invariant: it writes at most once in ``REWRITE_S``, and only in place of the
-    record that it has read.
+    Invariant: it writes at most once per ``MIN_WRITE_INTERVAL_S``, and only replaces
+    the record that it has read.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
     async def write(self) -> None:
         """Write the own address in place of the record that was read last."""
         config = self.state.config
-        self.write_at = ids.later(self.state.clock.now(), REWRITE_S)
+        self.write_at = ids.later(self.state.clock.now(), MIN_WRITE_INTERVAL_S)
         record = sources.DiscoveryRecord(config.zone, config.peer_listen)
         replaced = self.state.discovery_record_by_zone.get(config.zone)
         if replaced is not None:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -235,7 +235,7 @@
             "gateway/cluster/prober.PROBES_PER_WORK",
             "gateway/cluster/prober.MOST_PERIOD_S",
             "gateway/source/discovery.WRITE_DELAY_S",
-            "gateway/source/discovery.REWRITE_S",
+            "gateway/source/discovery.MIN_WRITE_INTERVAL_S",
         ),
         events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
         tests=(
