--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -208,8 +208,8 @@
         upstream did not merely fail to renew its lease.
         """
         dropped = [i for i in upstream_ids if i in self.lease_by_id]
-        for upstream_id in dropped:
-            self._end(self.lease_by_id.pop(upstream_id), now, is_replaced=False)
+        for dropped_id in dropped:
+            self._end(self.lease_by_id.pop(dropped_id), now, is_replaced=False)
         return bool(dropped)
 
     def take_ended(self) -> list[EndedUpstream]:
