--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -74,7 +74,11 @@
     ) -> None:
         """Put the source's whole list in place of what is known."""
         listed_by_id = {upstream.id: upstream for upstream in listed}
-        missing = [i for i in self.lease_by_id if i not in listed_by_id]
+        missing = [
+            upstream_id
+            for upstream_id in self.lease_by_id
+            if upstream_id not in listed_by_id
+        ]
         self.add(listed_by_id.values(), now)
         self.remove(missing, now)
 
@@ -95,7 +99,14 @@
             listed_by_id[one.id] = msgspec.structs.replace(
                 one, state=sources.UpstreamState.READY, is_evacuated=False
             )
-        self.discard([i for i in self.lease_by_id if i not in listed_by_id], now)
+        self.discard(
+            [
+                upstream_id
+                for upstream_id in self.lease_by_id
+                if upstream_id not in listed_by_id
+            ],
+            now,
+        )
         self.add(listed_by_id.values(), now)
         for lease in self.lease_by_id.values():
             # Peers of earlier releases leave the start out.
@@ -182,7 +193,11 @@
 
     def remove(self, gone: abc.Iterable[ids.UpstreamId], now: ids.Instant) -> None:
         """Drop upstreams that the source no longer lists, or begin their grace."""
-        vanished = [self.lease_by_id[i] for i in gone if i in self.lease_by_id]
+        vanished = [
+            self.lease_by_id[upstream_id]
+            for upstream_id in gone
+            if upstream_id in self.lease_by_id
+        ]
         for lease in vanished:
             if not lease_expiry.is_in_outage(
                 lease, vanished, self.lease_by_id.values(), self.fault_at, now
@@ -194,7 +209,11 @@
 
     def drop_expired(self, now: ids.Instant) -> bool:
         """Drop upstreams whose grace is over; tell whether there was any."""
-        expired = [i for i, lease in self.lease_by_id.items() if lease.drop_at <= now]
+        expired = [
+            upstream_id
+            for upstream_id, lease in self.lease_by_id.items()
+            if lease.drop_at <= now
+        ]
         self.discard(expired, now)
         return bool(expired)
 
@@ -207,7 +226,11 @@
         Also those whose entries can't be used: such an entry was written, so that its
         upstream did not merely fail to renew its lease.
         """
-        dropped = [i for i in upstream_ids if i in self.lease_by_id]
+        dropped = [
+            upstream_id
+            for upstream_id in upstream_ids
+            if upstream_id in self.lease_by_id
+        ]
         for dropped_id in dropped:
             self._end(self.lease_by_id.pop(dropped_id), now, is_replaced=False)
         return bool(dropped)
@@ -238,7 +261,9 @@
     def in_use(self, now: ids.Instant) -> frozenset[ids.UpstreamId]:
         """Return the ids of the upstreams that may get new work."""
         return frozenset(
-            i for i, lease in self.lease_by_id.items() if self._is_in_use(lease, now)
+            upstream_id
+            for upstream_id, lease in self.lease_by_id.items()
+            if self._is_in_use(lease, now)
         )
 
     def _is_in_use(self, lease: leases.Lease, now: ids.Instant) -> bool:
