--- a/spindlenotch/gateway/source/__init__.py
+++ b/spindlenotch/gateway/source/__init__.py
@@ -1,6 +1,7 @@
 """
-How a gateway follows its source: configuration, upstreams, orders of the operator.
+Service discovery and configuration: how a gateway follows its source.
 
-One gateway of each zone reads the source; the others get the same from it. What was
-read is decoded by a driver and put into the gateway's state.
+The source holds the configuration, the upstreams and the operator's orders. One gateway
+of each zone reads it and distributes what it read to the others. A driver decodes what
+was read, which is then applied to the gateway's state.
 """
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -1,14 +1,14 @@
 """
-When a gateway reads the source for its zone: in turn, not all at once.
+Decides which gateway of a zone reads the source, with staggered takeover.
 
-Answers one load pattern: the source turns some hosts away, or is down, while a
-zone has dozens of gateways. Were each of them to read as soon as the zone's
-reader falls silent, calls to the source would grow with the fleet just when it
-is in trouble. So the next in the order of duty step in one after the other, and
-once several that were heard have had their turn in vain, the rest wait for news.
+A zone can have dozens of gateways while the source is down or rejects some hosts. If
+all of them read as soon as the zone's reader stops responding, the load on the source
+would grow with the fleet just when the source is overloaded or failing. So the
+gateways next in rank take over one after the other, and once several that are known to
+be alive have tried without success, the others do not call the source.
 
-Pure: ``relay`` passes in what it hears and when. Owns what was heard of the
-gateways of the zone.
+Pure: ``relay`` passes in the messages received and their times. Owns the last message
+of each gateway of the zone.
 """
 
 from collections import abc
@@ -18,43 +18,44 @@
 from spindlenotch import ids
 from spindlenotch.gateway.cluster import active_set
 
-#: Seconds without a word of a reader after which the next in turn reads: it has left
-#: two questions unanswered (``relay.ASK_PERIOD_S``); one answer may just get lost.
+#: Seconds without a message from a reader after which the next in rank takes over: two
+#: polls (``relay.POLL_PERIOD_S``) went unanswered, as a single answer may be lost.
 READER_TIMEOUT_S = 1.0
-#: Seconds that each further one in the order of duty waits longer: a reading and its
+#: Additional seconds that a gateway waits for each rank ahead of it: one read and its
 #: announcement take less than 0.1 s.
 TAKEOVER_STEP_S = 0.2
-#: How many step in one after the other; later ones wait as long as the last of
-#: them, so that a group cut off from all of these reads within 1.8 s.
+#: Number of gateways that take over one after the other; all others wait as long as the
+#: last of them, so that a partition without any of these reads within 1.8 s.
 TAKEOVER_CANDIDATES = 5
-#: How many that were heard lately must have had their turn in vain for the others
-#: to leave the source alone. Where it turns a third of the hosts away, the first
-#: four are among them once in 80 times.
+#: Number of recently heard takeover candidates that must have failed to read before the
+#: other gateways stop calling the source. If the source rejects a third of the hosts,
+#: it rejects all of the first four in one of 80 cases.
 MIN_FAILED_TAKEOVERS = 4
-#: Seconds for which they count as heard: all of them are asked in turn meanwhile.
+#: Seconds for which a candidate counts as recently heard: long enough to poll each of
+#: them once.
 FAILED_TAKEOVER_WINDOW_S = 2.5
 
 
-#: How long a starting gateway waits on average for a peer that has read already, at
-#: least, in seconds: so that a fleet that starts together does not read as often as
-#: it has members, and callers are not refused for longer after a loss of all.
+#: Minimum of the mean time in seconds that a starting gateway waits for a peer that has
+#: read already. A fleet that starts together does not read once per member then; a
+#: longer wait would refuse callers for longer after the loss of the whole fleet.
 MIN_MEAN_START_WAIT_S = 0.2
-#: Power of the number of cores by which stronger hosts wait less:
-#: hosts of 2.15 cores wait 0.04 s on average, about a reading.
+#: Exponent of the number of cores by which the mean wait is divided: hosts of 2.15
+#: cores wait 0.04 s on average, about the duration of one read.
 CORES_EXPONENT = 2
 
 
 def start_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
     """
-    Return for how long a gateway that starts waits for a peer that has read.
-
-    Answers a fleet whose hosts lose power together and start again: those of the
-    settings may come up last, and until then nobody can be asked. The waits are
-    spread from none to twice the mean, in the order in which gateways become active,
-    so that those come first that callers will be sent to. The mean is what the own
-    start took, ``start_took_s``, since peers of the same strength come up around the
-    same time; shorter on a host of more than one core, ``cores``, which is up before
-    the weaker ones and sooner among the active.
+    Return how many seconds a starting gateway waits for a peer that has read.
+
+    When all hosts of a fleet lose power and restart together, the seeds of the settings
+    may come up last, and until then there is no peer to poll. The waits are spread from
+    zero to twice the mean in the order in which gateways become active, so that the
+    gateways to which callers will be sent read first. The mean is ``start_took_s``, the
+    seconds that this gateway's own start took, since peers with as many cores come up
+    at about the same time. It is shorter on a host with more than one core (``cores``),
+    which comes up before the weaker hosts and becomes active sooner.
     """
     mean_s = (
         max(MIN_MEAN_START_WAIT_S, start_took_s) / max(1.0, cores) ** CORES_EXPONENT
@@ -63,7 +64,7 @@
 
 
 class _LastMessage(msgspec.Struct, frozen=True):
-    """The last message of a gateway: when it came, and whether that one reads."""
+    """Time of a gateway's last message, and whether that gateway reads the source."""
 
     at: ids.Instant
     reads: bool
@@ -73,8 +74,8 @@
     """
     Decides whether this gateway reads the source.
 
-    Invariant: while this gateway hears a reader of its zone that comes before it
-    in the order of duty, it does not read.
+    Invariant: it does not read while it receives messages from a reader of its zone
+    that ranks before it.
     """
 
     def __init__(self, local_host: ids.HostId, started_at: ids.Instant) -> None:
@@ -87,21 +88,25 @@
 
     @property
     def has_heard_peer(self) -> bool:
-        """Tell whether any gateway of the fleet has been heard since the start."""
+        """Tell whether any gateway of the fleet has sent a message since the start."""
         return self._peer_heard_at > float("-inf")
 
     def lacks_reader(self, now: ids.Instant) -> bool:
-        """Tell whether no reader was heard lately, so that other regions know more."""
+        """
+        Tell whether no reader of the zone has sent a message recently.
+
+        Other regions may hold newer documents then.
+        """
         return self._is_stale(self._reader_heard_at, now)
 
     def note_peer(self, now: ids.Instant) -> None:
-        """Note a message of any gateway of the fleet."""
+        """Record a message from any gateway of the fleet."""
         self._peer_heard_at = now
 
     def note_zone_peer(
         self, host: ids.HostId, now: ids.Instant, *, reads: bool
     ) -> None:
-        """Note a message of a gateway of this zone, and whether it reads."""
+        """Record a message from a gateway of this zone, and whether it reads."""
         self._message_by_host[host] = _LastMessage(now, reads)
         if reads:
             self._reader_heard_at = now
@@ -110,7 +115,7 @@
         """
         Tell whether this gateway has to read the source now.
 
-        ``order`` are the gateways that may read for the zone, the first one first.
+        ``order`` holds the gateways that may read for the zone, by rank.
         """
         self._is_reading = self._decide(order, now)
         return self._is_reading
@@ -119,9 +124,10 @@
         self, order: abc.Sequence[ids.HostId], now: ids.Instant
     ) -> list[ids.HostId]:
         """
-        Return whom to ask for news: the first one, and whoever reads in its place.
+        Return the gateways to poll: the first in rank, and the one that reads instead.
 
-        While nobody does, one of those whose turn it may be, each in its turn.
+        While no gateway reads, the other takeover candidates are polled in rotation,
+        one for each call.
         """
         others = [host for host in order if host != self.local_host]
         first = others[:1]
@@ -153,7 +159,7 @@
         return rank < TAKEOVER_CANDIDATES or not self._have_takeovers_failed(order, now)
 
     def _rank(self, order: abc.Sequence[ids.HostId]) -> int:
-        """Return this gateway's place in the order; the last one where it has none."""
+        """Return this gateway's index in ``order``, or its length if not in it."""
         if self.local_host in order:
             return order.index(self.local_host)
         return len(order)
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -1,11 +1,12 @@
 """
-Passes configuration and upstream list between gateways, so that few read them.
-
-In each zone one gateway reads the source, in each region where there are several;
-the others ask it a few times a second which versions it holds, and fetch documents
-from it or from whoever has newer ones. Too many readers or none for a moment do no
-harm: a document replaces only an older one. Relies on ``reader_duty`` for who reads
-and on ``fleet`` for the order of duty; the documents lie in ``state.fence``.
+Distributes the configuration and the upstream list between gateways.
+
+One gateway of each zone reads the source, or one of each region if there are several
+regions. The others poll it a few times a second for the versions that it holds, and
+fetch documents from it or from any other peer that has newer ones. Too many readers or
+none are harmless for a short time: a document replaces only an older one. Relies on
+``reader_duty`` for who reads and on ``fleet`` for the order of the candidates; the
+documents are kept in ``state.fence``.
 """
 
 import asyncio
@@ -26,23 +27,22 @@
     probing,
 )
 
-#: Time between two questions to the zone's reader; every second instant of ``wakeups``.
+#: Seconds between polls of the zone's reader; every second instant of ``wakeups``.
 POLL_PERIOD_S = 0.4
-#: How long it waits where peers answer, but none has read yet. They are asked ten times
-#: meanwhile (``membership.FIRST_PAUSE_S``).
+#: Minimum time in seconds after the start for which a gateway waits if peers answer but
+#: none has read yet; they are polled ten times in it (``membership.FIRST_PAUSE_S``).
 ANSWERED_START_WAIT_S = 1.0
-#: How many times, and how far apart in seconds, a reader announces a new document at
-#: once.
+#: Number of times that a reader announces a new document, and the seconds between them.
 ANNOUNCE_ROUNDS = 2
 ANNOUNCE_PAUSE_S = 0.1
-#: Versions of the list between two revisions of the source, for leases that expire
-#: meanwhile.
+#: Number of list versions reserved for each revision of the source: leases that expire
+#: between two revisions change the list too.
 EXPIRIES_PER_REVISION = 256
 
 
 class Relay:
     """
-    Decides whether this gateway reads, and offers and fetches documents.
+    Decides whether this gateway reads the source; offers and fetches documents.
 
     Invariant: a document replaces only an older one (``documents.is_newer``).
     """
@@ -57,7 +57,7 @@
         self.state = gateway_state
         self.fleet = gateway_fleet
         self.link = link
-        # Not stopped with the gateway: they end with their fetch or announcement.
+        # Not cancelled at shutdown: each ends with its fetch or announcement.
         self.tasks = background.BackgroundTasks()
         self.exchange = document_exchange.DocumentExchange(
             link, self._receive, self.tasks
@@ -74,7 +74,7 @@
         )
 
     async def run(self) -> None:
-        """Ask whoever reads for the zone for newer documents until cancelled."""
+        """Poll the zone's reader for newer documents until cancelled."""
         while True:
             targets = self._poll_addresses()
             if targets:
@@ -91,26 +91,26 @@
         return self.election.must_read(self.fleet.readers(), self.state.clock.now())
 
     def start_wait_left_s(self) -> float:
-        """Return for how many seconds yet a peer may spare the first reading."""
+        """Return for how many more seconds to wait for a peer before the first read."""
         if not self._awaits_first_peer():
             return 0.0
         return self.started_at + self._start_wait_s() - self.state.clock.now()
 
     def is_reader(self) -> bool:
-        """Tell whether reading for its zone is this gateway's duty."""
+        """Tell whether this gateway ranks first to read for its zone."""
         return self.fleet.readers()[:1] == [self.state.config.host]
 
     def announce_reading(self) -> None:
-        """Let the zone know that this gateway reads the source from now on."""
+        """Announce to the zone that this gateway reads the source from now on."""
         self._begin_announcing()
 
     def _awaits_first_peer(self) -> bool:
         """
-        Tell whether a peer may yet spare this gateway's first reading.
+        Tell whether this gateway still waits for a peer before its first read.
 
-        Seeds do not wait: somebody has to read first. The others wait in turn
-        (``reader_duty.start_wait_s``), and longer once a peer has answered, which may
-        soon have read.
+        Seeds do not wait, as some gateway has to read first. The others wait for
+        staggered times (``reader_duty.start_wait_s``), and longer once a peer has
+        answered, as that peer may be about to complete its read.
         """
         config = self.state.config
         if not config.peers or config.peer_listen in config.peers:
@@ -120,7 +120,7 @@
         return self.state.clock.now() - self.started_at < self._start_wait_s()
 
     def _start_wait_s(self) -> float:
-        """Return for how long after its start this gateway waits for a peer."""
+        """Return how many seconds after its start this gateway waits for a peer."""
         if self.election.has_heard_peer:
             return max(self.first_peer_wait_s, ANSWERED_START_WAIT_S)
         return self.first_peer_wait_s
@@ -137,7 +137,7 @@
     # Offering
 
     def publish(self, revision: int, era: int | None = None) -> None:
-        """Offer what was read up to ``revision`` of the source to the peers."""
+        """Offer the peers what was read up to ``revision`` of the source."""
         version = revision * EXPIRIES_PER_REVISION
         if era is None:
             self._publish(version, None)
@@ -145,7 +145,7 @@
             self._publish(version, documents.SourcePosition(era, version))
 
     def publish_expiry(self) -> None:
-        """Offer the list after a lease has expired without a change in the source."""
+        """Offer the peers the list after a lease expired without a new revision."""
         held = self.state.fence.held(documents.DocumentKind.HOSTS)
         position = held.position
         if position is not None:
@@ -186,7 +186,11 @@
     def _is_newer_position(
         self, position: documents.SourcePosition, held: documents.Document
     ) -> bool:
-        """Tell whether ``position`` is newer than ``held``, by era if that has none."""
+        """
+        Tell whether ``position`` is newer than that of ``held``.
+
+        If ``held`` has none, the era is compared with that of the last document.
+        """
         if held.position is not None:
             return position > held.position
         return self._last_era is not None and position.era > self._last_era
@@ -204,7 +208,7 @@
         self._begin_announcing()
 
     def _begin_announcing(self) -> None:
-        """Announce for some rounds from now on; news meanwhile share the rounds."""
+        """Start the announcement rounds, or start them over if they are under way."""
         self._announce_rounds = ANNOUNCE_ROUNDS
         if not self._is_announcing:
             self._is_announcing = True
@@ -212,10 +216,10 @@
 
     async def _announce(self) -> None:
         """
-        Send the versions held to a few peers and those of the zone at once, then again.
+        Send the versions held to a few random peers and all of the zone, in rounds.
 
-        Only readers do: were every gateway that fetches a document to announce
-        it, one change would cost many messages for each member of the fleet.
+        Only readers do so: if every gateway that fetches a document announced it, one
+        change would cost many messages for each member of the fleet.
         """
         try:
             while self._announce_rounds > 0 and self.state.reads_source:
@@ -239,7 +243,7 @@
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Note whether the sender reads; fetch documents that are newer there."""
+        """Record whether the sender reads; fetch the documents it has newer."""
         sender = message.sender
         now = self.state.clock.now()
         self.election.note_peer(now)
@@ -251,21 +255,25 @@
             self.exchange.fetch(sender.peer_address, handled.newer)
 
     def _receive(self, document: documents.Document) -> None:
-        """Put a peer's document in force where it is newer."""
+        """Apply a peer's document if it is newer, and offer it to others."""
         if self.state.fence.judge(document) is not documents.Offer.APPLIED:
             return
         try:
             self._apply(document)
         except msgspec.MsgspecError as error:
-            # One that a peer of another release writes in another form: what is
-            # in force stays.
+            # A peer of another release may encode the document in another form; the
+            # one in force is kept.
             reason = f"{document.kind.name}: {error}"
             events.emit(events.Event.PEER_DROPPED, reason=reason)
             return
         self._offer(document)
 
     def _apply(self, document: documents.Document) -> None:
-        """Decode a document and put it in force; raise MsgspecError if that fails."""
+        """
+        Decode a document and apply it.
+
+        Raise MsgspecError if it can't be decoded.
+        """
         if document.kind is documents.DocumentKind.BUNDLE:
             configuration = msgspec.json.decode(
                 document.body, type=routing.Configuration
--- a/spindlenotch/gateway/source/source_reader.py
+++ b/spindlenotch/gateway/source/source_reader.py
@@ -1,10 +1,9 @@
 """
-Reads the source of configuration and upstreams while it is this gateway's duty.
+Reads configuration and upstreams from the source while this gateway is the reader.
 
-Reads everything once, then follows what changes; what changed is put into the
-state and published to the peers that do not read (see ``relay``). The wait of
-one call is bounded, so that an answer that was lost on the way blinds the
-gateway for a known time only.
+Reads a full snapshot once, then follows changes by long polling. Changes are applied
+to the state and published to the peers that do not read (see ``relay``). Each call has
+a time limit, so that a lost response delays updates for a bounded time only.
 """
 
 import asyncio
@@ -15,42 +14,43 @@
 from spindlenotch.gateway.source import sources
 from spindlenotch.kernel import backoff
 
-#: Longest wait of one call; also bounds how long a lost answer goes unseen. A longer
-#: wait costs fewer calls.
+#: Maximum time in seconds that a call waits for changes; also the time until a lost
+#: response is noticed. A longer wait needs fewer calls.
 FOLLOW_TIMEOUT_S = 2.4
-#: Changes within this time of each other are fetched by one call. Docs/CAPACITY.md,
-#: "The gateway on the grown site", has the calls.
+#: Seconds to wait after a change before the next call, so that changes in quick
+#: succession are fetched together. The number of calls is in docs/CAPACITY.md, "The
+#: gateway on the grown site".
 BATCH_WINDOW_S = 0.1
-#: Time between two looks whether this gateway must read: most of a fleet need not,
-#: and idle loops take processor time.
+#: Seconds between checks of whether this gateway must read. Most gateways are on
+#: standby, and frequent checks would waste processor time.
 STANDBY_CHECK_S = 0.2
-#: Bounds of the wait after a call that failed.
+#: Minimum and maximum backoff in seconds after a failed call.
 MIN_BACKOFF_S = 0.15
 MAX_BACKOFF_S = 0.8
 
 
 class Publisher(typing.Protocol):
-    """What decides who reads, and passes on to peers what was read."""
+    """Decides whether this gateway reads, and distributes what was read to peers."""
 
     def must_read(self) -> bool:
         """Tell whether this gateway has to read the source itself."""
 
     def start_wait_left_s(self) -> float:
-        """Return for how many seconds yet a peer may spare the first reading."""
+        """Return for how many more seconds to wait for a peer before the first read."""
 
     def announce_reading(self) -> None:
-        """Let the zone know that this gateway reads the source from now on."""
+        """Announce to the zone that this gateway reads the source from now on."""
 
     def publish(self, revision: int, era: int | None) -> None:
-        """Offer what was read up to ``revision`` of the source to the peers."""
+        """Offer the peers what was read up to ``revision`` of the source."""
 
 
 class SourceReader:
     """
-    Follows one source.
+    Reads one source and follows its changes.
 
-    Invariant: after a fault nothing that was in force is dropped; what
-    changed meanwhile is read when the source answers again.
+    Invariant: a fault of the source drops nothing that was in force; changes made in
+    the meantime are read when the source is reachable again.
     """
 
     def __init__(
@@ -68,23 +68,23 @@
         self._backoff = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_BACKOFF_S)
 
     async def run(self) -> None:
-        """Read and follow the source, while it is this gateway's duty."""
+        """Read and follow the source whenever this gateway is the reader."""
         while True:
             if self.publisher.must_read():
                 await self._read_or_wait()
             else:
-                # What changes meanwhile comes from peers.
+                # On standby, changes arrive from peers.
                 self.state.reads_source = False
                 self.revision = None
                 await self._wait_on_standby()
 
     async def _wait_on_standby(self) -> None:
         """
-        Wait until it may be this gateway's duty to read.
+        Wait until the next check of whether this gateway must read.
 
-        A first reading that a peer may spare is not put off for longer: checked only
-        every ``STANDBY_CHECK_S``, a fleet that had lost power served its first request
-        0.2 s later than it could.
+        Wakes up no later than the wait for a first peer ends: with checks only every
+        ``STANDBY_CHECK_S``, a fleet that had lost power served its first request 0.2 s
+        later than it could have.
         """
         start_wait_s = self.publisher.start_wait_left_s()
         if 0.0 < start_wait_s < STANDBY_CHECK_S:
@@ -93,7 +93,7 @@
             await self.state.wakeups.sleep(STANDBY_CHECK_S)
 
     async def _read_or_wait(self) -> None:
-        """Make one call; wait a while after one that failed."""
+        """Make one call to the source; back off if it fails."""
         fault = await self._call()
         is_starting = fault is None and not self.state.reads_source
         self.state.reads_source = fault is None
@@ -103,7 +103,7 @@
             self._backoff.reset()
             self._report(is_unreachable=False, reason="")
         elif fault is sources.SourceFault.HISTORY_GONE:
-            # Changes since the last revision are no longer held: read anew.
+            # The source has discarded changes since the last revision: read a snapshot.
             self.revision = None
         else:
             self.state.listing.note_fault(self.state.clock.now())
@@ -124,7 +124,8 @@
             return snapshot
         self.revision = snapshot.revision
         self.era = snapshot.era
-        # Only where a peer's list came meanwhile: a source that was set back counts.
+        # Only if a peer's list was applied during the call: otherwise a lower revision
+        # means that the source was reset, and its snapshot is valid.
         is_overtaken = (
             listing.era,
             listing.revision,
@@ -139,7 +140,7 @@
         if isinstance(changes, sources.SourceFault):
             return changes
         if changes.era != self.era:
-            # After a restore, changes at revisions up to ``after`` would be missed.
+            # The source was restored: changes up to revision ``after`` would be missed.
             return sources.SourceFault.HISTORY_GONE
         self.revision = max(after, changes.revision)
         if self.state.apply_changes(changes):
@@ -148,7 +149,7 @@
         return None
 
     def _report(self, *, is_unreachable: bool, reason: str) -> None:
-        """Log when the source was lost or answers again."""
+        """Log when the source becomes unreachable or reachable again."""
         if is_unreachable == self.is_unreachable:
             return
         self.is_unreachable = is_unreachable
