--- a/spindlenotch/gateway/source/lease_expiry.py
+++ b/spindlenotch/gateway/source/lease_expiry.py
@@ -1,8 +1,8 @@
 """
-Whether leases expired because they could not be renewed.
+Tells leases that expired in an outage of the source from upstreams that left.
 
-Pure. Answers an outage of the source: its upstreams live, but their leases run out
-meanwhile. ``Listing`` asks, and keeps such upstreams for ``GRACE_S``.
+Pure. In an outage the upstreams are alive but can't renew their leases, which expire.
+``Listing`` keeps such upstreams for ``GRACE_S``.
 """
 
 from collections import abc
@@ -10,15 +10,15 @@
 from spindlenotch import ids
 from spindlenotch.gateway.source import leases, sources
 
-#: Leases that vanish this soon after the source was out of reach may have expired
-#: because they could not be renewed.
+#: Seconds after the source was last unreachable in which a lease that vanishes may have
+#: expired because it could not be renewed.
 OUTAGE_WINDOW_S = 4.0
-#: How long an upstream whose lease expired in an outage still gets work. Those
-#: that live are listed again about two seconds after the source's return, as its
-#: operators say.
+#: Seconds for which an upstream whose lease expired in an outage still gets work. Live
+#: ones are listed again about two seconds after the source is back, according to its
+#: operators.
 GRACE_S = 2.2
-#: More than this share of a service must vanish at once to count as expired in the
-#: outage; fewer have left.
+#: More than this share of a service's leases must vanish at once to count as expired in
+#: the outage; if fewer do, their upstreams have left.
 MASS_EXPIRY_SHARE = 0.3
 
 
@@ -30,12 +30,13 @@
     now: ids.Instant,
 ) -> bool:
     """
-    Tell whether a lease expired in an outage of the source and its upstream lives.
+    Tell whether a lease expired in an outage of the source and its upstream is alive.
 
     ``vanished`` are all leases of ``known`` that vanished at once; ``fault_at`` is when
-    the source was out of reach last. Many of one service that vanish together right
-    after an outage could more likely not renew their leases than left; to drop them
-    would leave the service without upstreams. One that was draining has left.
+    the source was last unreachable. If many upstreams of one service vanish together
+    right after an outage, they more likely failed to renew their leases than left, and
+    dropping them would leave the service without upstreams. One that was draining has
+    left.
     """
     if now - fault_at >= OUTAGE_WINDOW_S:
         return False
--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -1,9 +1,9 @@
 """
-What one entry of the source means for its upstream: the same one, or another.
+Leases of upstreams, and whether an entry of the source is of the same upstream.
 
-Pure. The same id is another upstream where it tells another start (``born``). Starts
-are compared for being equal only: clocks jump, so the later one need not be the larger
-number. ``Listing`` holds the leases and drops them.
+Pure. An entry with the same id but another start (``born``) is another upstream. Starts
+are compared for equality only: clocks jump, so a later start may have a smaller value.
+``Listing`` holds the leases and drops them.
 """
 
 import msgspec
@@ -17,10 +17,10 @@
     """
     One upstream as the source lists it.
 
-    ``drop_at`` is NEVER while it is listed; else the end of its grace. ``leave_at``
-    is NEVER unless its zone is evacuated. ``is_start_known``: what lists it would
-    have told its start; gateways of earlier releases leave that out of what they
-    pass on.
+    ``drop_at`` is NEVER while it is listed, then the end of its grace period.
+    ``leave_at`` is when it gets no more work because its zone is evacuated, else NEVER.
+    ``is_start_known``: whoever listed it would have reported its start; gateways of
+    earlier releases omit the start from the lists that they forward.
     """
 
     listed: sources.ListedUpstream
@@ -30,7 +30,7 @@
     is_start_known: bool = True
 
     def is_unchanged(self, listed: sources.ListedUpstream) -> bool:
-        """Tell whether it is still listed, and in the same words."""
+        """Tell whether it is still listed, with an identical entry."""
         return self.drop_at == ids.NEVER and self.listed == listed
 
     def is_in_use(self, now: ids.Instant) -> bool:
@@ -40,11 +40,11 @@
 
     def is_same_start(self, listed: sources.ListedUpstream) -> bool:
         """
-        Tell whether an entry is of the start that this lease is of.
+        Tell whether an entry and this lease are of the same start of the upstream.
 
-        One that tells its start and one that tells none differ: who begins or ceases
-        to tell it runs other software, and has started for that. Where a peer left
-        the start out, nothing is known of it, and it is taken for the same.
+        An entry that reports a start and one that does not are of different starts: the
+        upstream runs other software, for which it had to restart. If a peer omitted the
+        start, it is unknown and is assumed to be the same.
         """
         if self.listed.born is None and not self.is_start_known:
             return True
@@ -58,9 +58,10 @@
     next_generation: int,
 ) -> Lease:
     """
-    Return the lease of a listed upstream that held ``lease`` before.
+    Return the lease of a listed upstream whose previous lease is ``lease``.
 
-    It has ``next_generation`` where it begins anew: its estimates count no longer.
+    It has ``next_generation`` if the upstream is new, has restarted or has moved, which
+    invalidates its estimates.
     """
     if lease is None:
         return Lease(
@@ -78,7 +79,7 @@
         generation = next_generation
     warming_up_until = ids.later(now, listed.cold_s)
     if not restarted:
-        # It may become cold again at any time, and tells that in its record.
+        # An upstream may become cold again at any time; its entry reports that.
         warming_up_until = max(warming_up_until, lease.spec.warming_up_until)
     spec = _spec(listed, generation, warming_up_until)
     return Lease(listed, spec, leave_at=lease.leave_at)
@@ -87,7 +88,7 @@
 def with_known_start(
     listed: sources.ListedUpstream, lease: Lease | None
 ) -> sources.ListedUpstream:
-    """Return an entry of a peer's list, with the known start where it tells none."""
+    """Return a peer's entry, with the known start if the entry has none."""
     if lease is None or listed.born is not None:
         return listed
     return msgspec.structs.replace(listed, born=lease.listed.born)
--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -1,10 +1,10 @@
 """
-The upstreams of each service, and when one that vanished is still believed in.
+The known upstreams, and how long one whose lease vanished stays in use.
 
-Pure. An upstream holds a lease in the source; the rule on expired leases is
-``lease_expiry``, that on evacuated zones ``decisions.evacuation``, and what
-makes it another upstream lies in ``leases``. Owns the generation of each upstream,
-which rises when it is listed anew, starts again or its zone is taken back into use.
+Pure. An upstream holds a lease in the source. ``lease_expiry`` has the rule on expired
+leases, ``decisions.evacuation`` that on evacuated zones, and ``leases`` decides whether
+an entry is of the same upstream. Owns the generation of each upstream, which rises when
+it is listed again, restarts or the evacuation of its zone ends.
 """
 
 from collections import abc
@@ -18,7 +18,7 @@
 
 
 class EndedUpstream(msgspec.Struct, frozen=True):
-    """An upstream that is gone; ``is_replaced``: the same id has started again."""
+    """An upstream that has ended; ``is_replaced``: it restarted under the same id."""
 
     listed: sources.ListedUpstream
     is_replaced: bool
@@ -26,14 +26,13 @@
 
 class Listing:
     """
-    Upstreams by id.
-
-    Invariants: an upstream that says it is draining, or whose lease vanished
-    while the source was in reach, is not in ``specs``, nor is one of an evacuated
-    zone once its time to leave has come; one that is listed again, or has started
-    again, gets a higher generation. ``evacuate_s`` is the operator's bound on
-    evacuations in seconds; ``revision`` and ``era`` are those of the source when the
-    list was read.
+    The leases of all known upstreams, by id.
+
+    Invariants: ``specs`` excludes upstreams that are draining, those whose lease
+    vanished while the source was reachable, and those of an evacuated zone from their
+    ``leave_at`` on; an upstream that is listed again or has restarted gets a higher
+    generation. ``evacuate_s`` is the operator's time limit for evacuations in seconds;
+    ``revision`` and ``era`` are those of the source when the list was read.
     """
 
     def __init__(self, evacuate_s: float = 0.0) -> None:
@@ -66,13 +65,13 @@
         return self.revision > revision
 
     def note_fault(self, now: ids.Instant) -> None:
-        """Note that the source could not be read."""
+        """Record that the source could not be read."""
         self.fault_at = now
 
     def replace(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Put the source's whole list in place of what is known."""
+        """Replace the known upstreams by the source's full list."""
         listed_by_id = {upstream.id: upstream for upstream in listed}
         missing = [
             upstream_id
@@ -85,7 +84,11 @@
     def replace_by_peer(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Put a peer's whole list in place; the peer has judged expired leases."""
+        """
+        Replace the known upstreams by a peer's full list.
+
+        The peer has applied the rule on expired leases already.
+        """
         listed_by_id = {
             upstream.id: leases.with_known_start(
                 upstream, self.lease_by_id.get(upstream.id)
@@ -109,19 +112,19 @@
         )
         self.add(listed_by_id.values(), now)
         for lease in self.lease_by_id.values():
-            # Peers of earlier releases leave the start out.
+            # Peers of earlier releases omit the start.
             lease.is_start_known = lease.listed.born is not None
 
     def listed(self, now: ids.Instant) -> tuple[sources.ListedUpstream, ...]:
-        """Return the whole list for a peer; ``cold_s`` counts from now."""
+        """Return the full list for a peer; ``cold_s`` counts from ``now``."""
         return tuple(self._for_peer(lease, now) for lease in self.lease_by_id.values())
 
     def evacuate(self, zones: frozenset[ids.ZoneName], now: ids.Instant) -> None:
         """
-        Let the upstreams of just these zones get no new work.
+        Set the evacuated zones, whose upstreams get no new work.
 
-        Those known already leave by and by; those of zones that are no longer
-        evacuated are in use again at once.
+        The known upstreams of a newly evacuated zone are taken out of use gradually;
+        those of zones that are no longer evacuated are in use again at once.
         """
         if zones == self.evacuated_zones:
             return
@@ -155,7 +158,7 @@
         restored: frozenset[ids.ZoneName],
         now: ids.Instant,
     ) -> bool:
-        """Apply changes to the evacuated zones; tell whether there was any."""
+        """Apply changes to the evacuated zones; tell whether any zone changed."""
         self._retained_zones -= evacuated | restored
         zones = (self.evacuated_zones | evacuated) - restored
         is_changed = zones != self.evacuated_zones
@@ -171,7 +174,7 @@
         return True
 
     def leave_due(self, now: ids.Instant) -> bool:
-        """Tell whether upstreams have left for an evacuation since the last call."""
+        """Tell whether any upstream was evacuated since the last call."""
         if now < self._next_leave_at:
             return False
         self._schedule_leaving(now)
@@ -180,7 +183,7 @@
     def add(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Add upstreams that are new or have changed; end the grace of all given."""
+        """Add new or changed upstreams; end the grace period of all that are given."""
         for upstream in listed:
             lease = self.lease_by_id.get(upstream.id)
             if lease is not None and not lease.is_same_start(upstream):
@@ -192,7 +195,7 @@
             lease.is_start_known = True
 
     def remove(self, gone: abc.Iterable[ids.UpstreamId], now: ids.Instant) -> None:
-        """Drop upstreams that the source no longer lists, or begin their grace."""
+        """Drop upstreams no longer listed, or start their grace period."""
         vanished = [
             self.lease_by_id[upstream_id]
             for upstream_id in gone
@@ -208,7 +211,7 @@
         self.drop_expired(now)
 
     def drop_expired(self, now: ids.Instant) -> bool:
-        """Drop upstreams whose grace is over; tell whether there was any."""
+        """Drop upstreams whose grace period is over; tell whether there was any."""
         expired = [
             upstream_id
             for upstream_id, lease in self.lease_by_id.items()
@@ -221,10 +224,10 @@
         self, upstream_ids: abc.Iterable[ids.UpstreamId], now: ids.Instant
     ) -> bool:
         """
-        Drop upstreams at once, without grace; tell whether there was any.
+        Drop upstreams without a grace period; tell whether there was any.
 
-        Also those whose entries can't be used: such an entry was written, so that its
-        upstream did not merely fail to renew its lease.
+        Includes those whose entries are invalid: such an entry was written recently, so
+        its upstream did not just fail to renew its lease.
         """
         dropped = [
             upstream_id
@@ -236,7 +239,7 @@
         return bool(dropped)
 
     def take_ended(self) -> list[EndedUpstream]:
-        """Return the upstreams that are gone since the last call."""
+        """Return the upstreams that have ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -250,11 +253,11 @@
         listed: sources.ListedUpstream,
         now: ids.Instant,
     ) -> leases.Lease:
-        """Return the lease of a listed upstream, a new one where it holds none."""
+        """Return the renewed lease of a listed upstream, or a new one."""
         self._generation += 1
         found = leases.renewed(lease, listed, now, self._generation)
         if found.leave_at == ids.NEVER and listed.zone in self.evacuated_zones:
-            # One that is new in an evacuated zone never gets any work.
+            # An upstream that starts in an evacuated zone gets no work at all.
             found.leave_at = now
         return found
 
@@ -285,7 +288,7 @@
     def _for_peer(
         self, lease: leases.Lease, now: ids.Instant
     ) -> sources.ListedUpstream:
-        """Return what a peer is told of an upstream."""
+        """Return the entry of an upstream in the list for peers."""
         listed = msgspec.structs.replace(
             lease.listed, cold_s=max(0.0, lease.spec.warming_up_until - now)
         )
@@ -299,7 +302,11 @@
         )
 
     def _cancel_evacuation(self, lease: leases.Lease, now: ids.Instant) -> None:
-        """Let an upstream whose zone is not evacuated get work if it did not."""
+        """
+        Put an upstream whose zone is not evacuated back in use.
+
+        It gets a new generation if it was out of use.
+        """
         if lease.leave_at <= now:
             self._generation += 1
             lease.spec = msgspec.structs.replace(
@@ -308,6 +315,6 @@
         lease.leave_at = ids.NEVER
 
     def _schedule_leaving(self, now: ids.Instant) -> None:
-        """Note when the next upstream leaves for an evacuation."""
+        """Record when the next upstream of an evacuated zone goes out of use."""
         coming = [one.leave_at for one in self.lease_by_id.values()]
         self._next_leave_at = min((at for at in coming if at > now), default=ids.NEVER)
--- a/spindlenotch/gateway/source/sources.py
+++ b/spindlenotch/gateway/source/sources.py
@@ -1,9 +1,9 @@
 """
-Where a gateway learns its configuration, upstreams and peers, and in which form.
+Interface and data types of the source of configuration, upstreams and peers.
 
-A driver registers itself in ``SOURCES`` and turns what the platform holds into
-the types here. Each layer has its own faults; a driver turns the platform's
-into ``SourceFault`` or ``BadItem``.
+A driver registers itself in ``SOURCES`` and converts the records of its platform into
+these types. Each layer has its own faults; a driver converts those of the platform to
+``SourceFault`` or ``BadItem``.
 """
 
 import enum
@@ -18,41 +18,42 @@
 
 
 class SourceFault(enum.Enum):
-    """Why the source gave no answer that can be used."""
+    """Why a call to the source returned no usable response."""
 
     UNAVAILABLE = "unavailable"
     OVER_LIMIT = "over-limit"
     HISTORY_GONE = "history-gone"
-    #: What was to be replaced has changed since it was read.
+    #: The record to be replaced has changed since it was read.
     CONFLICT = "conflict"
 
 
 class UpstreamState(enum.Enum):
-    """What the source says of an upstream."""
+    """State of an upstream according to the source."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class RolloutState(enum.Enum):
-    """What the source says has become of an order to change a service's version."""
+    """State of a version rollout according to the source."""
 
     RUNNING = "running"
     COMPLETED = "completed"
     ROLLED_BACK = "rolled-back"
 
 
-#: The target of a status that can't be read.
+#: Target of a rollout status that can't be decoded.
 NO_TARGET = ids.SoftwareVersion("")
 
 
 class RolloutOrder(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    An operator's order: a service's requests are to move to a version, its target.
+    An operator's order to move the requests of a service to a version, its target.
 
-    It must have ended ``by_s`` seconds after it was written. ``revision`` is the
-    source's revision at which it was written and identifies it within ``era``. ``era``
-    is the source's era in which it was read, None where the source reports none.
+    The rollout must end within ``by_s`` seconds after the order was written.
+    ``revision`` is the source's revision at which the order was written and identifies
+    it within ``era``. ``era`` is the source's era when the order was read, None if the
+    source reports none.
     """
 
     service: ids.ServiceName
@@ -64,9 +65,9 @@
 
 class RolloutStatus(msgspec.Struct, frozen=True):
     """
-    What has become of an order, as the source holds it.
+    Status of a rollout order as stored in the source.
 
-    ``revision`` is that at which it was written; zero where the source holds none yet.
+    ``revision`` is that at which it was written; zero if the source holds none yet.
     """
 
     service: ids.ServiceName
@@ -77,9 +78,10 @@
 
 class RolloutAnnotation(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    What a peer's list says on each upstream of a service that has an order or a status.
+    Rollout data that a peer's list carries with each upstream of a service.
 
-    ``left_s``: for how many seconds after the list was made the order may run yet.
+    Set if the service has an order or a status. ``left_s`` is how many seconds the
+    order may still run, counted from when the list was made.
     """
 
     order: RolloutOrder | None = None
@@ -91,14 +93,13 @@
     """
     An upstream as the source lists it.
 
-    ``slots`` is how many requests it runs at once; ``cold_s`` is for how many
-    seconds after reading it is still slow from its start. ``version`` is that of its
-    software, empty where it tells none. ``born`` is the Unix time in ms of its start,
-    None where it does not say; the same id with another one is another upstream.
-    ``is_evacuated``: it gets
-    no new work because its zone is evacuated; a peer's list gives its state as
-    draining then, so that gateways which do not know this field send nothing there.
-    ``rollout`` is set only in a peer's list.
+    ``slots`` is the number of requests that it runs concurrently. ``cold_s`` is for how
+    many seconds after the read it is still slow because of its cold start. ``version``
+    is that of its software, empty if it reports none. ``born`` is the Unix time of its
+    start in ms, None if it reports none; the same id with another ``born`` is another
+    upstream. ``is_evacuated``: it gets no new work because its zone is evacuated; a
+    peer's list gives its state as draining then, so that gateways which do not know
+    this field send no requests to it. ``rollout`` is set only in a peer's list.
     """
 
     id: ids.UpstreamId
@@ -115,7 +116,7 @@
 
 
 class BadItem(msgspec.Struct, frozen=True):
-    """Something in the source that can't be used, and why."""
+    """An invalid item in the source, and why it can't be used."""
 
     key: str
     reason: str
@@ -123,10 +124,10 @@
 
 class DiscoveryRecord(msgspec.Struct, frozen=True):
     """
-    The address by which gateways that know no peer find one of a zone.
+    Address of one gateway of a zone, for gateways that know no peer.
 
-    ``revision`` is that of the source at which it was written; zero where the
-    source holds none yet.
+    ``revision`` is that of the source at which it was written; zero if the source
+    holds none yet.
     """
 
     zone: ids.ZoneName
@@ -136,10 +137,11 @@
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
     """
-    A request that ends the upstreams that run it, as the source holds it.
+    A quarantined request, which crashes the upstreams that run it, as stored.
 
-    ``until_unix_s`` is the wall-clock time until which it is not sent. ``revision`` is
-    that of the source at which it was written; zero where the source holds none yet.
+    ``until_unix_s`` is the Unix time in seconds until which it is not sent.
+    ``revision`` is that of the source at which it was written; zero if the source holds
+    none yet.
     """
 
     note: crash_notes.CrashNote
@@ -149,13 +151,14 @@
 
 class Snapshot(msgspec.Struct, frozen=True):
     """
-    Everything the source holds; changes after ``revision`` are not in it.
+    Everything the source holds as of ``revision``.
 
-    ``configuration`` is None where there is none yet. ``unusable`` are upstreams of
-    which the source holds what can't be used. No new work goes to the upstreams of
-    ``evacuated_zones``. ``unreadable_orders``: the services whose order can't be read,
-    which leaves the one before in force. ``era`` increases each time the source is
-    restored from a backup, which may decrease its revisions; None if it reports no era.
+    ``configuration`` is None if there is none yet. ``bad`` holds the invalid items;
+    ``unusable`` are the upstreams whose entries are invalid. The upstreams of
+    ``evacuated_zones`` get no new work. ``unreadable_orders`` are the services whose
+    rollout order can't be decoded, so that the previous one stays in force. ``era``
+    increases each time the source is restored from a backup, which may decrease its
+    revisions; None if the source reports no era.
     """
 
     revision: int
@@ -174,13 +177,13 @@
 
 class Changes(msgspec.Struct, frozen=True):
     """
-    What has changed up to ``revision``; only the newest state of each item.
+    Changes up to ``revision``, with only the newest state of each item.
 
-    ``unusable`` are upstreams whose entry now can't be used, whatever it was before.
-    ``evacuated_zones`` are those newly evacuated, ``restored_zones`` those whose
-    evacuation was taken back. Orders and statuses are None where they are gone.
-    ``released`` are requests whose quarantine an operator has taken away. ``era`` has
-    the same meaning as in ``Snapshot``.
+    ``gone`` are the upstreams that are no longer listed; ``unusable`` are those whose
+    entries have become invalid. ``evacuated_zones`` are newly evacuated;
+    ``restored_zones`` are those whose evacuation was revoked. Orders and statuses are
+    None if they were deleted. ``released`` are the requests whose quarantine an
+    operator has lifted. ``era`` has the same meaning as in ``Snapshot``.
     """
 
     revision: int
@@ -200,35 +203,35 @@
 
 
 class Source(typing.Protocol):
-    """Reads configuration and upstreams; calls are counted and priced."""
+    """Reads configuration and upstreams; each call is counted and has a cost."""
 
     async def read(self) -> Snapshot | SourceFault:
-        """Read everything."""
+        """Return a snapshot of everything that the source holds."""
 
     async def follow(self, after: int, wait_s: float) -> Changes | SourceFault:
-        """Return what changed after a revision; wait ``wait_s`` seconds at most."""
+        """Return the changes after a revision; wait at most ``wait_s`` seconds."""
 
     async def write_discovery_record(
         self, record: DiscoveryRecord
     ) -> SourceFault | None:
-        """Replace the record of the same zone if it is still of that ``revision``."""
+        """Replace the record of the same zone if its ``revision`` is unchanged."""
 
     async def write_rollout_status(
         self, order: RolloutOrder, status: RolloutStatus
     ) -> int | SourceFault:
         """
-        Replace a status if it is still of that ``revision``, and the order as well.
+        Replace a status if its ``revision`` and that of the order are unchanged.
 
-        Return the revision at which it was written.
+        Return the revision at which the status was written.
         """
 
     async def write_quarantine(
         self, quarantine: StoredQuarantine
     ) -> SourceFault | None:
-        """Replace the record of the same request if it is still of that revision."""
+        """Replace the record of the same request if its revision is unchanged."""
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 SOURCES: registry.Registry[abc.Callable[[str], Source]] = registry.Registry("source")
