--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -68,17 +68,17 @@
             listed, _spec(listed, next_generation, ids.later(now, listed.cold_s))
         )
     before = lease.listed
-    restarted = before.state is not listed.state
+    has_state_changed = before.state is not listed.state
     moved = (before.service, before.zone, before.address) != (
         listed.service,
         listed.zone,
         listed.address,
     )
     generation = lease.spec.generation
-    if restarted or moved:
+    if has_state_changed or moved:
         generation = next_generation
     warming_up_until = ids.later(now, listed.cold_s)
-    if not restarted:
+    if not has_state_changed:
         # An upstream may become cold again at any time; its entry reports that.
         warming_up_until = max(warming_up_until, lease.spec.warming_up_until)
     spec = _spec(listed, generation, warming_up_until)
