--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -69,13 +69,13 @@
         )
     before = lease.listed
     has_state_changed = before.state is not listed.state
-    moved = (before.service, before.zone, before.address) != (
+    has_moved = (before.service, before.zone, before.address) != (
         listed.service,
         listed.zone,
         listed.address,
     )
     generation = lease.spec.generation
-    if has_state_changed or moved:
+    if has_state_changed or has_moved:
         generation = next_generation
     warming_up_until = ids.later(now, listed.cold_s)
     if not has_state_changed:
