--- a/spindlenotch/gateway/source/lease_expiry.py
+++ b/spindlenotch/gateway/source/lease_expiry.py
@@ -43,6 +43,6 @@
     if lease.listed.state is not sources.UpstreamState.READY:
         return False
     service = lease.listed.service
-    gone = sum(one.listed.service == service for one in vanished)
-    total = sum(one.listed.service == service for one in known)
+    gone = sum(other.listed.service == service for other in vanished)
+    total = sum(other.listed.service == service for other in known)
     return gone > MASS_EXPIRY_SHARE * total
