--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -55,7 +55,7 @@
     def summary(self) -> str:
         """Return what is wrong with all that is remembered; empty where nothing is."""
         logged = self._logged_by_key.items()
-        return "; ".join(f"{key}: {one.reason}" for key, one in logged)[
+        return "; ".join(f"{key}: {logged_item.reason}" for key, logged_item in logged)[
             :MAX_SUMMARY_CHARS
         ]
 
