--- a/spindlenotch/gateway/source/bad_items.py
+++ b/spindlenotch/gateway/source/bad_items.py
@@ -1,9 +1,9 @@
 """
-Which items of the source that can't be used are worth a log line.
+Rate limit and deduplication of log lines on invalid items of the source.
 
-Pure. Writers repeat themselves, several times a minute each: a line is written for
-what is new only, and their number is bounded whatever they write. The counter of
-refused items has them all. Owns what was said of each item.
+Pure. Writers repeat their entries several times a minute each: an item is logged only
+if its fault is new, and the number of lines is bounded. The counter of refused items
+counts every one. Owns the last logged fault of each item.
 """
 
 from collections import abc
@@ -13,22 +13,24 @@
 from spindlenotch import ids
 from spindlenotch.gateway.source import sources
 
-#: Items of which it is remembered what was said, the latest ones: about two for each
+#: Number of most recent items whose last logged fault is kept: about two for each
 #: upstream of the largest fleet that is planned for.
 MAX_REMEMBERED_ITEMS = 1000
-#: Seconds over which lines are counted: an operator who looks at a log sees that long.
+#: Seconds of the window in which lines are counted: about what an operator who reads a
+#: log looks at.
 WINDOW_S = 60.0
-#: Lines of one item in that time: an operator's few tries to mend it are all told, a
-#: writer whose every entry is odd in another way is not.
+#: Maximum number of lines for one item in a window: enough to log an operator's few
+#: attempts to fix it, but not a writer whose every entry has another fault.
 MAX_LINES_PER_ITEM = 5
-#: Lines of all items in that time: what one screen shows.
+#: Maximum number of lines for all items in a window: one screen.
 MAX_LINES = 50
-#: Longest account of all reasons, in characters: one line of a log or an answer.
+#: Maximum length of the summary of all faults in characters: one line of a log or a
+#: response.
 MAX_SUMMARY_CHARS = 500
 
 
 class _LoggedItem(msgspec.Struct):
-    """What was said last of one item, and how many lines up to ``window_end``."""
+    """Last logged fault of an item, and its lines in the window to ``window_end``."""
 
     reason: str
     lines: int
@@ -36,7 +38,11 @@
 
 
 class BadItemLog:
-    """The items that could not be used, the latest one last."""
+    """
+    Decides which invalid items are logged, and remembers the latest ones.
+
+    The item reported last comes last.
+    """
 
     def __init__(self) -> None:
         self._logged_by_key: dict[str, _LoggedItem] = {}
@@ -46,14 +52,14 @@
     def select_for_log(
         self, items: abc.Iterable[sources.BadItem], now: ids.Instant
     ) -> list[sources.BadItem]:
-        """Return those of which a line is to be written; they count as written."""
+        """Return the items to log, and count them as logged."""
         if now >= self._window_end:
             self._window_end = ids.later(now, WINDOW_S)
             self._lines = 0
         return [item for item in items if self._should_log(item)]
 
     def summary(self) -> str:
-        """Return what is wrong with all that is remembered; empty where nothing is."""
+        """Return the faults of all remembered items in one line; empty if none."""
         logged = self._logged_by_key.items()
         return "; ".join(f"{key}: {logged_item.reason}" for key, logged_item in logged)[
             :MAX_SUMMARY_CHARS
--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -1,11 +1,11 @@
 """
-Keeps one gateway of each zone in the source, for gateways that know no peer.
+Publishes the address of one gateway of each zone in the source, for peer discovery.
 
-Whoever reads the source finds these discovery records with everything else, so
-that a gateway whose seeds are all gone still finds the fleet, and halves of a
-fleet that lost each other find each other again. The reader of a zone writes
-its own address when another's stands there; that is a call to the source for
-each new reader, however many gateways there are.
+Every gateway that reads the source gets these discovery records. With them a gateway
+whose seeds are all gone still finds the fleet, and the parts of a partitioned fleet
+find each other again. The reader of a zone writes its own address if the record has
+another one; that is one call to the source for each new reader, whatever the size of
+the fleet.
 """
 
 from collections import abc
@@ -16,13 +16,13 @@
 from spindlenotch.gateway import state
 from spindlenotch.gateway.source import sources
 
-#: Time between two looks at the record of the zone.
+#: Seconds between checks of the zone's record.
 CHECK_PERIOD_S = 1.0
-#: How long a new reader waits before it writes: views differ while a fleet starts or
-#: heals.
+#: Seconds that a new reader waits before it writes: gateways disagree on the reader
+#: while a fleet starts or a partition heals.
 WRITE_DELAY_S = 3.0
-#: Least time between two writes, also of two gateways that both believe to be the
-#: reader.
+#: Minimum time between two writes in seconds; also limits the writes of two gateways
+#: that both consider themselves the reader.
 MIN_WRITE_INTERVAL_S = 6.0
 
 
@@ -46,7 +46,7 @@
         self.write_at = ids.NEVER
 
     async def run(self) -> None:
-        """Look after the record until cancelled."""
+        """Check the record periodically and write it if needed, until cancelled."""
         while True:
             await self.state.wakeups.sleep(CHECK_PERIOD_S)
             if self.due(self.state.clock.now()):
@@ -62,7 +62,7 @@
         return now >= self.write_at
 
     async def write(self) -> None:
-        """Write the own address in place of the record that was read last."""
+        """Replace the record that was read last by this gateway's address."""
         config = self.state.config
         self.write_at = ids.later(self.state.clock.now(), MIN_WRITE_INTERVAL_S)
         record = sources.DiscoveryRecord(config.zone, config.peer_listen)
@@ -79,7 +79,7 @@
         )
 
     def _is_write_needed(self) -> bool:
-        """Tell whether this gateway reads for its zone and another's address stands."""
+        """Tell whether this gateway is the zone's reader but not in its record."""
         gateway_state = self.state
         if not (
             gateway_state.ready and gateway_state.reads_source and self.is_reader()
--- a/spindlenotch/gateway/source/leases.py
+++ b/spindlenotch/gateway/source/leases.py
@@ -60,8 +60,8 @@
     """
     Return the lease of a listed upstream whose previous lease is ``lease``.
 
-    It has ``next_generation`` if the upstream is new, has restarted or has moved, which
-    invalidates its estimates.
+    It has ``next_generation`` if the upstream is new, its state has changed or it has
+    moved, which invalidates its estimates.
     """
     if lease is None:
         return Lease(
--- a/spindlenotch/gateway/source/region_rules.py
+++ b/spindlenotch/gateway/source/region_rules.py
@@ -1,8 +1,8 @@
 """
-Where requests of a route may be served: only in the regions that it allows.
+Restriction of routes to regions: where the requests of a route may be served.
 
-Pure rules on the configuration. Answers the operator's wish that what a route carries
-stays in some regions, whatever fails: a request that comes elsewhere is refused.
+Pure rules on the configuration. An operator can require that the data of a route stays
+in some regions whatever fails; a request that arrives in another region is refused.
 """
 
 from collections import abc
@@ -16,7 +16,7 @@
     """
     Tell whether requests of a route may be served in a region.
 
-    A gateway that knows no regions can't say that it lies in an allowed one.
+    A gateway without configured regions can't tell that it is in an allowed one.
     """
     if route.allowed_regions is None:
         return True
@@ -27,10 +27,10 @@
     routes: abc.Iterable[routing.Route | routing.RefusedRoute],
 ) -> frozenset[ids.RegionName] | None:
     """
-    Return the regions in which all of some routes may be served; None: anywhere.
+    Return the regions in which all of ``routes`` may be served; None: anywhere.
 
-    None too where they have no region in common: wherever their callers are sent,
-    some are refused.
+    Also None if the routes have no region in common, as some requests are then refused
+    in every region.
     """
     allowed: frozenset[ids.RegionName] | None = None
     for route in routes:
--- a/spindlenotch/gateway/source/routing.py
+++ b/spindlenotch/gateway/source/routing.py
@@ -1,10 +1,10 @@
 """
-The operator's configuration, and which route and service a request goes to.
+The operator's configuration, and the choice of a request's route and service.
 
-Pure: no I/O and no clock. A driver in ``sources`` checks what the platform holds
-and builds these types; gateways pass them on to each other with their field
-names (``Configuration`` is a peer document), so a renamed field splits a fleet.
-Units: seconds and bytes.
+Pure: no I/O and no clock. A driver (``sources``) validates the records of the platform
+and builds these types. Gateways send them to each other under their field names
+(``Configuration`` is a peer document): after a renamed field, gateways of two releases
+could not read each other's. Units: seconds and bytes.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 
 class RequestKind(enum.Enum):
-    """Whether requests may be repeated: only ``SAFE`` ones may run more than once."""
+    """Whether requests may be retried: only ``SAFE`` ones may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -27,7 +27,7 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """One service behind a route; shares are ``weight`` by the sum of weights."""
+    """A service of a route; its share is ``weight`` over the sum of all weights."""
 
     service: ids.ServiceName
     weight: float
@@ -35,14 +35,14 @@
 
 class Route(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Where requests of one host and path prefix go, and how they are treated.
-
-    ``timeout_s``: a request is answered at the latest after this many seconds.
-    ``target_s``: target latency in seconds. Both may be None: not set.
-    ``rank``: priority, 0 the most urgent.
-    ``most_tries``: how many upstreams a request may be sent to.
-    ``allowed_regions``: where its requests may be served; None: anywhere.
-    ``has_large_answers``: its answers are weighed by their bytes.
+    Services and settings for the requests of one host and path prefix.
+
+    ``timeout_s``: maximum time until a request is answered, in seconds.
+    ``target_s``: target latency in seconds. Both are None if not set.
+    ``rank``: priority; 0 is the highest.
+    ``most_tries``: maximum number of upstreams that a request is sent to.
+    ``allowed_regions``: regions in which requests may be served; None: anywhere.
+    ``has_large_answers``: the cost of its responses is counted by their bytes.
     """
 
     name: RouteName
@@ -65,9 +65,9 @@
 
 class RefusedRoute(msgspec.Struct, frozen=True):
     """
-    A route that can't be served as it is configured, and why.
+    A route that can't be served as configured, and why.
 
-    Its requests are refused, rather than served by a route with a shorter prefix.
+    Its requests are refused rather than served by a route with a shorter prefix.
     """
 
     name: RouteName
@@ -80,12 +80,12 @@
     """
     A service as the operator configures it.
 
-    ``health_path`` is probed for the load of its upstreams. ``connections`` is
-    how many each of them accepts from all callers together; the gateway does not
-    enforce it and passes it on to peers because the form on the wire holds it.
-    ``cold_rate_per_s`` is how many requests a second a cold one bears from all
-    gateways together, None where nothing bounds it; one that starts is cold for
-    ``cold_start_s`` seconds.
+    ``health_path`` is probed for the load of its upstreams. ``connections`` is how many
+    connections each upstream accepts from all callers together; the gateway does not
+    enforce it, and forwards it to peers because the wire format includes it.
+    ``cold_rate_per_s`` is how many requests per second a cold upstream can handle from
+    all gateways together, None if unlimited; an upstream is cold for ``cold_start_s``
+    seconds after its start.
     """
 
     name: ids.ServiceName
@@ -97,13 +97,12 @@
 
 class Limits(msgspec.Struct, frozen=True):
     """
-    What a caller may send and how long its connection may be idle.
+    Limits on the size of a caller's requests and the idle time of its connections.
 
-    The gateway enforces ``body_bytes`` (of a declared length) and
-    ``idle_timeout_s``. It does not enforce ``header_bytes`` and
-    ``header_timeout_s``: they are read and passed on to peers because the form
-    on the wire holds them. Request lines and header fields are bounded by
-    ``caller_listener`` instead.
+    The gateway enforces ``body_bytes`` (on declared lengths) and ``idle_timeout_s``. It
+    does not enforce ``header_bytes`` and ``header_timeout_s``: they are read and
+    forwarded to peers because the wire format includes them. ``caller_listener`` limits
+    request lines and header fields instead.
     """
 
     header_bytes: int = 16_384
@@ -114,10 +113,10 @@
 
 class Configuration(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    All routes, services and limits; a greater ``version`` replaces a smaller.
+    All routes, services and limits; a greater ``version`` replaces a smaller one.
 
-    ``refused_routes`` are those that can't be served as they are configured,
-    ``remarks`` say what else was passed over or read with caution.
+    ``refused_routes`` are those that can't be served as configured. ``remarks`` name
+    other settings that were ignored or replaced by cautious ones.
     """
 
     version: int
@@ -132,7 +131,7 @@
     """
     Finds the route of a request by longest prefix match.
 
-    Invariant: the routes of each host are in order of falling prefix length.
+    Invariant: the routes of each host are sorted by descending prefix length.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -151,11 +150,10 @@
 
     def find(self, host: str, target: str) -> Route | RefusedRoute | None:
         """
-        Return the route of a request, or None where none fits.
+        Return the route of a request, or None if none matches.
 
-        One that is refused is found too: its requests go to no other route.
-
-        ``host`` is its ``Host`` header, ``target`` its path and query.
+        Refused routes match too, as their requests must not go to another route.
+        ``host`` is the ``Host`` header, ``target`` the path and query of the request.
         """
         path = target.partition("?")[0]
         for route in self.routes_of(host):
@@ -165,7 +163,7 @@
 
 
 def normalized_host(host: str) -> str:
-    """Return a ``Host`` header without port and final dot, in lower case."""
+    """Return a ``Host`` header in lower case, without port and trailing dot."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
         host = name
@@ -174,11 +172,12 @@
 
 class WeightedRoundRobin:
     """
-    Divides the requests of each route among its services by their weights.
+    Distributes the requests of each route over its services by their weights.
 
-    Smooth weighted round robin: each request adds to each service's credit its
-    share, and takes one from the service with most credit. Invariant: the credits
-    of a route add up to zero, so the counts stay close to the shares.
+    Smooth weighted round robin: each request adds its share to the credit of every
+    service, and subtracts one from the service with the most credit, which it goes to.
+    Invariant: the credits of a route add up to zero, so that the counts stay close to
+    the shares.
     """
 
     def __init__(self) -> None:
@@ -188,7 +187,7 @@
         """
         Return the service that the next request of ``route`` goes to.
 
-        Where all weights are zero, that is the first.
+        If all weights are zero, that is the first one.
         """
         if len(route.parts) == 1:
             return route.parts[0].service
@@ -204,7 +203,7 @@
         return best.service
 
     def forget_missing(self, routes: tuple[Route, ...]) -> None:
-        """Drop the credit of routes that are gone or whose parts changed."""
+        """Drop the credit of routes that were removed or whose services changed."""
         parts_by_route = {
             route.name: {part.service for part in route.parts} for route in routes
         }
--- a/spindlenotch/gateway/source/source_events.py
+++ b/spindlenotch/gateway/source/source_events.py
@@ -1,7 +1,7 @@
 """
-Log events and metrics on what the source holds and how that changes.
+Log events and metrics on the contents of the source and their changes.
 
-Relies on ``bad_items`` for which items are worth a line; decides nothing else.
+Relies on ``bad_items`` for which invalid items are logged; decides nothing itself.
 """
 
 from collections import abc
@@ -14,7 +14,7 @@
 
 
 class SourceEvents:
-    """Reports on the source of one gateway."""
+    """Logs and counts invalid items of the source and restarts of upstreams."""
 
     def __init__(self, gateway_metrics: metrics.Metrics) -> None:
         self.metrics = gateway_metrics
@@ -23,7 +23,7 @@
     def report_bad(
         self, items: abc.Collection[sources.BadItem], now: ids.Instant
     ) -> None:
-        """Count what can't be used, and log what of it is new."""
+        """Count the invalid items, and log those whose fault is new."""
         for item in items:
             self.metrics.bad_items.labels(item.key.partition("/")[0]).inc()
         for item in self.bad_items.select_for_log(items, now):
@@ -32,7 +32,7 @@
             )
 
     def report_restart(self, ended: sources.ListedUpstream) -> None:
-        """Count and log that an upstream has started again under its id."""
+        """Count and log the restart of an upstream under the same id."""
         self.metrics.upstream_restarts.labels(ended.service).inc()
         events.emit(
             events.Event.UPSTREAM_RESTARTED, service=ended.service, upstream=ended.id
@@ -42,7 +42,7 @@
 def report_withdrawn(
     upstream_ids: abc.Collection[ids.UpstreamId], learned_from: str, revision: int
 ) -> None:
-    """Log the upstreams that get no new work since a list was applied, if any."""
+    """Log the upstreams that get no new work after a list was applied, if any."""
     if not upstream_ids:
         return
     events.emit(
@@ -67,7 +67,7 @@
 def report_evacuations(
     before: frozenset[ids.ZoneName], now: frozenset[ids.ZoneName]
 ) -> None:
-    """Log which zones are newly evacuated or taken back."""
+    """Log the zones whose evacuation has started or ended."""
     for zone in sorted(now - before):
         events.emit(events.Event.ZONE_EVACUATED, zone=zone)
     for zone in sorted(before - now):
@@ -75,7 +75,7 @@
 
 
 def report_remarks(configuration: routing.Configuration) -> None:
-    """Log what of a configuration is not served as it is written."""
+    """Log the refused routes of a configuration and the remarks on it."""
     for route in configuration.refused_routes:
         events.emit(
             events.Event.ROUTE_REFUSED,
--- a/spindlenotch/gateway/source/sources.py
+++ b/spindlenotch/gateway/source/sources.py
@@ -137,7 +137,7 @@
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
     """
-    A quarantined request, which crashes the upstreams that run it, as stored.
+    A quarantined request, which crashes the upstreams that run it, in the source.
 
     ``until_unix_s`` is the Unix time in seconds until which it is not sent.
     ``revision`` is that of the source at which it was written; zero if the source holds
--- a/spindlenotch/gateway/source/withdrawals.py
+++ b/spindlenotch/gateway/source/withdrawals.py
@@ -1,9 +1,9 @@
 """
-Upstreams that were draining or had ended before the source was restored.
+Withholds upstreams that were draining or had ended before the source was restored.
 
-Pure. An older backup may list such a withdrawn upstream as ready. It is withheld from
-use until the writers of the source have had time to write their entries again, and
-entries that nobody renews have expired.
+Pure. An older backup may list such a withdrawn upstream as ready. It gets no work until
+live upstreams have had time to write their entries again and entries that nobody renews
+have expired.
 """
 
 import typing
@@ -16,7 +16,7 @@
 #: source says. Exceeds three heartbeats of 1.5 s, after which entries that are not
 #: renewed expire.
 WITHHOLD_S = 6.0
-#: Seconds for which ended upstreams are remembered; has to exceed the age of a backup.
+#: Seconds for which ended upstreams are remembered; must exceed the age of a backup.
 ENDED_RETENTION_S = 60.0
 
 
@@ -42,9 +42,9 @@
         self._ended_at_by_start: dict[UpstreamStart, ids.Instant] = {}
 
     def note_ended(self, listed: sources.ListedUpstream, now: ids.Instant) -> None:
-        """Remember that an upstream has ended."""
+        """Record that an upstream has ended."""
         start = start_of(listed)
-        # In order of their ends, so that the oldest come first.
+        # Reinsert it, so that the starts are sorted by the time at which they ended.
         self._ended_at_by_start.pop(start, None)
         self._ended_at_by_start[start] = now
         self._remove_expired(now)
@@ -56,7 +56,7 @@
         now: ids.Instant,
     ) -> None:
         """
-        Note the era of the source; withhold withdrawn upstreams once it rises.
+        Record the era of the source; withhold withdrawn upstreams if it has risen.
 
         ``known`` are the leases from before the source was read at this era.
         """
@@ -105,5 +105,5 @@
 
 
 def start_of(listed: sources.ListedUpstream) -> UpstreamStart:
-    """Return the start of an upstream that an entry describes."""
+    """Return the start of the upstream that an entry describes."""
     return UpstreamStart(listed.id, listed.born)
