--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -96,11 +96,11 @@
             for upstream in listed
         }
         self._retained_zones = frozenset()
-        evacuated = [one for one in listed_by_id.values() if one.is_evacuated]
-        self.evacuate(frozenset(one.zone for one in evacuated), now)
-        for one in evacuated:
-            listed_by_id[one.id] = msgspec.structs.replace(
-                one, state=sources.UpstreamState.READY, is_evacuated=False
+        evacuated = [entry for entry in listed_by_id.values() if entry.is_evacuated]
+        self.evacuate(frozenset(entry.zone for entry in evacuated), now)
+        for entry in evacuated:
+            listed_by_id[entry.id] = msgspec.structs.replace(
+                entry, state=sources.UpstreamState.READY, is_evacuated=False
             )
         self.discard(
             [
@@ -316,5 +316,5 @@
 
     def _schedule_leaving(self, now: ids.Instant) -> None:
         """Record when the next upstream of an evacuated zone goes out of use."""
-        coming = [one.leave_at for one in self.lease_by_id.values()]
+        coming = [entry.leave_at for entry in self.lease_by_id.values()]
         self._next_leave_at = min((at for at in coming if at > now), default=ids.NEVER)
