--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -316,5 +316,7 @@
 
     def _schedule_leaving(self, now: ids.Instant) -> None:
         """Record when the next upstream of an evacuated zone goes out of use."""
-        coming = [entry.leave_at for entry in self.lease_by_id.values()]
-        self._next_leave_at = min((at for at in coming if at > now), default=ids.NEVER)
+        leave_times = [entry.leave_at for entry in self.lease_by_id.values()]
+        self._next_leave_at = min(
+            (at for at in leave_times if at > now), default=ids.NEVER
+        )
