--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -255,11 +255,11 @@
     ) -> leases.Lease:
         """Return the renewed lease of a listed upstream, or a new one."""
         self._generation += 1
-        found = leases.renewed(lease, listed, now, self._generation)
-        if found.leave_at == ids.NEVER and listed.zone in self.evacuated_zones:
+        renewed_lease = leases.renewed(lease, listed, now, self._generation)
+        if renewed_lease.leave_at == ids.NEVER and listed.zone in self.evacuated_zones:
             # An upstream that starts in an evacuated zone gets no work at all.
-            found.leave_at = now
-        return found
+            renewed_lease.leave_at = now
+        return renewed_lease
 
     def in_use(self, now: ids.Instant) -> frozenset[ids.UpstreamId]:
         """Return the ids of the upstreams that may get new work."""
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -143,7 +143,7 @@
     Mutant(
         "who learns of an upstream in an evacuated zone uses it",
         "gateway/source/listing",
-        "found.leave_at == ids.NEVER and listed.zone in self.evacuated_zones",
+        "renewed_lease.leave_at == ids.NEVER and listed.zone in self.evacuated_zones",
         "False",
         held_by="who starts while a zone is evacuated never uses it",
     ),
