--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -84,7 +84,7 @@
         self._peer_heard_at = ids.Instant(float("-inf"))
         self._reader_heard_at = started_at
         self._is_reading = False
-        self._polls = 0
+        self._poll_count = 0
 
     @property
     def has_heard_peer(self) -> bool:
@@ -139,8 +139,8 @@
         next_ones = others[1 : TAKEOVER_CANDIDATES + 1]
         if not next_ones:
             return first
-        self._polls += 1
-        return [*first, next_ones[self._polls % len(next_ones)]]
+        self._poll_count += 1
+        return [*first, next_ones[self._poll_count % len(next_ones)]]
 
     def _decide(self, order: abc.Sequence[ids.HostId], now: ids.Instant) -> bool:
         rank = self._rank(order)
