--- a/spindlenotch/gateway/source/routing.py
+++ b/spindlenotch/gateway/source/routing.py
@@ -42,7 +42,7 @@
     ``rank``: priority; 0 is the highest.
     ``most_tries``: maximum number of upstreams that a request is sent to.
     ``allowed_regions``: regions in which requests may be served; None: anywhere.
-    ``has_large_answers``: the cost of its responses is counted by their bytes.
+    ``has_large_answers``: responses are assumed large until their mean size is known.
     """
 
     name: RouteName
@@ -116,7 +116,7 @@
     All routes, services and limits; a greater ``version`` replaces a smaller one.
 
     ``refused_routes`` are those that can't be served as configured. ``remarks`` name
-    other settings that were ignored or replaced by cautious ones.
+    other settings that were ignored or replaced by their defaults.
     """
 
     version: int
--- a/spindlenotch/gateway/source/withdrawals.py
+++ b/spindlenotch/gateway/source/withdrawals.py
@@ -2,8 +2,8 @@
 Withholds upstreams that were draining or had ended before the source was restored.
 
 Pure. An older backup may list such a withdrawn upstream as ready. It gets no work until
-live upstreams have had time to write their entries again and entries that nobody renews
-have expired.
+the writers of the source have had time to write their entries again, and entries that
+nobody renews have expired.
 """
 
 import typing
@@ -21,7 +21,7 @@
 
 
 class UpstreamStart(typing.NamedTuple):
-    """One start of an upstream; ``born`` is None where it is not known."""
+    """One start of an upstream; ``born`` is None if unknown."""
 
     upstream_id: ids.UpstreamId
     born: int | None
