--- a/features/steps/gateway_bad_entries.py
+++ b/features/steps/gateway_bad_entries.py
@@ -164,21 +164,21 @@
         assert playing.published == 1
         for number in range(50):
             playing.follow(store_reading.item("u1", store_reading.entry(slots=-number)))
-        assert len(seen.of(refused)) == bad_items.MOST_LINES_OF_ONE
+        assert len(seen.of(refused)) == bad_items.MAX_LINES_PER_ITEM
         # Those of many others too, and what is remembered of them.
         for _ in range(3):
             odd = [
                 store_reading.item(f"x{n}", b"odd")
-                for n in range(3 * bad_items.MOST_KEYS)
+                for n in range(3 * bad_items.MAX_REMEMBERED_ITEMS)
             ]
             playing.follow(*odd)
             playing.clock.advance(10.0)
-        assert len(seen.of(refused)) == bad_items.MOST_LINES
+        assert len(seen.of(refused)) == bad_items.MAX_LINES
         playing.clock.advance(bad_items.WINDOW_S)
         playing.follow(store_reading.item("u2", b"odd"))
-        assert len(seen.of(refused)) == bad_items.MOST_LINES + 1
+        assert len(seen.of(refused)) == bad_items.MAX_LINES + 1
     counted = playing.state.metrics.bad_items.labels("servers")
-    assert counted._value.get() == 101 + 9 * bad_items.MOST_KEYS
+    assert counted._value.get() == 101 + 9 * bad_items.MAX_REMEMBERED_ITEMS
 
 
 @kernel.PROPERTIES.register("an item that is none spoils no other of its page")
--- a/features/steps/gateway_duty.py
+++ b/features/steps/gateway_duty.py
@@ -36,12 +36,14 @@
 ) -> Played:
     """Let ``hosts`` run from a moment at which all have just heard the first one."""
     rng = random.Random(1)
-    duties = {host: reader_duty.ReaderDuty(host, ids.Instant(0.0)) for host in hosts}
-    for host, duty in duties.items():
-        duty.peer_heard(ids.Instant(0.0))
+    duties = {
+        host: reader_duty.ReaderElection(host, ids.Instant(0.0)) for host in hosts
+    }
+    for host, election in duties.items():
+        election.note_peer(ids.Instant(0.0))
         if reach(host, HOSTS[0]):
-            duty.zone_peer_heard(HOSTS[0], ids.Instant(0.0), reads=True)
-    ask_at = {host: rng.uniform(0, relay.ASK_PERIOD_S) for host in hosts}
+            election.note_zone_peer(HOSTS[0], ids.Instant(0.0), reads=True)
+    ask_at = {host: rng.uniform(0, relay.POLL_PERIOD_S) for host in hosts}
     played = Played(set(), set(), -1.0)
     reads: set[ids.HostId] = set()
     for step in range(1, int(end_s / STEP_S)):
@@ -53,15 +55,15 @@
         for reader in began:
             for host in hosts:
                 if host != reader and reach(host, reader):
-                    duties[host].peer_heard(now)
-                    duties[host].zone_peer_heard(reader, now, reads=True)
+                    duties[host].note_peer(now)
+                    duties[host].note_zone_peer(reader, now, reads=True)
         for host in hosts:
             if now >= ask_at[host]:
-                ask_at[host] = now + relay.ASK_PERIOD_S
-                for asked in duties[host].whom_to_ask(HOSTS, now):
+                ask_at[host] = now + relay.POLL_PERIOD_S
+                for asked in duties[host].poll_targets(HOSTS, now):
                     if asked in duties and reach(host, asked):
-                        duties[host].peer_heard(now)
-                        duties[host].zone_peer_heard(asked, now, reads=asked in reads)
+                        duties[host].note_peer(now)
+                        duties[host].note_zone_peer(asked, now, reads=asked in reads)
         if reads and played.news_at < 0:
             played.news_at = now
     played.readers_at_end = reads
@@ -70,7 +72,7 @@
 
 def turn_s(turn: int) -> float:
     """Return after how many seconds of silence a gateway's turn has come."""
-    return reader_duty.READER_LOST_S + reader_duty.TURN_S * (turn - 1)
+    return reader_duty.READER_TIMEOUT_S + reader_duty.TAKEOVER_STEP_S * (turn - 1)
 
 
 def everyone(one: ids.HostId, other: ids.HostId) -> bool:
@@ -81,9 +83,9 @@
 @kernel.PROPERTIES.register("an outage of the source is not met by the whole zone")
 def outage() -> None:
     played = play(lambda host, now: False, everyone, 9.0)
-    assert len(played.callers) <= reader_duty.TURNS, played
+    assert len(played.callers) <= reader_duty.TAKEOVER_CANDIDATES, played
     back = play(lambda host, now: now > 4.5, everyone, 9.0)
-    assert len(back.callers) <= reader_duty.TURNS, back
+    assert len(back.callers) <= reader_duty.TAKEOVER_CANDIDATES, back
     assert back.readers_at_end == {HOSTS[0]}
     assert back.news_at < 4.5 + 2 * STEP_S
 
@@ -94,9 +96,12 @@
         away = set(random.Random(seed).sample(HOSTS, len(HOSTS) // 3))
         played = play(lambda host, now, away=away: host not in away, everyone, 4.0)
         first = next(n for n, host in enumerate(HOSTS) if host not in away)
-        if first < reader_duty.TURNS:
+        if first < reader_duty.TAKEOVER_CANDIDATES:
             assert 0 <= played.news_at <= turn_s(first) + 2 * STEP_S, played
-            assert len(played.callers) <= reader_duty.TURNS, (seed, played)
+            assert len(played.callers) <= reader_duty.TAKEOVER_CANDIDATES, (
+                seed,
+                played,
+            )
             assert played.readers_at_end == {HOSTS[first]}
 
 
@@ -107,5 +112,7 @@
     for size in (1, 3, 12):
         group = HOSTS[-size:]
         played = play(lambda host, now: True, everyone, 3.0, group)
-        assert 0 <= played.news_at <= turn_s(reader_duty.TURNS) + 2 * STEP_S, played
+        assert (
+            0 <= played.news_at <= turn_s(reader_duty.TAKEOVER_CANDIDATES) + 2 * STEP_S
+        ), played
         assert len(played.readers_at_end) >= 1
--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -31,7 +31,7 @@
     state, slow = started_gateway.gateway(started_gateway.SEED, start_took_s=0.7)
     _, quick = started_gateway.gateway(started_gateway.SEED)
     times = slow.first_peer_wait_s / quick.first_peer_wait_s
-    assert abs(times - 0.7 / reader_duty.FIRST_PEER_WAIT_S) < 1e-6
+    assert abs(times - 0.7 / reader_duty.MIN_MEAN_START_WAIT_S) < 1e-6
     assert isinstance(state.clock, clock.ManualClock)
     state.clock.advance(slow.first_peer_wait_s - 0.01)
     assert not slow.must_read()
@@ -41,7 +41,7 @@
     assert isinstance(state.clock, clock.ManualClock)
     started_gateway.peer(state, "p", messages.Status.STARTING)
     started_gateway.heard(state, answered, "p", reads=False)
-    state.clock.advance(relay.ANSWERED_WAIT_S - 0.01)
+    state.clock.advance(relay.ANSWERED_START_WAIT_S - 0.01)
     assert not answered.must_read()
     state.clock.advance(1.0)
     assert answered.must_read()
@@ -55,42 +55,42 @@
         active_set.Candidate(host, ids.ZoneName("a"), capacity) for host in hosts
     ]
     ordered = [one.host for one in active_set.rank(candidates, 1).ordered]
-    waits = [reader_duty.first_wait_s(host, 0.0, 1.0) for host in ordered]
-    strong = [reader_duty.first_wait_s(host, 0.0, 2.0) for host in ordered]
+    waits = [reader_duty.start_wait_s(host, 0.0, 1.0) for host in ordered]
+    strong = [reader_duty.start_wait_s(host, 0.0, 2.0) for host in ordered]
     assert max(strong) <= max(waits) / 4 + 1e-9
     assert waits == sorted(waits)
     assert waits[2] < 0.02
     mean_s = sum(waits) / len(waits)
-    assert 0.9 < mean_s / reader_duty.FIRST_PEER_WAIT_S < 1.1
+    assert 0.9 < mean_s / reader_duty.MIN_MEAN_START_WAIT_S < 1.1
 
 
 @kernel.PROPERTIES.register("the first reading begins when the wait for a peer ends")
 def first_reading() -> None:
     state, passing = started_gateway.gateway(started_gateway.SEED)
     assert isinstance(state.clock, clock.ManualClock)
-    left_s = passing.first_wait_left_s()
+    left_s = passing.start_wait_left_s()
     assert abs(left_s - passing.first_peer_wait_s) < 1e-9
     state.clock.advance(left_s / 2)
-    assert abs(passing.first_wait_left_s() - left_s / 2) < 1e-9
+    assert abs(passing.start_wait_left_s() - left_s / 2) < 1e-9
     state.clock.advance(left_s)
-    assert passing.first_wait_left_s() == 0.0
+    assert passing.start_wait_left_s() == 0.0
     assert passing.must_read()
     state, answered = started_gateway.gateway(started_gateway.SEED)
     started_gateway.peer(state, "p", messages.Status.STARTING)
     started_gateway.heard(state, answered, "p", reads=False)
-    assert answered.first_wait_left_s() == relay.ANSWERED_WAIT_S
+    assert answered.start_wait_left_s() == relay.ANSWERED_START_WAIT_S
 
     async def waits() -> float:
         reader = source_reader.SourceReader(state, typing.cast(typing.Any, None), quick)
         loop = asyncio.get_running_loop()
         begun_at = loop.time()
-        await reader._wait_off_duty()
+        await reader._wait_on_standby()
         return loop.time() - begun_at
 
     quick = typing.cast(
-        typing.Any, types.SimpleNamespace(first_wait_left_s=lambda: 0.001)
+        typing.Any, types.SimpleNamespace(start_wait_left_s=lambda: 0.001)
     )
-    assert asyncio.run(waits()) < source_reader.OFF_DUTY_S / 2
+    assert asyncio.run(waits()) < source_reader.STANDBY_CHECK_S / 2
 
 
 @kernel.PROPERTIES.register("a fleet that starts has one reader a zone")
--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -9,12 +9,12 @@
 
 PERIODS_S = (
     gateway.TICK_S,
-    source_reader.OFF_DUTY_S,
+    source_reader.STANDBY_CHECK_S,
     prober.RECONCILE_PERIOD_S,
     load_exchange.IDLE_PERIOD_S,
-    relay.ASK_PERIOD_S,
+    relay.POLL_PERIOD_S,
     state.GOSSIP_TIMING.period_s,
-    discovery.LOOK_PERIOD_S,
+    discovery.CHECK_PERIOD_S,
 )
 PLAYED_S = 20.0
 
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -134,24 +134,29 @@
         A service without upstreams is not in the list; what is known of it is kept.
         """
         unmarked = []
-        mark_by_service: dict[ids.ServiceName, sources.RolloutMark | None] = {}
+        mark_by_service: dict[ids.ServiceName, sources.RolloutAnnotation | None] = {}
         for entry in listed:
             mark_by_service[entry.service] = entry.rollout
             unmarked.append(_with_mark(entry, None))
         for service, mark in mark_by_service.items():
-            self._apply_mark(service, mark or sources.RolloutMark(), now)
+            self._apply_mark(service, mark or sources.RolloutAnnotation(), now)
         return unmarked
 
-    def _mark(self, service: ids.ServiceName, now: ids.Instant) -> sources.RolloutMark:
+    def _mark(
+        self, service: ids.ServiceName, now: ids.Instant
+    ) -> sources.RolloutAnnotation:
         end_at = self.end_at_by_service.get(service, now)
-        return sources.RolloutMark(
+        return sources.RolloutAnnotation(
             order=self.order_by_service.get(service),
             left_s=end_at - now,
             status=self.status_by_service.get(service),
         )
 
     def _apply_mark(
-        self, service: ids.ServiceName, mark: sources.RolloutMark, now: ids.Instant
+        self,
+        service: ids.ServiceName,
+        mark: sources.RolloutAnnotation,
+        now: ids.Instant,
     ) -> None:
         before = self.order_by_service.get(service)
         self._set_order(service, mark.order, now)
@@ -232,7 +237,7 @@
 
 
 def _with_mark(
-    entry: sources.ListedUpstream, mark: sources.RolloutMark | None
+    entry: sources.ListedUpstream, mark: sources.RolloutAnnotation | None
 ) -> sources.ListedUpstream:
     if entry.rollout == mark:
         return entry
--- a/spindlenotch/gateway/source/listing.py
+++ b/spindlenotch/gateway/source/listing.py
@@ -1,10 +1,10 @@
 """
-The upstreams of each service, and when one that vanished is still believed in.
+The known upstreams, and how long one whose lease vanished stays in use.
 
-Pure. An upstream holds a lease in the source; the rule on expired leases is
-``lease_expiry``, that on evacuated zones ``decisions.evacuation``, and what
-makes it another upstream lies in ``leases``. Owns the generation of each upstream,
-which rises when it is listed anew, starts again or its zone is taken back into use.
+Pure. An upstream holds a lease in the source. ``lease_expiry`` has the rule on expired
+leases, ``decisions.evacuation`` that on evacuated zones, and ``leases`` decides whether
+an entry is of the same upstream. Owns the generation of each upstream, which rises when
+it is listed again, restarts or the evacuation of its zone ends.
 """
 
 from collections import abc
@@ -17,8 +17,8 @@
 from spindlenotch.kernel import upstreams
 
 
-class Ended(msgspec.Struct, frozen=True):
-    """An upstream that is gone; ``is_replaced``: the same id has started again."""
+class EndedUpstream(msgspec.Struct, frozen=True):
+    """An upstream that has ended; ``is_replaced``: it restarted under the same id."""
 
     listed: sources.ListedUpstream
     is_replaced: bool
@@ -26,14 +26,13 @@
 
 class Listing:
     """
-    Upstreams by id.
-
-    Invariants: an upstream that says it is draining, or whose lease vanished
-    while the source was in reach, is not in ``specs``, nor is one of an evacuated
-    zone once its time to leave has come; one that is listed again, or has started
-    again, gets a higher generation. ``evacuate_s`` is the operator's bound on
-    evacuations in seconds; ``revision`` and ``era`` are those of the source when the
-    list was read.
+    The leases of all known upstreams, by id.
+
+    Invariants: ``specs`` excludes upstreams that are draining, those whose lease
+    vanished while the source was reachable, and those of an evacuated zone from their
+    ``leave_at`` on; an upstream that is listed again or has restarted gets a higher
+    generation. ``evacuate_s`` is the operator's time limit for evacuations in seconds;
+    ``revision`` and ``era`` are those of the source when the list was read.
     """
 
     def __init__(self, evacuate_s: float = 0.0) -> None:
@@ -47,7 +46,7 @@
         self.era: int | None = None
         self.withdrawals = withdrawals.Withdrawals()
         self._generation = 0
-        self._ended: list[Ended] = []
+        self._ended: list[EndedUpstream] = []
 
     def set_position(self, revision: int, era: int | None, now: ids.Instant) -> None:
         """
@@ -66,58 +65,73 @@
         return self.revision > revision
 
     def note_fault(self, now: ids.Instant) -> None:
-        """Note that the source could not be read."""
+        """Record that the source could not be read."""
         self.fault_at = now
 
     def replace(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Put the source's whole list in place of what is known."""
+        """Replace the known upstreams by the source's full list."""
         listed_by_id = {upstream.id: upstream for upstream in listed}
-        missing = [i for i in self.lease_by_id if i not in listed_by_id]
+        missing = [
+            upstream_id
+            for upstream_id in self.lease_by_id
+            if upstream_id not in listed_by_id
+        ]
         self.add(listed_by_id.values(), now)
         self.remove(missing, now)
 
     def replace_by_peer(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Put a peer's whole list in place; the peer has judged expired leases."""
+        """
+        Replace the known upstreams by a peer's full list.
+
+        The peer has applied the rule on expired leases already.
+        """
         listed_by_id = {
-            upstream.id: leases.as_listed_by_peer(
+            upstream.id: leases.with_known_start(
                 upstream, self.lease_by_id.get(upstream.id)
             )
             for upstream in listed
         }
         self._retained_zones = frozenset()
-        evacuated = [one for one in listed_by_id.values() if one.is_evacuated]
-        self.evacuate(frozenset(one.zone for one in evacuated), now)
-        for one in evacuated:
-            listed_by_id[one.id] = msgspec.structs.replace(
-                one, state=sources.UpstreamState.READY, is_evacuated=False
+        evacuated = [entry for entry in listed_by_id.values() if entry.is_evacuated]
+        self.evacuate(frozenset(entry.zone for entry in evacuated), now)
+        for entry in evacuated:
+            listed_by_id[entry.id] = msgspec.structs.replace(
+                entry, state=sources.UpstreamState.READY, is_evacuated=False
             )
-        self.discard([i for i in self.lease_by_id if i not in listed_by_id], now)
+        self.discard(
+            [
+                upstream_id
+                for upstream_id in self.lease_by_id
+                if upstream_id not in listed_by_id
+            ],
+            now,
+        )
         self.add(listed_by_id.values(), now)
         for lease in self.lease_by_id.values():
-            # Peers of earlier releases leave the start out.
+            # Peers of earlier releases omit the start.
             lease.is_start_known = lease.listed.born is not None
 
     def listed(self, now: ids.Instant) -> tuple[sources.ListedUpstream, ...]:
-        """Return the whole list for a peer; ``cold_s`` counts from now."""
+        """Return the full list for a peer; ``cold_s`` counts from ``now``."""
         return tuple(self._for_peer(lease, now) for lease in self.lease_by_id.values())
 
     def evacuate(self, zones: frozenset[ids.ZoneName], now: ids.Instant) -> None:
         """
-        Let the upstreams of just these zones get no new work.
+        Set the evacuated zones, whose upstreams get no new work.
 
-        Those known already leave by and by; those of zones that are no longer
-        evacuated are in use again at once.
+        The known upstreams of a newly evacuated zone are taken out of use gradually;
+        those of zones that are no longer evacuated are in use again at once.
         """
         if zones == self.evacuated_zones:
             return
         self.evacuated_zones = zones
         for lease in self.lease_by_id.values():
             if lease.listed.zone not in zones:
-                self._take_back(lease, now)
+                self._cancel_evacuation(lease, now)
             elif lease.leave_at == ids.NEVER:
                 lease.leave_at = evacuation.leave_at(
                     lease.spec.id, now, self.evacuate_s
@@ -144,7 +158,7 @@
         restored: frozenset[ids.ZoneName],
         now: ids.Instant,
     ) -> bool:
-        """Apply changes to the evacuated zones; tell whether there was any."""
+        """Apply changes to the evacuated zones; tell whether any zone changed."""
         self._retained_zones -= evacuated | restored
         zones = (self.evacuated_zones | evacuated) - restored
         is_changed = zones != self.evacuated_zones
@@ -160,7 +174,7 @@
         return True
 
     def leave_due(self, now: ids.Instant) -> bool:
-        """Tell whether upstreams have left for an evacuation since the last call."""
+        """Tell whether any upstream was evacuated since the last call."""
         if now < self._next_leave_at:
             return False
         self._schedule_leaving(now)
@@ -169,20 +183,24 @@
     def add(
         self, listed: abc.Iterable[sources.ListedUpstream], now: ids.Instant
     ) -> None:
-        """Add upstreams that are new or have changed; end the grace of all given."""
+        """Add new or changed upstreams; end the grace period of all that are given."""
         for upstream in listed:
             lease = self.lease_by_id.get(upstream.id)
             if lease is not None and not lease.is_same_start(upstream):
                 self._end(lease, now, is_replaced=True)
                 lease = None
-            if lease is None or not lease.holds(upstream):
+            if lease is None or not lease.is_unchanged(upstream):
                 lease = self._renewed(lease, upstream, now)
                 self.lease_by_id[upstream.id] = lease
             lease.is_start_known = True
 
     def remove(self, gone: abc.Iterable[ids.UpstreamId], now: ids.Instant) -> None:
-        """Drop upstreams that the source no longer lists, or begin their grace."""
-        vanished = [self.lease_by_id[i] for i in gone if i in self.lease_by_id]
+        """Drop upstreams no longer listed, or start their grace period."""
+        vanished = [
+            self.lease_by_id[upstream_id]
+            for upstream_id in gone
+            if upstream_id in self.lease_by_id
+        ]
         for lease in vanished:
             if not lease_expiry.is_in_outage(
                 lease, vanished, self.lease_by_id.values(), self.fault_at, now
@@ -193,8 +211,12 @@
         self.drop_expired(now)
 
     def drop_expired(self, now: ids.Instant) -> bool:
-        """Drop upstreams whose grace is over; tell whether there was any."""
-        expired = [i for i, lease in self.lease_by_id.items() if lease.drop_at <= now]
+        """Drop upstreams whose grace period is over; tell whether there was any."""
+        expired = [
+            upstream_id
+            for upstream_id, lease in self.lease_by_id.items()
+            if lease.drop_at <= now
+        ]
         self.discard(expired, now)
         return bool(expired)
 
@@ -202,24 +224,28 @@
         self, upstream_ids: abc.Iterable[ids.UpstreamId], now: ids.Instant
     ) -> bool:
         """
-        Drop upstreams at once, without grace; tell whether there was any.
+        Drop upstreams without a grace period; tell whether there was any.
 
-        Also those whose entries can't be used: such an entry was written, so that its
-        upstream did not merely fail to renew its lease.
+        Includes those whose entries are invalid: such an entry was written recently, so
+        its upstream did not just fail to renew its lease.
         """
-        dropped = [i for i in upstream_ids if i in self.lease_by_id]
-        for upstream_id in dropped:
-            self._end(self.lease_by_id.pop(upstream_id), now, is_replaced=False)
+        dropped = [
+            upstream_id
+            for upstream_id in upstream_ids
+            if upstream_id in self.lease_by_id
+        ]
+        for dropped_id in dropped:
+            self._end(self.lease_by_id.pop(dropped_id), now, is_replaced=False)
         return bool(dropped)
 
-    def take_ended(self) -> list[Ended]:
-        """Return the upstreams that are gone since the last call."""
+    def take_ended(self) -> list[EndedUpstream]:
+        """Return the upstreams that have ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
     def _end(self, lease: leases.Lease, now: ids.Instant, *, is_replaced: bool) -> None:
         self.withdrawals.note_ended(lease.listed, now)
-        self._ended.append(Ended(lease.listed, is_replaced))
+        self._ended.append(EndedUpstream(lease.listed, is_replaced))
 
     def _renewed(
         self,
@@ -227,18 +253,20 @@
         listed: sources.ListedUpstream,
         now: ids.Instant,
     ) -> leases.Lease:
-        """Return the lease of a listed upstream, a new one where it holds none."""
+        """Return the renewed lease of a listed upstream, or a new one."""
         self._generation += 1
-        found = leases.renewed(lease, listed, now, self._generation)
-        if found.leave_at == ids.NEVER and listed.zone in self.evacuated_zones:
-            # One that is new in an evacuated zone never gets any work.
-            found.leave_at = now
-        return found
+        renewed_lease = leases.renewed(lease, listed, now, self._generation)
+        if renewed_lease.leave_at == ids.NEVER and listed.zone in self.evacuated_zones:
+            # An upstream that starts in an evacuated zone gets no work at all.
+            renewed_lease.leave_at = now
+        return renewed_lease
 
     def in_use(self, now: ids.Instant) -> frozenset[ids.UpstreamId]:
         """Return the ids of the upstreams that may get new work."""
         return frozenset(
-            i for i, lease in self.lease_by_id.items() if self._is_in_use(lease, now)
+            upstream_id
+            for upstream_id, lease in self.lease_by_id.items()
+            if self._is_in_use(lease, now)
         )
 
     def _is_in_use(self, lease: leases.Lease, now: ids.Instant) -> bool:
@@ -260,7 +288,7 @@
     def _for_peer(
         self, lease: leases.Lease, now: ids.Instant
     ) -> sources.ListedUpstream:
-        """Return what a peer is told of an upstream."""
+        """Return the entry of an upstream in the list for peers."""
         listed = msgspec.structs.replace(
             lease.listed, cold_s=max(0.0, lease.spec.warming_up_until - now)
         )
@@ -273,8 +301,12 @@
             listed, state=sources.UpstreamState.DRAINING, is_evacuated=True
         )
 
-    def _take_back(self, lease: leases.Lease, now: ids.Instant) -> None:
-        """Let an upstream whose zone is not evacuated get work if it did not."""
+    def _cancel_evacuation(self, lease: leases.Lease, now: ids.Instant) -> None:
+        """
+        Put an upstream whose zone is not evacuated back in use.
+
+        It gets a new generation if it was out of use.
+        """
         if lease.leave_at <= now:
             self._generation += 1
             lease.spec = msgspec.structs.replace(
@@ -283,6 +315,8 @@
         lease.leave_at = ids.NEVER
 
     def _schedule_leaving(self, now: ids.Instant) -> None:
-        """Note when the next upstream leaves for an evacuation."""
-        coming = [one.leave_at for one in self.lease_by_id.values()]
-        self._next_leave_at = min((at for at in coming if at > now), default=ids.NEVER)
+        """Record when the next upstream of an evacuated zone goes out of use."""
+        leave_times = [entry.leave_at for entry in self.lease_by_id.values()]
+        self._next_leave_at = min(
+            (at for at in leave_times if at > now), default=ids.NEVER
+        )
--- a/spindlenotch/gateway/source/region_rules.py
+++ b/spindlenotch/gateway/source/region_rules.py
@@ -1,8 +1,8 @@
 """
-Where requests of a route may be served: only in the regions that it allows.
+Restriction of routes to regions: where the requests of a route may be served.
 
-Pure rules on the configuration. Answers the operator's wish that what a route carries
-stays in some regions, whatever fails: a request that comes elsewhere is refused.
+Pure rules on the configuration. An operator can require that the data of a route stays
+in some regions whatever fails; a request that arrives in another region is refused.
 """
 
 from collections import abc
@@ -16,25 +16,25 @@
     """
     Tell whether requests of a route may be served in a region.
 
-    A gateway that knows no regions can't say that it lies in an allowed one.
+    A gateway without configured regions can't tell that it is in an allowed one.
     """
     if route.allowed_regions is None:
         return True
     return region != regions.UNNAMED_REGION and region in route.allowed_regions
 
 
-def shared(
+def common_regions(
     routes: abc.Iterable[routing.Route | routing.RefusedRoute],
 ) -> frozenset[ids.RegionName] | None:
     """
-    Return the regions in which all of some routes may be served; None: anywhere.
+    Return the regions in which all of ``routes`` may be served; None: anywhere.
 
-    None too where they have no region in common: wherever their callers are sent,
-    some are refused.
+    Also None if the routes have no region in common, as some requests are then refused
+    in every region.
     """
     allowed: frozenset[ids.RegionName] | None = None
     for route in routes:
         if isinstance(route, routing.Route) and route.allowed_regions is not None:
-            these = frozenset(route.allowed_regions)
-            allowed = these if allowed is None else allowed & these
+            route_regions = frozenset(route.allowed_regions)
+            allowed = route_regions if allowed is None else allowed & route_regions
     return allowed or None
--- a/spindlenotch/gateway/source/withdrawals.py
+++ b/spindlenotch/gateway/source/withdrawals.py
@@ -1,9 +1,9 @@
 """
-Upstreams that were draining or had ended before the source was restored.
+Withholds upstreams that were draining or had ended before the source was restored.
 
-Pure. An older backup may list such a withdrawn upstream as ready. It is withheld from
-use until the writers of the source have had time to write their entries again, and
-entries that nobody renews have expired.
+Pure. An older backup may list such a withdrawn upstream as ready. It gets no work until
+the writers of the source have had time to write their entries again, and entries that
+nobody renews have expired.
 """
 
 import typing
@@ -16,12 +16,12 @@
 #: source says. Exceeds three heartbeats of 1.5 s, after which entries that are not
 #: renewed expire.
 WITHHOLD_S = 6.0
-#: Seconds for which ended upstreams are remembered; has to exceed the age of a backup.
-ENDED_KEPT_S = 60.0
+#: Seconds for which ended upstreams are remembered; must exceed the age of a backup.
+ENDED_RETENTION_S = 60.0
 
 
 class UpstreamStart(typing.NamedTuple):
-    """One start of an upstream; ``born`` is None where it is not known."""
+    """One start of an upstream; ``born`` is None if unknown."""
 
     upstream_id: ids.UpstreamId
     born: int | None
@@ -42,12 +42,12 @@
         self._ended_at_by_start: dict[UpstreamStart, ids.Instant] = {}
 
     def note_ended(self, listed: sources.ListedUpstream, now: ids.Instant) -> None:
-        """Remember that an upstream has ended."""
+        """Record that an upstream has ended."""
         start = start_of(listed)
-        # In order of their ends, so that the oldest come first.
+        # Reinsert it, so that the starts are sorted by the time at which they ended.
         self._ended_at_by_start.pop(start, None)
         self._ended_at_by_start[start] = now
-        self._forget_old(now)
+        self._remove_expired(now)
 
     def note_era(
         self,
@@ -56,7 +56,7 @@
         now: ids.Instant,
     ) -> None:
         """
-        Note the era of the source; withhold withdrawn upstreams once it rises.
+        Record the era of the source; withhold withdrawn upstreams if it has risen.
 
         ``known`` are the leases from before the source was read at this era.
         """
@@ -82,7 +82,7 @@
         return True
 
     def _withhold(self, known: abc.Collection[leases.Lease], now: ids.Instant) -> None:
-        self._forget_old(now)
+        self._remove_expired(now)
         ended = self._ended_at_by_start
         ready = sources.UpstreamState.READY
         in_use = {
@@ -95,15 +95,15 @@
         self.withheld_until = ids.later(now, WITHHOLD_S)
         self._is_released = False
 
-    def _forget_old(self, now: ids.Instant) -> None:
+    def _remove_expired(self, now: ids.Instant) -> None:
         ended = self._ended_at_by_start
         while ended:
             start, ended_at = next(iter(ended.items()))
-            if now - ended_at <= ENDED_KEPT_S:
+            if now - ended_at <= ENDED_RETENTION_S:
                 return
             del ended[start]
 
 
 def start_of(listed: sources.ListedUpstream) -> UpstreamStart:
-    """Return the start of an upstream that an entry describes."""
+    """Return the start of the upstream that an entry describes."""
     return UpstreamStart(listed.id, listed.born)
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -213,8 +213,8 @@
             "gateway/cluster/duties.readers",
             "gateway/cluster/duties.probers",
             "gateway/cluster/duties.is_prober",
-            "gateway/source/reader_duty.ReaderDuty.must_read",
-            "gateway/source/reader_duty.first_wait_s",
+            "gateway/source/reader_duty.ReaderElection.must_read",
+            "gateway/source/reader_duty.start_wait_s",
             "gateway/source/discovery.DiscoveryWriter.due",
         ),
         inputs="ready gateways by zone, which of them are active, when the zone's"
@@ -223,19 +223,19 @@
         " lease: too many or too few holders for a moment do no harm. While no reader"
         " is heard, the next in the order step in one after the other.",
         constants=(
-            "gateway/source/reader_duty.READER_LOST_S",
-            "gateway/source/reader_duty.TURN_S",
-            "gateway/source/reader_duty.TURNS",
-            "gateway/source/reader_duty.TRIED_IN_VAIN",
-            "gateway/source/reader_duty.IN_VAIN_KEPT_S",
-            "gateway/source/relay.ASK_PERIOD_S",
-            "gateway/source/reader_duty.FIRST_PEER_WAIT_S",
-            "gateway/source/relay.ANSWERED_WAIT_S",
+            "gateway/source/reader_duty.READER_TIMEOUT_S",
+            "gateway/source/reader_duty.TAKEOVER_STEP_S",
+            "gateway/source/reader_duty.TAKEOVER_CANDIDATES",
+            "gateway/source/reader_duty.MIN_FAILED_TAKEOVERS",
+            "gateway/source/reader_duty.FAILED_TAKEOVER_WINDOW_S",
+            "gateway/source/relay.POLL_PERIOD_S",
+            "gateway/source/reader_duty.MIN_MEAN_START_WAIT_S",
+            "gateway/source/relay.ANSWERED_START_WAIT_S",
             "gateway/cluster/duties.UPSTREAMS_PER_PROBER",
             "gateway/cluster/prober.PROBES_PER_SERVICE_TIME",
             "gateway/cluster/prober.MAX_PERIOD_S",
-            "gateway/source/discovery.SETTLE_S",
-            "gateway/source/discovery.REWRITE_S",
+            "gateway/source/discovery.WRITE_DELAY_S",
+            "gateway/source/discovery.MIN_WRITE_INTERVAL_S",
         ),
         events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
         tests=(
@@ -263,9 +263,9 @@
         reason="Leases that expire together right after the store was out of reach more"
         " likely expired in its outage than by a stop of the upstreams.",
         constants=(
-            "gateway/source/lease_expiry.AFTER_OUTAGE_S",
+            "gateway/source/lease_expiry.OUTAGE_WINDOW_S",
             "gateway/source/lease_expiry.GRACE_S",
-            "gateway/source/lease_expiry.EXPIRY_SHARE",
+            "gateway/source/lease_expiry.MASS_EXPIRY_SHARE",
         ),
         events=("UPSTREAM_LEAVING",),
         tests=(
@@ -291,7 +291,7 @@
         " renews have expired.",
         constants=(
             "gateway/source/withdrawals.WITHHOLD_S",
-            "gateway/source/withdrawals.ENDED_KEPT_S",
+            "gateway/source/withdrawals.ENDED_RETENTION_S",
         ),
         events=("UPSTREAMS_WITHDRAWN", "SOURCE_RESTORED"),
         tests=(
@@ -344,17 +344,17 @@
         question="What becomes of an upstream whose entry can't be used",
         functions=(
             "gateway/source/listing.Listing.discard",
-            "gateway/source/bad_items.BadItems.worth_a_line",
+            "gateway/source/bad_items.BadItemLog.select_for_log",
         ),
         inputs="whether the entry can be read and is within bounds; which lines were"
         " written of it in the last minute.",
         reason="Its entry was written, so its lease did not merely expire: it gets no"
         " new work at once, like one that has left, until a good entry follows.",
         constants=(
-            "gateway/source/bad_items.MOST_KEYS",
+            "gateway/source/bad_items.MAX_REMEMBERED_ITEMS",
             "gateway/source/bad_items.WINDOW_S",
-            "gateway/source/bad_items.MOST_LINES_OF_ONE",
-            "gateway/source/bad_items.MOST_LINES",
+            "gateway/source/bad_items.MAX_LINES_PER_ITEM",
+            "gateway/source/bad_items.MAX_LINES",
         ),
         events=("SOURCE_ITEM_REFUSED",),
         tests=(
