--- a/features/support/served_gateway.py
+++ b/features/support/served_gateway.py
@@ -157,7 +157,7 @@
             self.learn()
         native = dialect.DIALECTS.get("native")()
         path = data_path.DataPath(state, self.port, job_factory.labels(native))
-        answerer = answering.Answerer(state, path, native)
+        answerer = answering.RequestProcessor(state, path, native)
         self.ingress = ingress.Ingress(state, answerer)
 
     def use_clock(self, host_clock: clock.Clock) -> None:
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -68,7 +68,7 @@
             job_factory.labels(gateway_dialect),
             known=gateway_state.quarantines.known,
         )
-        answerer = answering.Answerer(gateway_state, path, gateway_dialect)
+        answerer = answering.RequestProcessor(gateway_state, path, gateway_dialect)
         self.ingress = ingress.Ingress(gateway_state, answerer)
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -28,7 +28,7 @@
 from spindlenotch.kernel import outcomes, upstreams
 
 
-class Answerer:
+class RequestProcessor:
     """Gets requests their answers; delivers nothing."""
 
     def __init__(
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -32,7 +32,7 @@
     def __init__(
         self,
         gateway_state: state.GatewayState,
-        answerer: answering.Answerer,
+        answerer: answering.RequestProcessor,
     ) -> None:
         self.state = gateway_state
         self.answerer = answerer
