--- a/features/support/served_gateway.py
+++ b/features/support/served_gateway.py
@@ -157,8 +157,8 @@
             self.learn()
         native = dialect.DIALECTS.get("native")()
         path = data_path.DataPath(state, self.port, job_factory.labels(native))
-        answerer = answering.RequestProcessor(state, path, native)
-        self.ingress = ingress.Ingress(state, answerer)
+        processor = answering.RequestProcessor(state, path, native)
+        self.ingress = ingress.Ingress(state, processor)
 
     def use_clock(self, host_clock: clock.Clock) -> None:
         """Let the gateway reckon by another clock of the host."""
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -68,8 +68,8 @@
             job_factory.labels(gateway_dialect),
             known=gateway_state.quarantines.known,
         )
-        answerer = answering.RequestProcessor(gateway_state, path, gateway_dialect)
-        self.ingress = ingress.Ingress(gateway_state, answerer)
+        processor = answering.RequestProcessor(gateway_state, path, gateway_dialect)
+        self.ingress = ingress.Ingress(gateway_state, processor)
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
         self.region_loads = region_loads.RegionLoads(gateway_state)
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -32,10 +32,10 @@
     def __init__(
         self,
         gateway_state: state.GatewayState,
-        answerer: answering.RequestProcessor,
+        processor: answering.RequestProcessor,
     ) -> None:
         self.state = gateway_state
-        self.answerer = answerer
+        self.processor = processor
         self.in_flight = 0
         self.closing = False
         self._listener = caller_listener.CallerListener(
@@ -134,7 +134,7 @@
     async def _answer(self, request: web_request.BaseRequest) -> pipelining.Answer:
         if self.closing:
             return refusals.not_ready()
-        return await self.answerer.answer(request)
+        return await self.processor.answer(request)
 
     async def _stream(
         self,
@@ -158,7 +158,7 @@
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
-        self.answerer.note_streamed(request, answer.exchange)
+        self.processor.note_streamed(request, answer.exchange)
         return response
 
 
