--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -20,7 +20,7 @@
     """Raised when an answer breaks off after its head was passed on."""
 
 
-class StreamedAnswer(msgspec.Struct, frozen=True):
+class StreamedResponse(msgspec.Struct, frozen=True):
     """
     A long answer that is to be passed on; nothing of it has gone out yet.
 
@@ -41,7 +41,7 @@
 
 async def pass_on(
     request: web_request.BaseRequest,
-    answer: StreamedAnswer,
+    answer: StreamedResponse,
     *,
     close_connection: bool,
 ) -> web_response.StreamResponse:
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -140,7 +140,7 @@
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         if isinstance(answer, answers.LongAnswer):
-            return answer_stream.StreamedAnswer(exchange, answer.start)
+            return answer_stream.StreamedResponse(exchange, answer.start)
         job = exchange.job
         self._traffic.passed_on(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -125,7 +125,7 @@
     ) -> web_response.StreamResponse:
         """Return the response, streamed already where the answer is a long one."""
         close = self._leaving and not pipelining.owes_answers(request)
-        if isinstance(answer, answer_stream.StreamedAnswer):
+        if isinstance(answer, answer_stream.StreamedResponse):
             return await self._stream(request, answer, close_connection=close)
         if close:
             answer.force_close()
@@ -139,7 +139,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        answer: answer_stream.StreamedAnswer,
+        answer: answer_stream.StreamedResponse,
         *,
         close_connection: bool,
     ) -> web_response.StreamResponse:
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -34,7 +34,7 @@
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 
 #: What a request is answered with: a whole response, or one that is to be streamed.
-Answer = web_response.Response | answer_stream.StreamedAnswer
+Answer = web_response.Response | answer_stream.StreamedResponse
 AnswerTask = asyncio.Task[Answer]
 #: Begins a request, or returns None where it must wait for its turn.
 BeginEarly = abc.Callable[[web_request.BaseRequest], AnswerTask | None]
@@ -198,5 +198,5 @@
     if task.cancelled() or task.exception() is not None:
         return
     answer = task.result()
-    if isinstance(answer, answer_stream.StreamedAnswer):
+    if isinstance(answer, answer_stream.StreamedResponse):
         answer.discard()
