--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -16,7 +16,7 @@
 from spindlenotch.kernel import upstreams
 
 
-class BrokenAnswerError(Exception):
+class TruncatedResponseError(Exception):
     """Raised when an answer breaks off after its head was passed on."""
 
 
@@ -48,7 +48,7 @@
     """
     Send the head, the start and the rest of an answer; end its exchange.
 
-    Raises ``BrokenAnswerError`` where the upstream breaks off or the caller's
+    Raises ``TruncatedResponseError`` where the upstream breaks off or the caller's
     connection times out, and aiohttp's connection errors where it is closed.
     """
     exchange = answer.exchange
@@ -61,7 +61,7 @@
         await _copy_rest(exchange, response)
         await response.write_eof()
     except TimeoutError:
-        raise BrokenAnswerError from None
+        raise TruncatedResponseError from None
     finally:
         # Changes nothing where the exchange has come to its end.
         exchange.end(upstreams.Result.CANCELLED)
@@ -84,7 +84,7 @@
     while True:
         piece = await exchange.chunk()
         if isinstance(piece, ports.UpstreamFault):
-            raise BrokenAnswerError
+            raise TruncatedResponseError
         if not piece:
             return
         await response.write(piece)
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -153,7 +153,7 @@
                 response = await answer_stream.pass_on(
                     request, answer, close_connection=close_connection
                 )
-        except (TimeoutError, answer_stream.BrokenAnswerError):
+        except (TimeoutError, answer_stream.TruncatedResponseError):
             # Without an answer in return, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
