--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -132,7 +132,7 @@
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
-        answer: answers.WholeAnswer | answers.LongAnswer,
+        answer: answers.BufferedResponse | answers.LongAnswer,
     ) -> pipelining.Answer | outcomes.Refusal:
         """Return the answer in the form in which it goes to the caller."""
         if answers.falsely_says_not_run(exchange):
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -20,7 +20,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """An answer whose body has come to its true end."""
 
     status: int
@@ -38,7 +38,9 @@
     """An answer that broke off; nothing of it has gone to the caller."""
 
 
-async def read(exchange: exchanges.Exchange) -> WholeAnswer | LongAnswer | CutAnswer:
+async def read(
+    exchange: exchanges.Exchange,
+) -> BufferedResponse | LongAnswer | CutAnswer:
     """
     Read an answer to its end, or to the length from which it is streamed.
 
@@ -74,5 +76,5 @@
     return exchange.answer.status in NOT_RUN_STATUSES
 
 
-def _whole(exchange: exchanges.Exchange, body: bytes) -> WholeAnswer:
-    return WholeAnswer(exchange.answer.status, passed_headers(exchange), body)
+def _whole(exchange: exchanges.Exchange, body: bytes) -> BufferedResponse:
+    return BufferedResponse(exchange.answer.status, passed_headers(exchange), body)
