--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -208,7 +208,7 @@
     full = b"x" * answers.MAX_WHOLE_ANSWER_BYTES
     assert read(b"a", b"b", b"") == answers.BufferedResponse(200, [], b"ab")
     assert read(full, b"") == answers.BufferedResponse(200, [], full)
-    assert read(full, b"x", b"never read") == answers.LongAnswer(full + b"x")
+    assert read(full, b"x", b"never read") == answers.PartialResponse(full + b"x")
     assert read(b"a", lost) == answers.CutAnswer()
     assert read(lost) == answers.CutAnswer()
 
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -132,14 +132,14 @@
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
-        answer: answers.BufferedResponse | answers.LongAnswer,
+        answer: answers.BufferedResponse | answers.PartialResponse,
     ) -> pipelining.Answer | outcomes.Refusal:
         """Return the answer in the form in which it goes to the caller."""
         if answers.falsely_says_not_run(exchange):
             # Changes nothing where the answer was read to its end.
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-        if isinstance(answer, answers.LongAnswer):
+        if isinstance(answer, answers.PartialResponse):
             return answer_stream.StreamedResponse(exchange, answer.start)
         job = exchange.job
         self._traffic.passed_on(exchange, len(answer.body))
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -28,7 +28,7 @@
     body: bytes
 
 
-class LongAnswer(msgspec.Struct, frozen=True):
+class PartialResponse(msgspec.Struct, frozen=True):
     """An answer too long to be read whole; its exchange holds the rest."""
 
     start: bytes
@@ -40,12 +40,12 @@
 
 async def read(
     exchange: exchanges.Exchange,
-) -> BufferedResponse | LongAnswer | CutAnswer:
+) -> BufferedResponse | PartialResponse | CutAnswer:
     """
     Read an answer to its end, or to the length from which it is streamed.
 
     The exchange ends itself where its body ends, breaks off or is cancelled; only
-    that of a ``LongAnswer`` is still open.
+    that of a ``PartialResponse`` is still open.
     """
     pieces: list[bytes] = []
     size = 0
@@ -57,7 +57,7 @@
             return _whole(exchange, b"".join(pieces))
         pieces.append(piece)
         size += len(piece)
-    return LongAnswer(b"".join(pieces))
+    return PartialResponse(b"".join(pieces))
 
 
 def passed_headers(exchange: exchanges.Exchange) -> list[tuple[str, str]]:
