--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -209,8 +209,8 @@
     assert read(b"a", b"b", b"") == answers.BufferedResponse(200, [], b"ab")
     assert read(full, b"") == answers.BufferedResponse(200, [], full)
     assert read(full, b"x", b"never read") == answers.PartialResponse(full + b"x")
-    assert read(b"a", lost) == answers.CutAnswer()
-    assert read(lost) == answers.CutAnswer()
+    assert read(b"a", lost) == answers.TruncatedResponse()
+    assert read(lost) == answers.TruncatedResponse()
 
 
 @kernel.PROPERTIES.register("requests are held while a gateway starts, not for long")
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -121,7 +121,7 @@
         exchange = await self.path.begin(job)
         while not isinstance(exchange, outcomes.Refusal):
             answer = await answers.read(exchange)
-            if not isinstance(answer, answers.CutAnswer):
+            if not isinstance(answer, answers.TruncatedResponse):
                 return self._pass_on(request, exchange, answer)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -34,13 +34,13 @@
     start: bytes
 
 
-class CutAnswer(msgspec.Struct, frozen=True):
+class TruncatedResponse(msgspec.Struct, frozen=True):
     """An answer that broke off; nothing of it has gone to the caller."""
 
 
 async def read(
     exchange: exchanges.Exchange,
-) -> BufferedResponse | PartialResponse | CutAnswer:
+) -> BufferedResponse | PartialResponse | TruncatedResponse:
     """
     Read an answer to its end, or to the length from which it is streamed.
 
@@ -52,7 +52,7 @@
     while size <= MAX_WHOLE_ANSWER_BYTES:
         piece = await exchange.chunk()
         if isinstance(piece, ports.UpstreamFault):
-            return CutAnswer()
+            return TruncatedResponse()
         if not piece:
             return _whole(exchange, b"".join(pieces))
         pieces.append(piece)
