--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -71,7 +71,7 @@
 def _head(exchange: exchanges.Exchange) -> web_response.StreamResponse:
     response = web_response.StreamResponse(
         status=exchange.answer.status,
-        headers=multidict.CIMultiDict(answers.passed_headers(exchange)),
+        headers=multidict.CIMultiDict(answers.end_to_end_headers(exchange)),
     )
     if exchange.answer.length is not None:
         response.content_length = exchange.answer.length
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -60,7 +60,7 @@
     return PartialResponse(b"".join(pieces))
 
 
-def passed_headers(exchange: exchanges.Exchange) -> list[tuple[str, str]]:
+def end_to_end_headers(exchange: exchanges.Exchange) -> list[tuple[str, str]]:
     """Return the answer's headers that go on to the caller, without its length."""
     return headers.end_to_end(exchange.answer.headers, {"content-length"})
 
@@ -77,4 +77,4 @@
 
 
 def _whole(exchange: exchanges.Exchange, body: bytes) -> BufferedResponse:
-    return BufferedResponse(exchange.answer.status, passed_headers(exchange), body)
+    return BufferedResponse(exchange.answer.status, end_to_end_headers(exchange), body)
