--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -135,7 +135,7 @@
         answer: answers.BufferedResponse | answers.PartialResponse,
     ) -> pipelining.Answer | outcomes.Refusal:
         """Return the answer in the form in which it goes to the caller."""
-        if answers.falsely_says_not_run(exchange):
+        if answers.implies_not_run(exchange):
             # Changes nothing where the answer was read to its end.
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -65,7 +65,7 @@
     return headers.end_to_end(exchange.answer.headers, {"content-length"})
 
 
-def falsely_says_not_run(exchange: exchanges.Exchange) -> bool:
+def implies_not_run(exchange: exchanges.Exchange) -> bool:
     """
     Tell whether a caller would wrongly conclude that its request has not run.
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -355,7 +355,7 @@
             "forwarding/judgement.end_of_fault",
             "forwarding/judgement.end_of_answer",
             "gateway/serving/answers.read",
-            "gateway/serving/answers.falsely_says_not_run",
+            "gateway/serving/answers.implies_not_run",
             "drivers/upstream_http.HttpUpstreamPort.send",
         ),
         inputs="fault of the connection, request id and stamp of the answer, status,"
