--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -205,7 +205,7 @@
 @kernel.PROPERTIES.register("an answer is whole, too long or cut short by how it ends")
 def answer_ends() -> None:
     lost = ports.UpstreamFault.CONNECTION_LOST
-    full = b"x" * answers.MAX_WHOLE_ANSWER_BYTES
+    full = b"x" * answers.MAX_BUFFERED_RESPONSE_BYTES
     assert read(b"a", b"b", b"") == answers.BufferedResponse(200, [], b"ab")
     assert read(full, b"") == answers.BufferedResponse(200, [], full)
     assert read(full, b"x", b"never read") == answers.PartialResponse(full + b"x")
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -14,7 +14,7 @@
 
 #: Bytes of the longest answer that is read whole; bounds the memory that one request
 #: takes.
-MAX_WHOLE_ANSWER_BYTES = 128 * 1024
+MAX_BUFFERED_RESPONSE_BYTES = 128 * 1024
 #: Statuses by which a caller knows that its request has not run and may be sent
 #: again. Defined by the protocol with callers.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -49,7 +49,7 @@
     """
     pieces: list[bytes] = []
     size = 0
-    while size <= MAX_WHOLE_ANSWER_BYTES:
+    while size <= MAX_BUFFERED_RESPONSE_BYTES:
         piece = await exchange.chunk()
         if isinstance(piece, ports.UpstreamFault):
             return TruncatedResponse()
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -362,7 +362,7 @@
         " framing and end of the body.",
         reason="'Not run' needs positive knowledge: no connection was made, or the"
         " upstream said so. All else may have run.",
-        constants=("gateway/serving/answers.MAX_WHOLE_ANSWER_BYTES",),
+        constants=("gateway/serving/answers.MAX_BUFFERED_RESPONSE_BYTES",),
         events=("REQUEST_FAILED", "FOREIGN_ANSWER"),
         tests=(
             Scenario(
