--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -153,7 +153,7 @@
             body=answer.body,
         )
 
-    def note_streamed(
+    def record_streamed(
         self, request: web_request.BaseRequest, exchange: exchanges.Exchange
     ) -> None:
         """Count and log an answer that was streamed to its end."""
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -158,7 +158,7 @@
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
-        self.processor.note_streamed(request, answer.exchange)
+        self.processor.record_streamed(request, answer.exchange)
         return response
 
 
