--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -39,7 +39,7 @@
         self.exchange.end(upstreams.Result.CANCELLED)
 
 
-async def pass_on(
+async def send(
     request: web_request.BaseRequest,
     answer: StreamedResponse,
     *,
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -150,7 +150,7 @@
         """
         try:
             async with self.state.deadlines.until(answer.deadline):
-                response = await answer_stream.pass_on(
+                response = await answer_stream.send(
                     request, answer, close_connection=close_connection
                 )
         except (TimeoutError, answer_stream.TruncatedResponseError):
