--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -46,7 +46,9 @@
             gateway_state, gateway_dialect, self._traffic
         )
 
-    async def answer(self, request: web_request.BaseRequest) -> pipelining.Answer:
+    async def answer(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         """
         Get a request its final answer.
 
@@ -96,7 +98,7 @@
         route: routing.Route,
         body: request_body.Body,
         held_s: float,
-    ) -> pipelining.Answer:
+    ) -> pipelining.PendingResponse:
         job = self._jobs.create(request, route, body, held_s)
         try:
             async with self.state.deadlines.until(job.call.deadline):
@@ -111,7 +113,7 @@
 
     async def _try_upstreams(
         self, request: web_request.BaseRequest, job: jobs.Job
-    ) -> pipelining.Answer | outcomes.Refusal:
+    ) -> pipelining.PendingResponse | outcomes.Refusal:
         """
         Try upstreams until one answer can be passed on or the job is refused.
 
@@ -133,7 +135,7 @@
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
         answer: answers.BufferedResponse | answers.PartialResponse,
-    ) -> pipelining.Answer | outcomes.Refusal:
+    ) -> pipelining.PendingResponse | outcomes.Refusal:
         """Return the answer in the form in which it goes to the caller."""
         if answers.implies_not_run(exchange):
             # Changes nothing where the answer was read to its end.
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -101,7 +101,9 @@
             return None
         return asyncio.ensure_future(self._count_while(request))
 
-    async def _count_while(self, request: web_request.BaseRequest) -> pipelining.Answer:
+    async def _count_while(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         self.in_flight += 1
         try:
             return await self._answer(request)
@@ -110,7 +112,7 @@
 
     async def _answer_in_turn(
         self, request: web_request.BaseRequest
-    ) -> pipelining.Answer:
+    ) -> pipelining.PendingResponse:
         begun = pipelining.take(request)
         if begun is None:
             return await self._answer(request)
@@ -121,7 +123,7 @@
             raise
 
     async def _deliver(
-        self, request: web_request.BaseRequest, answer: pipelining.Answer
+        self, request: web_request.BaseRequest, answer: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
         """Return the response, streamed already where the answer is a long one."""
         close = self._leaving and not pipelining.owes_answers(request)
@@ -131,7 +133,9 @@
             answer.force_close()
         return answer
 
-    async def _answer(self, request: web_request.BaseRequest) -> pipelining.Answer:
+    async def _answer(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         if self.closing:
             return refusals.not_ready()
         return await self.processor.answer(request)
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -34,8 +34,8 @@
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 
 #: What a request is answered with: a whole response, or one that is to be streamed.
-Answer = web_response.Response | answer_stream.StreamedResponse
-AnswerTask = asyncio.Task[Answer]
+PendingResponse = web_response.Response | answer_stream.StreamedResponse
+AnswerTask = asyncio.Task[PendingResponse]
 #: Begins a request, or returns None where it must wait for its turn.
 BeginEarly = abc.Callable[[web_request.BaseRequest], AnswerTask | None]
 
