--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -86,7 +86,7 @@
 
     def begin_early(
         self, request: web_request.BaseRequest
-    ) -> pipelining.AnswerTask | None:
+    ) -> pipelining.ResponseTask | None:
         """
         Begin a request that was sent behind others, where it may run again.
 
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -35,16 +35,16 @@
 
 #: What a request is answered with: a whole response, or one that is to be streamed.
 PendingResponse = web_response.Response | answer_stream.StreamedResponse
-AnswerTask = asyncio.Task[PendingResponse]
+ResponseTask = asyncio.Task[PendingResponse]
 #: Begins a request, or returns None where it must wait for its turn.
-BeginEarly = abc.Callable[[web_request.BaseRequest], AnswerTask | None]
+BeginEarly = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
 
 
 class Begun(msgspec.Struct, frozen=True):
     """A request that was begun before its turn."""
 
     message: http_parser.RawRequestMessage
-    task: AnswerTask
+    task: ResponseTask
 
 
 class PipelinedConnection(web_protocol.RequestHandler):
@@ -79,7 +79,7 @@
         if self._current_request is not None:
             self._begin_behind(self._current_request)
 
-    def take(self, request: web_request.BaseRequest) -> AnswerTask | None:
+    def take(self, request: web_request.BaseRequest) -> ResponseTask | None:
         """
         Begin the turn of a request.
 
@@ -176,7 +176,7 @@
         )
 
 
-def take(request: web_request.BaseRequest) -> AnswerTask | None:
+def take(request: web_request.BaseRequest) -> ResponseTask | None:
     """Return the task of a request whose turn has come, if it was begun before."""
     connection = request.protocol
     if isinstance(connection, PipelinedConnection):
@@ -190,7 +190,7 @@
     return isinstance(connection, PipelinedConnection) and connection.owes_answers
 
 
-def discard(task: AnswerTask) -> None:
+def discard(task: ResponseTask) -> None:
     """End a task whose answer nobody waits for, and the exchange it may hold."""
     if not task.done():
         task.cancel()
