--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -40,7 +40,7 @@
 BeginEarly = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
 
 
-class Begun(msgspec.Struct, frozen=True):
+class EarlyRequest(msgspec.Struct, frozen=True):
     """A request that was begun before its turn."""
 
     message: http_parser.RawRequestMessage
@@ -63,7 +63,7 @@
     ) -> None:
         super().__init__(manager, **options)
         self._begin_early = begin_early
-        self._begun: list[Begun] = []
+        self._begun: list[EarlyRequest] = []
         self._close_wanted = False
         self._all_taken = asyncio.Event()
         self._all_taken.set()
@@ -150,7 +150,7 @@
         )
         task = self._begin_early(request)
         if task is not None:
-            self._begun.append(Begun(message, task))
+            self._begun.append(EarlyRequest(message, task))
             self._all_taken.clear()
 
 
