--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         handler: Handler,
-        begin_early: pipelining.BeginEarly,
+        begin_early: pipelining.EarlyStarter,
         idle_timeout_s: abc.Callable[[], float],
     ) -> None:
         self._handler = handler
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -37,7 +37,7 @@
 PendingResponse = web_response.Response | answer_stream.StreamedResponse
 ResponseTask = asyncio.Task[PendingResponse]
 #: Begins a request, or returns None where it must wait for its turn.
-BeginEarly = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
+EarlyStarter = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
 
 
 class EarlyRequest(msgspec.Struct, frozen=True):
@@ -59,7 +59,10 @@
     __slots__ = ("_all_taken", "_begin_early", "_begun", "_close_wanted")
 
     def __init__(
-        self, manager: web_server.Server, begin_early: BeginEarly, **options: typing.Any
+        self,
+        manager: web_server.Server,
+        begin_early: EarlyStarter,
+        **options: typing.Any,
     ) -> None:
         super().__init__(manager, **options)
         self._begin_early = begin_early
@@ -162,7 +165,7 @@
         handler: abc.Callable[
             [web_request.BaseRequest], abc.Awaitable[web_response.StreamResponse]
         ],
-        begin_early: BeginEarly,
+        begin_early: EarlyStarter,
         **options: typing.Any,
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
