--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -43,11 +43,11 @@
     def __init__(
         self,
         handler: Handler,
-        begin_early: pipelining.EarlyStarter,
+        start_early: pipelining.EarlyStarter,
         idle_timeout_s: abc.Callable[[], float],
     ) -> None:
         self._handler = handler
-        self._begin_early = begin_early
+        self._begin_early = start_early
         self._idle_timeout_s = idle_timeout_s
         self._server_by_idle_timeout_s: dict[float, web_server.Server] = {}
         self._socket: asyncio.Server | None = None
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -39,7 +39,7 @@
         self.in_flight = 0
         self.closing = False
         self._listener = caller_listener.CallerListener(
-            self.handle, self.begin_early, self._idle_timeout_s
+            self.handle, self.start_early, self._idle_timeout_s
         )
 
     async def start(self) -> None:
@@ -84,7 +84,7 @@
         finally:
             self.in_flight -= 1
 
-    def begin_early(
+    def start_early(
         self, request: web_request.BaseRequest
     ) -> pipelining.ResponseTask | None:
         """
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -61,11 +61,11 @@
     def __init__(
         self,
         manager: web_server.Server,
-        begin_early: EarlyStarter,
+        start_early: EarlyStarter,
         **options: typing.Any,
     ) -> None:
         super().__init__(manager, **options)
-        self._begin_early = begin_early
+        self._begin_early = start_early
         self._begun: list[EarlyRequest] = []
         self._close_wanted = False
         self._all_taken = asyncio.Event()
@@ -165,11 +165,11 @@
         handler: abc.Callable[
             [web_request.BaseRequest], abc.Awaitable[web_response.StreamResponse]
         ],
-        begin_early: EarlyStarter,
+        start_early: EarlyStarter,
         **options: typing.Any,
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        self._begin_early = begin_early
+        self._begin_early = start_early
         self._options = options
 
     def __call__(self) -> web_protocol.RequestHandler:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -209,7 +209,7 @@
         question="When a request is begun that stands behind others",
         functions=(
             "gateway/serving/pipelining.PipelinedConnection",
-            "gateway/serving/ingress.Ingress.begin_early",
+            "gateway/serving/ingress.Ingress.start_early",
         ),
         inputs="methods of the requests in front, kind of the route, phase.",
         reason="A lookup sent behind another would else start when that is answered."
