--- a/features/steps/pipelining.py
+++ b/features/steps/pipelining.py
@@ -62,8 +62,8 @@
 def few_begun(context: typing.Any) -> None:
     found = len(context.gateway.port.targets)
     # The two upstreams have four slots each, of which some may be spared.
-    assert 1 < found <= 1 + pipelining.MOST_BEGUN, found
-    assert context.gateway.ingress.in_flight == 1 + pipelining.MOST_BEGUN
+    assert 1 < found <= 1 + pipelining.MAX_EARLY_REQUESTS, found
+    assert context.gateway.ingress.in_flight == 1 + pipelining.MAX_EARLY_REQUESTS
 
 
 @behave.then('upstreams have got "/1", "/2" and "/3"')
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -28,7 +28,7 @@
 
 #: Requests of one connection that may be begun before it is their turn; bounds what one
 #: caller can occupy.
-MOST_BEGUN = 8
+MAX_EARLY_REQUESTS = 8
 #: Methods of which several may run at once: RFC 9110, section 9.2.1, calls them
 #: safe.
 SAFE_METHODS = frozenset({"GET", "HEAD"})
@@ -145,7 +145,7 @@
         handler_task = self._task_handler
         if self._request_factory is None or handler_task is None:
             return
-        if len(self._begun) >= MOST_BEGUN:
+        if len(self._begun) >= MAX_EARLY_REQUESTS:
             return
         writer = http_writer.StreamWriter(self, asyncio.get_running_loop())
         request = self._request_factory(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -214,7 +214,7 @@
         inputs="methods of the requests in front, kind of the route, phase.",
         reason="A lookup sent behind another would else start when that is answered."
         " Answers go out in the order of the requests.",
-        constants=("gateway/serving/pipelining.MOST_BEGUN",),
+        constants=("gateway/serving/pipelining.MAX_EARLY_REQUESTS",),
         tests=(
             Scenario(
                 "pipelining",
