--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -80,7 +80,7 @@
         """Parse what was received, and begin the requests that may be begun."""
         super().data_received(data)
         if self._current_request is not None:
-            self._begin_behind(self._current_request)
+            self._start_queued(self._current_request)
 
     def take(self, request: web_request.BaseRequest) -> ResponseTask | None:
         """
@@ -88,7 +88,7 @@
 
         Return its task if it was begun before, and begin those behind it.
         """
-        self._begin_behind(request)
+        self._start_queued(request)
         for number, begun in enumerate(self._begun):
             if begun.message is request._message:
                 del self._begun[number]
@@ -128,7 +128,7 @@
         if self._close_wanted:
             super().close()
 
-    def _begin_behind(self, current: web_request.BaseRequest) -> None:
+    def _start_queued(self, current: web_request.BaseRequest) -> None:
         """Begin requests that wait behind ``current``, whose turn it is."""
         if current.method not in SAFE_METHODS:
             return
