--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -139,9 +139,9 @@
             if not bare or message.method not in SAFE_METHODS:
                 return
             if not any(begun.message is message for begun in self._begun):
-                self._begin(message)
+                self._start(message)
 
-    def _begin(self, message: http_parser.RawRequestMessage) -> None:
+    def _start(self, message: http_parser.RawRequestMessage) -> None:
         handler_task = self._task_handler
         if self._request_factory is None or handler_task is None:
             return
