--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -92,7 +92,7 @@
         for number, begun in enumerate(self._begun):
             if begun.message is request._message:
                 del self._begun[number]
-                self._note_taken()
+                self._on_early_request_removed()
                 return begun.task
         return None
 
@@ -117,10 +117,10 @@
         for begun in self._begun:
             discard(begun.task)
         self._begun.clear()
-        self._note_taken()
+        self._on_early_request_removed()
         super().connection_lost(exc)
 
-    def _note_taken(self) -> None:
+    def _on_early_request_removed(self) -> None:
         """Let the connection close if that was waited for."""
         if self._begun:
             return
