--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -72,7 +72,7 @@
         self._all_taken.set()
 
     @property
-    def owes_answers(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Tell whether requests were begun whose turn has not come."""
         return bool(self._begun)
 
@@ -187,10 +187,12 @@
     return None
 
 
-def owes_answers(request: web_request.BaseRequest) -> bool:
+def has_pending_responses(request: web_request.BaseRequest) -> bool:
     """Tell whether requests behind this one were begun on its connection."""
     connection = request.protocol
-    return isinstance(connection, PipelinedConnection) and connection.owes_answers
+    return (
+        isinstance(connection, PipelinedConnection) and connection.has_pending_responses
+    )
 
 
 def discard(task: ResponseTask) -> None:
