--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -89,11 +89,11 @@
         Return its task if it was begun before, and begin those behind it.
         """
         self._start_queued(request)
-        for number, begun in enumerate(self._begun):
-            if begun.message is request._message:
+        for number, early_request in enumerate(self._begun):
+            if early_request.message is request._message:
                 del self._begun[number]
                 self._on_early_request_removed()
-                return begun.task
+                return early_request.task
         return None
 
     def close(self) -> None:
@@ -114,8 +114,8 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Break off what was begun: its caller is gone."""
-        for begun in self._begun:
-            discard(begun.task)
+        for early_request in self._begun:
+            discard(early_request.task)
         self._begun.clear()
         self._on_early_request_removed()
         super().connection_lost(exc)
@@ -138,7 +138,9 @@
             bare = payload is streams.EMPTY_PAYLOAD
             if not bare or message.method not in SAFE_METHODS:
                 return
-            if not any(begun.message is message for begun in self._begun):
+            if not any(
+                early_request.message is message for early_request in self._begun
+            ):
                 self._start(message)
 
     def _start(self, message: http_parser.RawRequestMessage) -> None:
