--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -113,13 +113,13 @@
     async def _answer_in_turn(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
-        begun = pipelining.take(request)
-        if begun is None:
+        task = pipelining.take(request)
+        if task is None:
             return await self._answer(request)
         try:
-            return await begun
+            return await task
         except asyncio.CancelledError:
-            pipelining.discard(begun)
+            pipelining.discard(task)
             raise
 
     async def _deliver(
