--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -135,8 +135,8 @@
         for message, payload in self._messages:
             if not isinstance(message, http_parser.RawRequestMessage):
                 return
-            bare = payload is streams.EMPTY_PAYLOAD
-            if not bare or message.method not in SAFE_METHODS:
+            has_no_body = payload is streams.EMPTY_PAYLOAD
+            if not has_no_body or message.method not in SAFE_METHODS:
                 return
             if not any(
                 early_request.message is message for early_request in self._begun
