--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -89,9 +89,9 @@
         Return its task if it was begun before, and begin those behind it.
         """
         self._start_queued(request)
-        for number, early_request in enumerate(self._begun):
+        for index, early_request in enumerate(self._begun):
             if early_request.message is request._message:
-                del self._begun[number]
+                del self._begun[index]
                 self._on_early_request_removed()
                 return early_request.task
         return None
