--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -113,7 +113,7 @@
     async def _answer_in_turn(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
-        task = pipelining.take(request)
+        task = pipelining.take_task(request)
         if task is None:
             return await self._answer(request)
         try:
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -82,7 +82,7 @@
         if self._current_request is not None:
             self._start_queued(self._current_request)
 
-    def take(self, request: web_request.BaseRequest) -> ResponseTask | None:
+    def take_task(self, request: web_request.BaseRequest) -> ResponseTask | None:
         """
         Begin the turn of a request.
 
@@ -181,11 +181,11 @@
         )
 
 
-def take(request: web_request.BaseRequest) -> ResponseTask | None:
+def take_task(request: web_request.BaseRequest) -> ResponseTask | None:
     """Return the task of a request whose turn has come, if it was begun before."""
     connection = request.protocol
     if isinstance(connection, PipelinedConnection):
-        return connection.take(request)
+        return connection.take_task(request)
     return None
 
 
