--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -105,11 +105,11 @@
     async def shutdown(self, timeout: float | None = None) -> None:
         """Close the connection likewise, at the latest after ``timeout`` seconds."""
         loop = asyncio.get_running_loop()
-        end = None if timeout is None else loop.time() + timeout
+        deadline = None if timeout is None else loop.time() + timeout
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(end):
+            async with asyncio.timeout_at(deadline):
                 await self._all_taken.wait()
-        left_s = None if end is None else max(0.0, end - loop.time())
+        left_s = None if deadline is None else max(0.0, deadline - loop.time())
         await super().shutdown(left_s)
 
     def connection_lost(self, exc: BaseException | None) -> None:
