--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -109,8 +109,8 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(deadline):
                 await self._all_taken.wait()
-        left_s = None if deadline is None else max(0.0, deadline - loop.time())
-        await super().shutdown(left_s)
+        remaining_s = None if deadline is None else max(0.0, deadline - loop.time())
+        await super().shutdown(remaining_s)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Break off what was begun: its caller is gone."""
