--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -77,7 +77,7 @@
         """
         self.in_flight += 1
         try:
-            answer = await self._answer_in_turn(request)
+            answer = await self._await_response(request)
             response = await self._deliver(request, answer)
             self.state.demand.count(_bodies_length(request, response))
             return response
@@ -110,7 +110,7 @@
         finally:
             self.in_flight -= 1
 
-    async def _answer_in_turn(
+    async def _await_response(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
         task = pipelining.take_task(request)
