--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -106,7 +106,7 @@
     ) -> pipelining.PendingResponse:
         self.in_flight += 1
         try:
-            return await self._answer(request)
+            return await self._process(request)
         finally:
             self.in_flight -= 1
 
@@ -115,7 +115,7 @@
     ) -> pipelining.PendingResponse:
         task = pipelining.take_task(request)
         if task is None:
-            return await self._answer(request)
+            return await self._process(request)
         try:
             return await task
         except asyncio.CancelledError:
@@ -133,7 +133,7 @@
             answer.force_close()
         return answer
 
-    async def _answer(
+    async def _process(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
         if self.closing:
