--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -99,9 +99,9 @@
         route = table.find(request.headers.get("Host", ""), request.raw_path)
         if not isinstance(route, routing.Route) or not route.repeatable:
             return None
-        return asyncio.ensure_future(self._count_while(request))
+        return asyncio.ensure_future(self._process_early(request))
 
-    async def _count_while(
+    async def _process_early(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
         self.in_flight += 1
