--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -79,7 +79,7 @@
         try:
             answer = await self._await_response(request)
             response = await self._deliver(request, answer)
-            self.state.demand.count(_bodies_length(request, response))
+            self.state.demand.count(_declared_body_bytes(request, response))
             return response
         finally:
             self.in_flight -= 1
@@ -166,7 +166,7 @@
         return response
 
 
-def _bodies_length(
+def _declared_body_bytes(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
     """Return the declared bytes of both bodies; those without a length count 0."""
