--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -126,10 +126,10 @@
         self, request: web_request.BaseRequest, answer: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
         """Return the response, streamed already where the answer is a long one."""
-        close = self._leaving and not pipelining.has_pending_responses(request)
+        should_close = self._leaving and not pipelining.has_pending_responses(request)
         if isinstance(answer, answer_stream.StreamedResponse):
-            return await self._stream(request, answer, close_connection=close)
-        if close:
+            return await self._stream(request, answer, close_connection=should_close)
+        if should_close:
             answer.force_close()
         return answer
 
