--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -124,13 +124,13 @@
         while not isinstance(exchange, outcomes.Refusal):
             answer = await answers.read(exchange)
             if not isinstance(answer, answers.TruncatedResponse):
-                return self._pass_on(request, exchange, answer)
+                return self._to_pending_response(request, exchange, answer)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
             exchange = await self.path.again(job, exchange.grant)
         return exchange
 
-    def _pass_on(
+    def _to_pending_response(
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
