--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -56,7 +56,7 @@
         """
         held_s = 0.0
         if not self.state.can_serve:
-            held_s = await self._hold()
+            held_s = await self._wait_until_ready()
         table = self.state.table
         if table is None or not self.state.can_serve:
             return refusals.not_ready()
@@ -85,7 +85,7 @@
         self.log.region_refused(self._id(request), route.name)
         return refusals.region_refused()
 
-    async def _hold(self) -> float:
+    async def _wait_until_ready(self) -> float:
         """Hold a request while this gateway starts; return for how many seconds."""
         arrived_at = self.state.clock.now()
         hold_until = start_limit.hold_until(self.state.started_at)
