--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -54,9 +54,9 @@
 
         Raises ``asyncio.CancelledError`` where the caller has gone.
         """
-        held_s = 0.0
+        startup_wait_s = 0.0
         if not self.state.can_serve:
-            held_s = await self._wait_until_ready()
+            startup_wait_s = await self._wait_until_ready()
         table = self.state.table
         if table is None or not self.state.can_serve:
             return refusals.not_ready()
@@ -71,7 +71,7 @@
         body = await request_body.read(request, limit_bytes)
         if isinstance(body, request_body.TooLong):
             return refusals.body_too_long()
-        return await self._forward(request, route, body, held_s)
+        return await self._forward(request, route, body, startup_wait_s)
 
     def _refuse_route(
         self, request: web_request.BaseRequest, route: routing.RefusedRoute
@@ -97,9 +97,9 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: request_body.Body,
-        held_s: float,
+        startup_wait_s: float,
     ) -> pipelining.PendingResponse:
-        job = self._jobs.create(request, route, body, held_s)
+        job = self._jobs.create(request, route, body, startup_wait_s)
         try:
             async with self.state.deadlines.until(job.call.deadline):
                 answer = await self._try_upstreams(request, job)
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -66,19 +66,19 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: request_body.Body,
-        held_s: float = 0.0,
+        startup_wait_s: float = 0.0,
     ) -> jobs.Job:
         """
         Build the job of a request; advances the route's round robin.
 
-        ``held_s`` is how long this gateway has held it before, in seconds.
+        ``startup_wait_s`` is how long this gateway has held it before, in seconds.
         """
         self._follow_configuration()
         service = self.state.round_robin.next(route)
         chosen = self.state.balancer_by_service[service]
         return jobs.Job(
             balancer=chosen,
-            call=self._call(request, route, body, chosen, held_s),
+            call=self._call(request, route, body, chosen, startup_wait_s),
             method=request.method,
             target=request.raw_path,
             headers=self._passed_headers(request),
@@ -94,9 +94,9 @@
         route: routing.Route,
         body: request_body.Body,
         chosen: balancer.Balancer,
-        held_s: float,
+        startup_wait_s: float,
     ) -> waiting.Call:
-        now = ids.later(self.state.clock.now(), -held_s)
+        now = ids.later(self.state.clock.now(), -startup_wait_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
         typical_s = chosen.pool.latencies.typical_s(route.name)
         limit = start_limit.for_request(
