--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -76,13 +76,13 @@
     def _refuse_route(
         self, request: web_request.BaseRequest, route: routing.RefusedRoute
     ) -> web_response.Response:
-        self.log.route_refused(self._id(request), route.name)
+        self.log.route_refused(self._request_id(request), route.name)
         return refusals.route_refused()
 
     def _refuse_region(
         self, request: web_request.BaseRequest, route: routing.Route
     ) -> web_response.Response:
-        self.log.region_refused(self._id(request), route.name)
+        self.log.region_refused(self._request_id(request), route.name)
         return refusals.region_refused()
 
     async def _wait_until_ready(self) -> float:
@@ -147,8 +147,8 @@
         self._traffic.passed_on(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
         if answer.status >= outcomes.FIRST_FAILED_STATUS:
-            self.log.failed_upstream(self._id(request), job, exchange)
-        self.log.served(self._id(request), job, exchange)
+            self.log.failed_upstream(self._request_id(request), job, exchange)
+        self.log.served(self._request_id(request), job, exchange)
         return web_response.Response(
             status=answer.status,
             headers=multidict.CIMultiDict(answer.headers),
@@ -162,9 +162,9 @@
         job = exchange.job
         self._traffic.passed_on(exchange, exchange.answer.length or 0)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        self.log.served(self._id(request), job, exchange)
+        self.log.served(self._request_id(request), job, exchange)
 
-    def _id(self, request: web_request.BaseRequest) -> str:
+    def _request_id(self, request: web_request.BaseRequest) -> str:
         return request.headers.get(self.dialect.request_id, "")
 
     def _refuse(
@@ -176,7 +176,7 @@
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
             return self._failed(request, job, refusal.reason)
         wait_s = refusals.retry_after_s(refusal, self.state.clock.now())
-        self.log.refused(self._id(request), job, refusal, wait_s)
+        self.log.refused(self._request_id(request), job, refusal, wait_s)
         return refusals.not_run(refusal.reason, wait_s)
 
     def _failed(
@@ -186,5 +186,5 @@
         reason: outcomes.Reason,
     ) -> web_response.Response:
         status = refusals.failure_status(reason)
-        self.log.failed(self._id(request), job, status, reason)
+        self.log.failed(self._request_id(request), job, status, reason)
         return refusals.failed(reason)
