--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -54,7 +54,7 @@
         if isinstance(piece, ports.UpstreamFault):
             return TruncatedResponse()
         if not piece:
-            return _whole(exchange, b"".join(pieces))
+            return _buffered(exchange, b"".join(pieces))
         pieces.append(piece)
         size += len(piece)
     return PartialResponse(b"".join(pieces))
@@ -76,5 +76,5 @@
     return exchange.answer.status in NOT_RUN_STATUSES
 
 
-def _whole(exchange: exchanges.Exchange, body: bytes) -> BufferedResponse:
+def _buffered(exchange: exchanges.Exchange, body: bytes) -> BufferedResponse:
     return BufferedResponse(exchange.answer.status, end_to_end_headers(exchange), body)
