--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -47,17 +47,17 @@
     The exchange ends itself where its body ends, breaks off or is cancelled; only
     that of a ``PartialResponse`` is still open.
     """
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while size <= MAX_BUFFERED_RESPONSE_BYTES:
         piece = await exchange.chunk()
         if isinstance(piece, ports.UpstreamFault):
             return TruncatedResponse()
         if not piece:
-            return _buffered(exchange, b"".join(pieces))
-        pieces.append(piece)
+            return _buffered(exchange, b"".join(chunks))
+        chunks.append(piece)
         size += len(piece)
-    return PartialResponse(b"".join(pieces))
+    return PartialResponse(b"".join(chunks))
 
 
 def end_to_end_headers(exchange: exchanges.Exchange) -> list[tuple[str, str]]:
--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -75,14 +75,14 @@
 
 async def _read_whole(request: web_request.BaseRequest) -> WholeBody | StreamedBody:
     """Read to the end, or go over to streaming where the body is too long."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     async for piece in request.content.iter_any():
-        pieces.append(piece)
+        chunks.append(piece)
         size += len(piece)
         if size > MAX_WHOLE_BODY_BYTES:
-            return StreamedBody(_pieces(request, pieces), request.content_length or 0)
-    return WholeBody(b"".join(pieces))
+            return StreamedBody(_pieces(request, chunks), request.content_length or 0)
+    return WholeBody(b"".join(chunks))
 
 
 async def _pieces(
