--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -82,9 +82,9 @@
     exchange: exchanges.Exchange, response: web_response.StreamResponse
 ) -> None:
     while True:
-        piece = await exchange.chunk()
-        if isinstance(piece, ports.UpstreamFault):
+        chunk = await exchange.chunk()
+        if isinstance(chunk, ports.UpstreamFault):
             raise TruncatedResponseError
-        if not piece:
+        if not chunk:
             return
-        await response.write(piece)
+        await response.write(chunk)
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -50,13 +50,13 @@
     chunks: list[bytes] = []
     size = 0
     while size <= MAX_BUFFERED_RESPONSE_BYTES:
-        piece = await exchange.chunk()
-        if isinstance(piece, ports.UpstreamFault):
+        chunk = await exchange.chunk()
+        if isinstance(chunk, ports.UpstreamFault):
             return TruncatedResponse()
-        if not piece:
+        if not chunk:
             return _buffered(exchange, b"".join(chunks))
-        chunks.append(piece)
-        size += len(piece)
+        chunks.append(chunk)
+        size += len(chunk)
     return PartialResponse(b"".join(chunks))
 
 
