--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -77,9 +77,9 @@
     """Read to the end, or go over to streaming where the body is too long."""
     chunks: list[bytes] = []
     size = 0
-    async for piece in request.content.iter_any():
-        chunks.append(piece)
-        size += len(piece)
+    async for chunk in request.content.iter_any():
+        chunks.append(chunk)
+        size += len(chunk)
         if size > MAX_WHOLE_BODY_BYTES:
             return StreamedBody(_pieces(request, chunks), request.content_length or 0)
     return WholeBody(b"".join(chunks))
@@ -89,7 +89,7 @@
     request: web_request.BaseRequest, start: list[bytes]
 ) -> abc.AsyncIterator[bytes]:
     """Yield what was read already, then the rest as it comes."""
-    for piece in start:
-        yield piece
-    async for piece in request.content.iter_any():
-        yield piece
+    for chunk in start:
+        yield chunk
+    async for chunk in request.content.iter_any():
+        yield chunk
