--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -24,10 +24,10 @@
     """
     A long answer that is to be passed on; nothing of it has gone out yet.
 
-    ``start`` was read already; ``exchange`` is open and holds the rest."""
+    ``received`` was read already; ``exchange`` is open and holds the rest."""
 
     exchange: exchanges.Exchange
-    start: bytes
+    received: bytes
 
     @property
     def deadline(self) -> ids.Instant:
@@ -57,7 +57,7 @@
         response.force_close()
     try:
         await response.prepare(request)
-        await response.write(answer.start)
+        await response.write(answer.received)
         await _copy_rest(exchange, response)
         await response.write_eof()
     except TimeoutError:
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -142,7 +142,7 @@
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         if isinstance(answer, answers.PartialResponse):
-            return answer_stream.StreamedResponse(exchange, answer.start)
+            return answer_stream.StreamedResponse(exchange, answer.received)
         job = exchange.job
         self._traffic.passed_on(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -31,7 +31,7 @@
 class PartialResponse(msgspec.Struct, frozen=True):
     """An answer too long to be read whole; its exchange holds the rest."""
 
-    start: bytes
+    received: bytes
 
 
 class TruncatedResponse(msgspec.Struct, frozen=True):
