--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -52,7 +52,7 @@
     connection times out, and aiohttp's connection errors where it is closed.
     """
     exchange = answer.exchange
-    response = _head(exchange)
+    response = _prepare_head(exchange)
     if close_connection:
         response.force_close()
     try:
@@ -68,7 +68,7 @@
     return response
 
 
-def _head(exchange: exchanges.Exchange) -> web_response.StreamResponse:
+def _prepare_head(exchange: exchanges.Exchange) -> web_response.StreamResponse:
     response = web_response.StreamResponse(
         status=exchange.answer.status,
         headers=multidict.CIMultiDict(answers.end_to_end_headers(exchange)),
