--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -58,7 +58,7 @@
     try:
         await response.prepare(request)
         await response.write(answer.received)
-        await _copy_rest(exchange, response)
+        await _copy_remaining(exchange, response)
         await response.write_eof()
     except TimeoutError:
         raise TruncatedResponseError from None
@@ -78,7 +78,7 @@
     return response
 
 
-async def _copy_rest(
+async def _copy_remaining(
     exchange: exchanges.Exchange, response: web_response.StreamResponse
 ) -> None:
     while True:
