--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -69,7 +69,7 @@
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     if declared is not None and declared > MAX_WHOLE_BODY_BYTES:
-        return StreamedBody(_pieces(request, []), declared)
+        return StreamedBody(_chunks(request, []), declared)
     return await _read_whole(request)
 
 
@@ -81,11 +81,11 @@
         chunks.append(chunk)
         size += len(chunk)
         if size > MAX_WHOLE_BODY_BYTES:
-            return StreamedBody(_pieces(request, chunks), request.content_length or 0)
+            return StreamedBody(_chunks(request, chunks), request.content_length or 0)
     return WholeBody(b"".join(chunks))
 
 
-async def _pieces(
+async def _chunks(
     request: web_request.BaseRequest, start: list[bytes]
 ) -> abc.AsyncIterator[bytes]:
     """Yield what was read already, then the rest as it comes."""
