--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -86,10 +86,10 @@
 
 
 async def _chunks(
-    request: web_request.BaseRequest, start: list[bytes]
+    request: web_request.BaseRequest, received: list[bytes]
 ) -> abc.AsyncIterator[bytes]:
     """Yield what was read already, then the rest as it comes."""
-    for chunk in start:
+    for chunk in received:
         yield chunk
     async for chunk in request.content.iter_any():
         yield chunk
