--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -70,10 +70,10 @@
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     if declared is not None and declared > MAX_WHOLE_BODY_BYTES:
         return StreamedBody(_chunks(request, []), declared)
-    return await _read_whole(request)
+    return await _read_buffered(request)
 
 
-async def _read_whole(request: web_request.BaseRequest) -> WholeBody | StreamedBody:
+async def _read_buffered(request: web_request.BaseRequest) -> WholeBody | StreamedBody:
     """Read to the end, or go over to streaming where the body is too long."""
     chunks: list[bytes] = []
     size = 0
