--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -152,8 +152,8 @@
 def cross_zone() -> None:
     none = job_factory.cross_zone_s(request_body.NoBody(), 0.0)
     assert none == job_factory.CROSS_ZONE_S
-    short = job_factory.cross_zone_s(request_body.WholeBody(b"x" * 100), 0.0)
-    long = job_factory.cross_zone_s(request_body.WholeBody(b"x" * 10_000), 0.0)
+    short = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 100), 0.0)
+    long = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 10_000), 0.0)
     assert none < short < long
     slow = job_factory.cross_zone_s(request_body.NoBody(), 0.2)
     assert slow == 0.2 * job_factory.CROSS_ZONE_SHARE
--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -22,7 +22,7 @@
     known_bytes: int = 0
 
 
-class WholeBody(msgspec.Struct, frozen=True):
+class BufferedBody(msgspec.Struct, frozen=True):
     """A body that was read to its end."""
 
     content: bytes
@@ -48,7 +48,7 @@
     """The declared length is beyond the operator's limit; nothing was read."""
 
 
-Body = NoBody | WholeBody | StreamedBody
+Body = NoBody | BufferedBody | StreamedBody
 
 _NO_BODY = NoBody()
 _TOO_LONG = TooLong()
@@ -73,7 +73,9 @@
     return await _read_buffered(request)
 
 
-async def _read_buffered(request: web_request.BaseRequest) -> WholeBody | StreamedBody:
+async def _read_buffered(
+    request: web_request.BaseRequest,
+) -> BufferedBody | StreamedBody:
     """Read to the end, or go over to streaming where the body is too long."""
     chunks: list[bytes] = []
     size = 0
@@ -82,7 +84,7 @@
         size += len(chunk)
         if size > MAX_WHOLE_BODY_BYTES:
             return StreamedBody(_chunks(request, chunks), request.content_length or 0)
-    return WholeBody(b"".join(chunks))
+    return BufferedBody(b"".join(chunks))
 
 
 async def _chunks(
