--- a/features/steps/mended_faults.py
+++ b/features/steps/mended_faults.py
@@ -26,7 +26,7 @@
 CONNECT_S = 0.2
 LATE_S = 0.01
 STEPS_OF_CONNECTING = 12
-UPLOAD_BYTES = 2 * request_body.MAX_WHOLE_BODY_BYTES
+UPLOAD_BYTES = 2 * request_body.MAX_BUFFERED_BODY_BYTES
 #: Long enough for the head and the first pieces on a loaded machine.
 DEADLINE_MS = 1000
 #: Calls within which an upstream back from an ejection should get its trial.
--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -12,7 +12,7 @@
 from aiohttp import web_request
 
 #: Bytes of the longest body that is read whole.
-MAX_WHOLE_BODY_BYTES = 1024 * 1024
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
 
 
 class NoBody(msgspec.Struct, frozen=True):
@@ -68,7 +68,7 @@
         return _TOO_LONG
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-    if declared is not None and declared > MAX_WHOLE_BODY_BYTES:
+    if declared is not None and declared > MAX_BUFFERED_BODY_BYTES:
         return StreamedBody(_chunks(request, []), declared)
     return await _read_buffered(request)
 
@@ -82,7 +82,7 @@
     async for chunk in request.content.iter_any():
         chunks.append(chunk)
         size += len(chunk)
-        if size > MAX_WHOLE_BODY_BYTES:
+        if size > MAX_BUFFERED_BODY_BYTES:
             return StreamedBody(_chunks(request, chunks), request.content_length or 0)
     return BufferedBody(b"".join(chunks))
 
