--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -69,7 +69,7 @@
             return self._refuse_region(request, route)
         limit_bytes = table.configuration.limits.body_bytes
         body = await request_body.read(request, limit_bytes)
-        if isinstance(body, request_body.TooLong):
+        if isinstance(body, request_body.BodyTooLong):
             return refusals.body_too_long()
         return await self._forward(request, route, body, startup_wait_s)
 
--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -44,17 +44,19 @@
     known_bytes: int
 
 
-class TooLong(msgspec.Struct, frozen=True):
+class BodyTooLong(msgspec.Struct, frozen=True):
     """The declared length is beyond the operator's limit; nothing was read."""
 
 
 Body = NoBody | BufferedBody | StreamedBody
 
 _NO_BODY = NoBody()
-_TOO_LONG = TooLong()
+_TOO_LONG = BodyTooLong()
 
 
-async def read(request: web_request.BaseRequest, limit_bytes: int) -> Body | TooLong:
+async def read(
+    request: web_request.BaseRequest, limit_bytes: int
+) -> Body | BodyTooLong:
     """
     Read the body of a request of at most ``limit_bytes``.
 
