--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -51,7 +51,7 @@
 Body = NoBody | BufferedBody | StreamedBody
 
 _NO_BODY = NoBody()
-_TOO_LONG = BodyTooLong()
+_BODY_TOO_LONG = BodyTooLong()
 
 
 async def read(
@@ -67,7 +67,7 @@
         return _NO_BODY
     declared = request.content_length
     if declared is not None and declared > limit_bytes:
-        return _TOO_LONG
+        return _BODY_TOO_LONG
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     if declared is not None and declared > MAX_BUFFERED_BODY_BYTES:
