--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -56,7 +56,7 @@
     request that was begun is owed.
     """
 
-    __slots__ = ("_all_taken", "_begin_early", "_begun", "_close_wanted")
+    __slots__ = ("_all_taken", "_start_early", "_begun", "_close_wanted")
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         **options: typing.Any,
     ) -> None:
         super().__init__(manager, **options)
-        self._begin_early = start_early
+        self._start_early = start_early
         self._begun: list[EarlyRequest] = []
         self._close_wanted = False
         self._all_taken = asyncio.Event()
@@ -153,7 +153,7 @@
         request = self._request_factory(
             message, streams.EMPTY_PAYLOAD, self, writer, handler_task
         )
-        task = self._begin_early(request)
+        task = self._start_early(request)
         if task is not None:
             self._begun.append(EarlyRequest(message, task))
             self._all_taken.clear()
@@ -171,13 +171,13 @@
         **options: typing.Any,
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        self._begin_early = start_early
+        self._start_early = start_early
         self._options = options
 
     def __call__(self) -> web_protocol.RequestHandler:
         """Return the protocol of a new connection."""
         return PipelinedConnection(
-            self, self._begin_early, loop=self._loop, **self._options
+            self, self._start_early, loop=self._loop, **self._options
         )
 
 
