--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -56,7 +56,7 @@
     request that was begun is owed.
     """
 
-    __slots__ = ("_all_taken", "_start_early", "_begun", "_close_wanted")
+    __slots__ = ("_all_taken", "_start_early", "_early_requests", "_close_wanted")
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
     ) -> None:
         super().__init__(manager, **options)
         self._start_early = start_early
-        self._begun: list[EarlyRequest] = []
+        self._early_requests: list[EarlyRequest] = []
         self._close_wanted = False
         self._all_taken = asyncio.Event()
         self._all_taken.set()
@@ -74,7 +74,7 @@
     @property
     def has_pending_responses(self) -> bool:
         """Tell whether requests were begun whose turn has not come."""
-        return bool(self._begun)
+        return bool(self._early_requests)
 
     def data_received(self, data: bytes) -> None:
         """Parse what was received, and begin the requests that may be begun."""
@@ -89,9 +89,9 @@
         Return its task if it was begun before, and begin those behind it.
         """
         self._start_queued(request)
-        for index, early_request in enumerate(self._begun):
+        for index, early_request in enumerate(self._early_requests):
             if early_request.message is request._message:
-                del self._begun[index]
+                del self._early_requests[index]
                 self._on_early_request_removed()
                 return early_request.task
         return None
@@ -99,7 +99,7 @@
     def close(self) -> None:
         """Close the connection once all that was begun is answered."""
         self._close_wanted = True
-        if not self._begun:
+        if not self._early_requests:
             super().close()
 
     async def shutdown(self, timeout: float | None = None) -> None:
@@ -114,15 +114,15 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Break off what was begun: its caller is gone."""
-        for early_request in self._begun:
+        for early_request in self._early_requests:
             discard(early_request.task)
-        self._begun.clear()
+        self._early_requests.clear()
         self._on_early_request_removed()
         super().connection_lost(exc)
 
     def _on_early_request_removed(self) -> None:
         """Let the connection close if that was waited for."""
-        if self._begun:
+        if self._early_requests:
             return
         self._all_taken.set()
         if self._close_wanted:
@@ -139,7 +139,8 @@
             if not has_no_body or message.method not in SAFE_METHODS:
                 return
             if not any(
-                early_request.message is message for early_request in self._begun
+                early_request.message is message
+                for early_request in self._early_requests
             ):
                 self._start(message)
 
@@ -147,7 +148,7 @@
         handler_task = self._task_handler
         if self._request_factory is None or handler_task is None:
             return
-        if len(self._begun) >= MAX_EARLY_REQUESTS:
+        if len(self._early_requests) >= MAX_EARLY_REQUESTS:
             return
         writer = http_writer.StreamWriter(self, asyncio.get_running_loop())
         request = self._request_factory(
@@ -155,7 +156,7 @@
         )
         task = self._start_early(request)
         if task is not None:
-            self._begun.append(EarlyRequest(message, task))
+            self._early_requests.append(EarlyRequest(message, task))
             self._all_taken.clear()
 
 
