--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -56,7 +56,7 @@
     request that was begun is owed.
     """
 
-    __slots__ = ("_all_taken", "_start_early", "_early_requests", "_close_wanted")
+    __slots__ = ("_none_pending", "_start_early", "_early_requests", "_close_wanted")
 
     def __init__(
         self,
@@ -68,8 +68,8 @@
         self._start_early = start_early
         self._early_requests: list[EarlyRequest] = []
         self._close_wanted = False
-        self._all_taken = asyncio.Event()
-        self._all_taken.set()
+        self._none_pending = asyncio.Event()
+        self._none_pending.set()
 
     @property
     def has_pending_responses(self) -> bool:
@@ -108,7 +108,7 @@
         deadline = None if timeout is None else loop.time() + timeout
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(deadline):
-                await self._all_taken.wait()
+                await self._none_pending.wait()
         remaining_s = None if deadline is None else max(0.0, deadline - loop.time())
         await super().shutdown(remaining_s)
 
@@ -124,7 +124,7 @@
         """Let the connection close if that was waited for."""
         if self._early_requests:
             return
-        self._all_taken.set()
+        self._none_pending.set()
         if self._close_wanted:
             super().close()
 
@@ -157,7 +157,7 @@
         task = self._start_early(request)
         if task is not None:
             self._early_requests.append(EarlyRequest(message, task))
-            self._all_taken.clear()
+            self._none_pending.clear()
 
 
 class PipeliningServer(web_server.Server):
