--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -56,7 +56,7 @@
     request that was begun is owed.
     """
 
-    __slots__ = ("_none_pending", "_start_early", "_early_requests", "_close_wanted")
+    __slots__ = ("_none_pending", "_start_early", "_early_requests", "_close_requested")
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         super().__init__(manager, **options)
         self._start_early = start_early
         self._early_requests: list[EarlyRequest] = []
-        self._close_wanted = False
+        self._close_requested = False
         self._none_pending = asyncio.Event()
         self._none_pending.set()
 
@@ -98,7 +98,7 @@
 
     def close(self) -> None:
         """Close the connection once all that was begun is answered."""
-        self._close_wanted = True
+        self._close_requested = True
         if not self._early_requests:
             super().close()
 
@@ -125,7 +125,7 @@
         if self._early_requests:
             return
         self._none_pending.set()
-        if self._close_wanted:
+        if self._close_requested:
             super().close()
 
     def _start_queued(self, current: web_request.BaseRequest) -> None:
