--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -144,7 +144,7 @@
         if isinstance(answer, answers.PartialResponse):
             return answer_stream.StreamedResponse(exchange, answer.received)
         job = exchange.job
-        self._traffic.passed_on(exchange, len(answer.body))
+        self._traffic.record_response(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
         if answer.status >= outcomes.FIRST_FAILED_STATUS:
             self.log.failed_upstream(self._request_id(request), job, exchange)
@@ -160,7 +160,7 @@
     ) -> None:
         """Count and log an answer that was streamed to its end."""
         job = exchange.job
-        self._traffic.passed_on(exchange, exchange.answer.length or 0)
+        self._traffic.record_response(exchange, exchange.answer.length or 0)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
         self.log.served(self._request_id(request), job, exchange)
 
--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -45,7 +45,7 @@
             return size.value
         return LARGE_ANSWER_BYTES if route.has_large_answers else 0.0
 
-    def passed_on(self, exchange: exchanges.Exchange, answer_bytes: int) -> None:
+    def record_response(self, exchange: exchanges.Exchange, answer_bytes: int) -> None:
         """Note an answer that is passed on, and the request that it answers."""
         job = exchange.job
         size = self._size_by_route.setdefault(
