--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -38,7 +38,7 @@
             one: counted.labels("answers", one.value) for one in regions.Distance
         }
 
-    def expected_bytes(self, route: routing.Route) -> float:
+    def expected_response_bytes(self, route: routing.Route) -> float:
         """Return the expected size of a route's next answer."""
         size = self._size_by_route.get(route.name)
         if size is not None:
