--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -16,7 +16,7 @@
 SIZE_WEIGHT = 0.05
 #: Bytes expected of a large answer before there was one: such routes are worth
 #: keeping in the region from the first request on.
-LARGE_ANSWER_BYTES = 64 * 1024.0
+INITIAL_LARGE_RESPONSE_BYTES = 64 * 1024.0
 
 
 class BodyTraffic:
@@ -43,7 +43,7 @@
         size = self._size_by_route.get(route.name)
         if size is not None:
             return size.value
-        return LARGE_ANSWER_BYTES if route.has_large_answers else 0.0
+        return INITIAL_LARGE_RESPONSE_BYTES if route.has_large_answers else 0.0
 
     def record_response(self, exchange: exchanges.Exchange, answer_bytes: int) -> None:
         """Note an answer that is passed on, and the request that it answers."""
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -34,7 +34,7 @@
             "decisions/overflow.CROSS_REGION_S_PER_BYTE",
             "decisions/overflow.MAX_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
-            "gateway/serving/body_traffic.LARGE_ANSWER_BYTES",
+            "gateway/serving/body_traffic.INITIAL_LARGE_RESPONSE_BYTES",
         ),
         events=("REGION_NOT_ALLOWED",),
         tests=(
