--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -28,7 +28,7 @@
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
-        self._size_by_route: dict[str, latency.Mean] = {}
+        self._mean_size_by_route: dict[str, latency.Mean] = {}
         # Looked up once: the labels of a metric are found anew with each call.
         counted = gateway_state.metrics.traffic_bytes
         self._requests_by_distance = {
@@ -40,7 +40,7 @@
 
     def expected_response_bytes(self, route: routing.Route) -> float:
         """Return the expected size of a route's next answer."""
-        size = self._size_by_route.get(route.name)
+        size = self._mean_size_by_route.get(route.name)
         if size is not None:
             return size.value
         return INITIAL_LARGE_RESPONSE_BYTES if route.has_large_answers else 0.0
@@ -48,7 +48,7 @@
     def record_response(self, exchange: exchanges.Exchange, answer_bytes: int) -> None:
         """Note an answer that is passed on, and the request that it answers."""
         job = exchange.job
-        size = self._size_by_route.setdefault(
+        size = self._mean_size_by_route.setdefault(
             job.call.latency_key, latency.Mean(float(answer_bytes), SIZE_WEIGHT)
         )
         size.add(float(answer_bytes))
@@ -62,5 +62,5 @@
     def forget_missing(self, routes: tuple[routing.Route, ...]) -> None:
         """Drop the sizes of routes that are gone."""
         names = {route.name for route in routes}
-        for name in self._size_by_route.keys() - names:
-            del self._size_by_route[name]
+        for name in self._mean_size_by_route.keys() - names:
+            del self._mean_size_by_route[name]
