--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -34,7 +34,7 @@
         self._requests_by_distance = {
             one: counted.labels("requests", one.value) for one in regions.Distance
         }
-        self._answers_by_distance = {
+        self._responses_by_distance = {
             one: counted.labels("answers", one.value) for one in regions.Distance
         }
 
@@ -57,7 +57,7 @@
             self.state.config.zone, exchange.grant.upstream.spec.zone
         )
         self._requests_by_distance[distance].inc(request_bytes)
-        self._answers_by_distance[distance].inc(answer_bytes)
+        self._responses_by_distance[distance].inc(answer_bytes)
 
     def forget_missing(self, routes: tuple[routing.Route, ...]) -> None:
         """Drop the sizes of routes that are gone."""
