--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -45,19 +45,21 @@
             return size.value
         return INITIAL_LARGE_RESPONSE_BYTES if route.has_large_answers else 0.0
 
-    def record_response(self, exchange: exchanges.Exchange, answer_bytes: int) -> None:
+    def record_response(
+        self, exchange: exchanges.Exchange, response_bytes: int
+    ) -> None:
         """Note an answer that is passed on, and the request that it answers."""
         job = exchange.job
         size = self._mean_size_by_route.setdefault(
-            job.call.latency_key, latency.Mean(float(answer_bytes), SIZE_WEIGHT)
+            job.call.latency_key, latency.Mean(float(response_bytes), SIZE_WEIGHT)
         )
-        size.add(float(answer_bytes))
+        size.add(float(response_bytes))
         request_bytes = len(job.body) if isinstance(job.body, bytes) else 0
         distance = self.state.regions.distance(
             self.state.config.zone, exchange.grant.upstream.spec.zone
         )
         self._requests_by_distance[distance].inc(request_bytes)
-        self._responses_by_distance[distance].inc(answer_bytes)
+        self._responses_by_distance[distance].inc(response_bytes)
 
     def forget_missing(self, routes: tuple[routing.Route, ...]) -> None:
         """Drop the sizes of routes that are gone."""
