--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -40,9 +40,9 @@
 
     def expected_response_bytes(self, route: routing.Route) -> float:
         """Return the expected size of a route's next answer."""
-        size = self._mean_size_by_route.get(route.name)
-        if size is not None:
-            return size.value
+        mean_size = self._mean_size_by_route.get(route.name)
+        if mean_size is not None:
+            return mean_size.value
         return INITIAL_LARGE_RESPONSE_BYTES if route.has_large_answers else 0.0
 
     def record_response(
@@ -50,10 +50,10 @@
     ) -> None:
         """Note an answer that is passed on, and the request that it answers."""
         job = exchange.job
-        size = self._mean_size_by_route.setdefault(
+        mean_size = self._mean_size_by_route.setdefault(
             job.call.latency_key, latency.Mean(float(response_bytes), SIZE_WEIGHT)
         )
-        size.add(float(response_bytes))
+        mean_size.add(float(response_bytes))
         request_bytes = len(job.body) if isinstance(job.body, bytes) else 0
         distance = self.state.regions.distance(
             self.state.config.zone, exchange.grant.upstream.spec.zone
