--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -30,12 +30,12 @@
         self.state = gateway_state
         self._mean_size_by_route: dict[str, latency.Mean] = {}
         # Looked up once: the labels of a metric are found anew with each call.
-        counted = gateway_state.metrics.traffic_bytes
+        traffic_bytes = gateway_state.metrics.traffic_bytes
         self._requests_by_distance = {
-            one: counted.labels("requests", one.value) for one in regions.Distance
+            one: traffic_bytes.labels("requests", one.value) for one in regions.Distance
         }
         self._responses_by_distance = {
-            one: counted.labels("answers", one.value) for one in regions.Distance
+            one: traffic_bytes.labels("answers", one.value) for one in regions.Distance
         }
 
     def expected_response_bytes(self, route: routing.Route) -> float:
