--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -32,10 +32,12 @@
         # Looked up once: the labels of a metric are found anew with each call.
         traffic_bytes = gateway_state.metrics.traffic_bytes
         self._requests_by_distance = {
-            one: traffic_bytes.labels("requests", one.value) for one in regions.Distance
+            distance: traffic_bytes.labels("requests", distance.value)
+            for distance in regions.Distance
         }
         self._responses_by_distance = {
-            one: traffic_bytes.labels("answers", one.value) for one in regions.Distance
+            distance: traffic_bytes.labels("answers", distance.value)
+            for distance in regions.Distance
         }
 
     def expected_response_bytes(self, route: routing.Route) -> float:
