--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -102,7 +102,7 @@
         strategies.floats(0.3, 3.5),
     )
     def check(delays_s: list[float], age_s: float) -> None:
-        ages = caller_age.CallerAges()
+        ages = caller_age.RequestAges()
         # Two kinds of callers begin with 4 s and 1 s.
         for number, delay_s in enumerate(delays_s):
             ages.age_s(ROUTE.name, (4.0 if number % 3 else 1.0) - delay_s)
@@ -121,7 +121,7 @@
 
 @kernel.PROPERTIES.register("ages follow callers that begin with another time")
 def caller_age_follows() -> None:
-    ages = caller_age.CallerAges()
+    ages = caller_age.RequestAges()
     for first_s in (4.0, 2.0, 8.0):
         for _ in range(4 * caller_age.REQUESTS_COUNTED):
             ages.age_s(ROUTE.name, first_s)
--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -81,7 +81,7 @@
                 self._count_by_class[key] = count / 2.0
 
 
-class CallerAges:
+class RequestAges:
     """The ages of requests, by route."""
 
     def __init__(self) -> None:
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -58,7 +58,7 @@
         self.dialect = gateway_dialect
         self._dropped = gateway_dialect.replaced | {"content-length"}
         self._numbers = itertools.count()
-        self._ages = caller_age.CallerAges()
+        self._ages = caller_age.RequestAges()
         self._table: routing.RouteTable | None = None
 
     def create(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -167,7 +167,7 @@
             "decisions/queueing.refusal_rule",
             "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
-            "gateway/serving/caller_age.CallerAges.age_s",
+            "gateway/serving/caller_age.RequestAges.age_s",
             "kernel/completion_rate.CompletionRate",
             "kernel/waiting.WaitQueue",
         ),
