--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -31,7 +31,7 @@
 LEAST_STATED_S = 0.001
 
 
-class RouteTimes:
+class RouteTimeouts:
     """The stated times of one route's callers, in seconds."""
 
     def __init__(self) -> None:
@@ -85,11 +85,11 @@
     """The ages of requests, by route."""
 
     def __init__(self) -> None:
-        self._times_by_route: dict[routing.RouteName, RouteTimes] = {}
+        self._times_by_route: dict[routing.RouteName, RouteTimeouts] = {}
 
     def age_s(self, route: routing.RouteName, left_s: float) -> float:
         """Return for how many seconds a caller has asked, zero where not known."""
-        times = self._times_by_route.setdefault(route, RouteTimes())
+        times = self._times_by_route.setdefault(route, RouteTimeouts())
         return times.age_s(left_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
