--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -13,8 +13,8 @@
 from spindlenotch.gateway.source import routing
 
 #: Two stated times whose ratio is above this fall into one class, roughly.
-CLASS_RATIO = 0.97
-LOG_CLASS_RATIO = math.log(CLASS_RATIO)
+BUCKET_RATIO = 0.97
+LOG_CLASS_RATIO = math.log(BUCKET_RATIO)
 #: Share of a route's requests from which a class holds times that callers begin with.
 #: Above what the tries of one age make, below what one of several kinds of caller
 #: makes.
