--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -14,7 +14,7 @@
 
 #: Two stated times whose ratio is above this fall into one class, roughly.
 BUCKET_RATIO = 0.97
-LOG_CLASS_RATIO = math.log(BUCKET_RATIO)
+LOG_BUCKET_RATIO = math.log(BUCKET_RATIO)
 #: Share of a route's requests from which a class holds times that callers begin with.
 #: Above what the tries of one age make, below what one of several kinds of caller
 #: makes.
@@ -48,7 +48,7 @@
         return min(above, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
-        key = int(math.log(max(LEAST_STATED_S, left_s)) / LOG_CLASS_RATIO)
+        key = int(math.log(max(LEAST_STATED_S, left_s)) / LOG_BUCKET_RATIO)
         self._count_by_class[key] = self._count_by_class.get(key, 0.0) + 1.0
         self._most_by_class[key] = max(self._most_by_class.get(key, 0.0), left_s)
         self._total += 1.0
