--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -18,7 +18,7 @@
 #: Share of a route's requests from which a class holds times that callers begin with.
 #: Above what the tries of one age make, below what one of several kinds of caller
 #: makes.
-COMMON_SHARE = 0.15
+MIN_INITIAL_TIMEOUT_SHARE = 0.15
 #: A common class is no time that callers begin with where another one lies above it
 #: within this ratio: those are tries that come back after a usual wait.
 APART_RATIO = 0.75
@@ -64,7 +64,7 @@
         common = [
             self._most_by_class[key]
             for key, count in self._count_by_class.items()
-            if count >= COMMON_SHARE * self._total
+            if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
         apart: list[float] = []
         for first_s in sorted(common, reverse=True):
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -181,7 +181,7 @@
             "decisions/start_limit.WAIT_WITHOUT_TARGET_S",
             "decisions/start_limit.RESPONSE_TRANSIT_S",
             "gateway/serving/caller_age.BUCKET_RATIO",
-            "gateway/serving/caller_age.COMMON_SHARE",
+            "gateway/serving/caller_age.MIN_INITIAL_TIMEOUT_SHARE",
             "gateway/serving/caller_age.APART_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
             "decisions/queueing.MIN_COMPLETIONS_PER_S",
