--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -21,7 +21,7 @@
 MIN_INITIAL_TIMEOUT_SHARE = 0.15
 #: A common class is no time that callers begin with where another one lies above it
 #: within this ratio: those are tries that come back after a usual wait.
-APART_RATIO = 0.75
+MAX_INITIAL_TIMEOUT_RATIO = 0.75
 #: Requests after which all counts are halved, so that they follow a change.
 REQUESTS_COUNTED = 400
 #: Requests after which the common times are worked out anew, and before which nothing
@@ -68,7 +68,7 @@
         ]
         apart: list[float] = []
         for first_s in sorted(common, reverse=True):
-            if not apart or first_s < APART_RATIO * apart[-1]:
+            if not apart or first_s < MAX_INITIAL_TIMEOUT_RATIO * apart[-1]:
                 apart.append(first_s)
         return apart
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -182,7 +182,7 @@
             "decisions/start_limit.RESPONSE_TRANSIT_S",
             "gateway/serving/caller_age.BUCKET_RATIO",
             "gateway/serving/caller_age.MIN_INITIAL_TIMEOUT_SHARE",
-            "gateway/serving/caller_age.APART_RATIO",
+            "gateway/serving/caller_age.MAX_INITIAL_TIMEOUT_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
             "decisions/queueing.MIN_COMPLETIONS_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
