--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -123,7 +123,7 @@
 def caller_age_follows() -> None:
     ages = caller_age.RequestAges()
     for first_s in (4.0, 2.0, 8.0):
-        for _ in range(4 * caller_age.REQUESTS_COUNTED):
+        for _ in range(4 * caller_age.HALVE_COUNTS_AFTER):
             ages.age_s(ROUTE.name, first_s)
         assert ages.age_s(ROUTE.name, first_s) == 0.0
         assert ages.age_s(ROUTE.name, first_s / 2) == first_s / 2
--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -23,7 +23,7 @@
 #: within this ratio: those are tries that come back after a usual wait.
 MAX_INITIAL_TIMEOUT_RATIO = 0.75
 #: Requests after which all counts are halved, so that they follow a change.
-REQUESTS_COUNTED = 400
+HALVE_COUNTS_AFTER = 400
 #: Requests after which the common times are worked out anew, and before which nothing
 #: is concluded.
 REQUESTS_BETWEEN = 20
@@ -56,7 +56,7 @@
         if self._unseen <= 0:
             self._unseen = REQUESTS_BETWEEN
             self._first_times = self._common_times()
-            if self._total >= REQUESTS_COUNTED:
+            if self._total >= HALVE_COUNTS_AFTER:
                 self._halve()
 
     def _common_times(self) -> list[float]:
