--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -26,7 +26,7 @@
 HALVE_COUNTS_AFTER = 400
 #: Requests after which the common times are worked out anew, and before which nothing
 #: is concluded.
-REQUESTS_BETWEEN = 20
+REQUESTS_PER_UPDATE = 20
 #: Stated times below this many seconds are not told apart: callers count milliseconds.
 LEAST_STATED_S = 0.001
 
@@ -38,7 +38,7 @@
         self._count_by_class: dict[int, float] = {}
         self._most_by_class: dict[int, float] = {}
         self._total = 0.0
-        self._unseen = REQUESTS_BETWEEN
+        self._unseen = REQUESTS_PER_UPDATE
         self._first_times: list[float] = []
 
     def age_s(self, left_s: float) -> float:
@@ -54,7 +54,7 @@
         self._total += 1.0
         self._unseen -= 1
         if self._unseen <= 0:
-            self._unseen = REQUESTS_BETWEEN
+            self._unseen = REQUESTS_PER_UPDATE
             self._first_times = self._common_times()
             if self._total >= HALVE_COUNTS_AFTER:
                 self._halve()
