--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -28,7 +28,7 @@
 #: is concluded.
 REQUESTS_PER_UPDATE = 20
 #: Stated times below this many seconds are not told apart: callers count milliseconds.
-LEAST_STATED_S = 0.001
+MIN_TIMEOUT_S = 0.001
 
 
 class RouteTimeouts:
@@ -48,7 +48,7 @@
         return min(above, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
-        key = int(math.log(max(LEAST_STATED_S, left_s)) / LOG_BUCKET_RATIO)
+        key = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
         self._count_by_class[key] = self._count_by_class.get(key, 0.0) + 1.0
         self._most_by_class[key] = max(self._most_by_class.get(key, 0.0), left_s)
         self._total += 1.0
