--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -35,7 +35,7 @@
     """The stated times of one route's callers, in seconds."""
 
     def __init__(self) -> None:
-        self._count_by_class: dict[int, float] = {}
+        self._count_by_bucket: dict[int, float] = {}
         self._most_by_class: dict[int, float] = {}
         self._total = 0.0
         self._unseen = REQUESTS_PER_UPDATE
@@ -49,7 +49,7 @@
 
     def _count(self, left_s: float) -> None:
         key = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
-        self._count_by_class[key] = self._count_by_class.get(key, 0.0) + 1.0
+        self._count_by_bucket[key] = self._count_by_bucket.get(key, 0.0) + 1.0
         self._most_by_class[key] = max(self._most_by_class.get(key, 0.0), left_s)
         self._total += 1.0
         self._unseen -= 1
@@ -63,7 +63,7 @@
         """Return the times that callers begin with, the longest first."""
         common = [
             self._most_by_class[key]
-            for key, count in self._count_by_class.items()
+            for key, count in self._count_by_bucket.items()
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
         apart: list[float] = []
@@ -74,11 +74,11 @@
 
     def _halve(self) -> None:
         self._total /= 2.0
-        for key, count in list(self._count_by_class.items()):
+        for key, count in list(self._count_by_bucket.items()):
             if count < 1.0:
-                del self._count_by_class[key], self._most_by_class[key]
+                del self._count_by_bucket[key], self._most_by_class[key]
             else:
-                self._count_by_class[key] = count / 2.0
+                self._count_by_bucket[key] = count / 2.0
 
 
 class RequestAges:
