--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._count_by_bucket: dict[int, float] = {}
-        self._most_by_class: dict[int, float] = {}
+        self._max_s_by_bucket: dict[int, float] = {}
         self._total = 0.0
         self._unseen = REQUESTS_PER_UPDATE
         self._first_times: list[float] = []
@@ -50,7 +50,7 @@
     def _count(self, left_s: float) -> None:
         key = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
         self._count_by_bucket[key] = self._count_by_bucket.get(key, 0.0) + 1.0
-        self._most_by_class[key] = max(self._most_by_class.get(key, 0.0), left_s)
+        self._max_s_by_bucket[key] = max(self._max_s_by_bucket.get(key, 0.0), left_s)
         self._total += 1.0
         self._unseen -= 1
         if self._unseen <= 0:
@@ -62,7 +62,7 @@
     def _common_times(self) -> list[float]:
         """Return the times that callers begin with, the longest first."""
         common = [
-            self._most_by_class[key]
+            self._max_s_by_bucket[key]
             for key, count in self._count_by_bucket.items()
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
@@ -76,7 +76,7 @@
         self._total /= 2.0
         for key, count in list(self._count_by_bucket.items()):
             if count < 1.0:
-                del self._count_by_bucket[key], self._most_by_class[key]
+                del self._count_by_bucket[key], self._max_s_by_bucket[key]
             else:
                 self._count_by_bucket[key] = count / 2.0
 
