--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -38,7 +38,7 @@
         self._count_by_bucket: dict[int, float] = {}
         self._max_s_by_bucket: dict[int, float] = {}
         self._total = 0.0
-        self._unseen = REQUESTS_PER_UPDATE
+        self._requests_until_update = REQUESTS_PER_UPDATE
         self._first_times: list[float] = []
 
     def age_s(self, left_s: float) -> float:
@@ -52,9 +52,9 @@
         self._count_by_bucket[key] = self._count_by_bucket.get(key, 0.0) + 1.0
         self._max_s_by_bucket[key] = max(self._max_s_by_bucket.get(key, 0.0), left_s)
         self._total += 1.0
-        self._unseen -= 1
-        if self._unseen <= 0:
-            self._unseen = REQUESTS_PER_UPDATE
+        self._requests_until_update -= 1
+        if self._requests_until_update <= 0:
+            self._requests_until_update = REQUESTS_PER_UPDATE
             self._first_times = self._common_times()
             if self._total >= HALVE_COUNTS_AFTER:
                 self._halve()
