--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -39,12 +39,12 @@
         self._max_s_by_bucket: dict[int, float] = {}
         self._total = 0.0
         self._requests_until_update = REQUESTS_PER_UPDATE
-        self._first_times: list[float] = []
+        self._initial_timeouts: list[float] = []
 
     def age_s(self, left_s: float) -> float:
         """Return the age of a request whose caller has ``left_s``, and count it."""
         self._count(left_s)
-        above = [first_s for first_s in self._first_times if first_s >= left_s]
+        above = [first_s for first_s in self._initial_timeouts if first_s >= left_s]
         return min(above, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
@@ -55,7 +55,7 @@
         self._requests_until_update -= 1
         if self._requests_until_update <= 0:
             self._requests_until_update = REQUESTS_PER_UPDATE
-            self._first_times = self._common_times()
+            self._initial_timeouts = self._common_times()
             if self._total >= HALVE_COUNTS_AFTER:
                 self._halve()
 
