--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -44,7 +44,9 @@
     def age_s(self, left_s: float) -> float:
         """Return the age of a request whose caller has ``left_s``, and count it."""
         self._count(left_s)
-        above = [first_s for first_s in self._initial_timeouts if first_s >= left_s]
+        above = [
+            initial_s for initial_s in self._initial_timeouts if initial_s >= left_s
+        ]
         return min(above, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
@@ -67,9 +69,9 @@
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
         apart: list[float] = []
-        for first_s in sorted(common, reverse=True):
-            if not apart or first_s < MAX_INITIAL_TIMEOUT_RATIO * apart[-1]:
-                apart.append(first_s)
+        for initial_s in sorted(common, reverse=True):
+            if not apart or initial_s < MAX_INITIAL_TIMEOUT_RATIO * apart[-1]:
+                apart.append(initial_s)
         return apart
 
     def _halve(self) -> None:
