--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -57,11 +57,11 @@
         self._requests_until_update -= 1
         if self._requests_until_update <= 0:
             self._requests_until_update = REQUESTS_PER_UPDATE
-            self._initial_timeouts = self._common_times()
+            self._initial_timeouts = self._find_initial_timeouts()
             if self._total >= HALVE_COUNTS_AFTER:
                 self._halve()
 
-    def _common_times(self) -> list[float]:
+    def _find_initial_timeouts(self) -> list[float]:
         """Return the times that callers begin with, the longest first."""
         common = [
             self._max_s_by_bucket[key]
