--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -63,13 +63,13 @@
 
     def _find_initial_timeouts(self) -> list[float]:
         """Return the times that callers begin with, the longest first."""
-        common = [
+        candidates = [
             self._max_s_by_bucket[key]
             for key, count in self._count_by_bucket.items()
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
         apart: list[float] = []
-        for initial_s in sorted(common, reverse=True):
+        for initial_s in sorted(candidates, reverse=True):
             if not apart or initial_s < MAX_INITIAL_TIMEOUT_RATIO * apart[-1]:
                 apart.append(initial_s)
         return apart
