--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -68,11 +68,14 @@
             for key, count in self._count_by_bucket.items()
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
-        apart: list[float] = []
+        initial_timeouts: list[float] = []
         for initial_s in sorted(candidates, reverse=True):
-            if not apart or initial_s < MAX_INITIAL_TIMEOUT_RATIO * apart[-1]:
-                apart.append(initial_s)
-        return apart
+            if (
+                not initial_timeouts
+                or initial_s < MAX_INITIAL_TIMEOUT_RATIO * initial_timeouts[-1]
+            ):
+                initial_timeouts.append(initial_s)
+        return initial_timeouts
 
     def _halve(self) -> None:
         self._total /= 2.0
