--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -50,9 +50,11 @@
         return min(above, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
-        key = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
-        self._count_by_bucket[key] = self._count_by_bucket.get(key, 0.0) + 1.0
-        self._max_s_by_bucket[key] = max(self._max_s_by_bucket.get(key, 0.0), left_s)
+        bucket = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
+        self._count_by_bucket[bucket] = self._count_by_bucket.get(bucket, 0.0) + 1.0
+        self._max_s_by_bucket[bucket] = max(
+            self._max_s_by_bucket.get(bucket, 0.0), left_s
+        )
         self._total += 1.0
         self._requests_until_update -= 1
         if self._requests_until_update <= 0:
@@ -64,8 +66,8 @@
     def _find_initial_timeouts(self) -> list[float]:
         """Return the times that callers begin with, the longest first."""
         candidates = [
-            self._max_s_by_bucket[key]
-            for key, count in self._count_by_bucket.items()
+            self._max_s_by_bucket[bucket]
+            for bucket, count in self._count_by_bucket.items()
             if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
         ]
         initial_timeouts: list[float] = []
@@ -79,11 +81,11 @@
 
     def _halve(self) -> None:
         self._total /= 2.0
-        for key, count in list(self._count_by_bucket.items()):
+        for bucket, count in list(self._count_by_bucket.items()):
             if count < 1.0:
-                del self._count_by_bucket[key], self._max_s_by_bucket[key]
+                del self._count_by_bucket[bucket], self._max_s_by_bucket[bucket]
             else:
-                self._count_by_bucket[key] = count / 2.0
+                self._count_by_bucket[bucket] = count / 2.0
 
 
 class RequestAges:
