--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -44,10 +44,10 @@
     def age_s(self, left_s: float) -> float:
         """Return the age of a request whose caller has ``left_s``, and count it."""
         self._count(left_s)
-        above = [
+        longer = [
             initial_s for initial_s in self._initial_timeouts if initial_s >= left_s
         ]
-        return min(above, default=left_s) - left_s
+        return min(longer, default=left_s) - left_s
 
     def _count(self, left_s: float) -> None:
         bucket = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
