--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -92,15 +92,15 @@
     """The ages of requests, by route."""
 
     def __init__(self) -> None:
-        self._times_by_route: dict[routing.RouteName, RouteTimeouts] = {}
+        self._timeouts_by_route: dict[routing.RouteName, RouteTimeouts] = {}
 
     def age_s(self, route: routing.RouteName, left_s: float) -> float:
         """Return for how many seconds a caller has asked, zero where not known."""
-        times = self._times_by_route.setdefault(route, RouteTimeouts())
+        times = self._timeouts_by_route.setdefault(route, RouteTimeouts())
         return times.age_s(left_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
         """Drop what was stated on routes that are gone."""
         names = {route.name for route in routes}
-        for name in [n for n in self._times_by_route if n not in names]:
-            del self._times_by_route[name]
+        for name in [n for n in self._timeouts_by_route if n not in names]:
+            del self._timeouts_by_route[name]
