--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -96,8 +96,8 @@
 
     def age_s(self, route: routing.RouteName, left_s: float) -> float:
         """Return for how many seconds a caller has asked, zero where not known."""
-        times = self._timeouts_by_route.setdefault(route, RouteTimeouts())
-        return times.age_s(left_s)
+        timeouts = self._timeouts_by_route.setdefault(route, RouteTimeouts())
+        return timeouts.age_s(left_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
         """Drop what was stated on routes that are gone."""
