--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._count_by_bucket: dict[int, float] = {}
         self._max_s_by_bucket: dict[int, float] = {}
-        self._total = 0.0
+        self._request_count = 0.0
         self._requests_until_update = REQUESTS_PER_UPDATE
         self._initial_timeouts: list[float] = []
 
@@ -55,12 +55,12 @@
         self._max_s_by_bucket[bucket] = max(
             self._max_s_by_bucket.get(bucket, 0.0), left_s
         )
-        self._total += 1.0
+        self._request_count += 1.0
         self._requests_until_update -= 1
         if self._requests_until_update <= 0:
             self._requests_until_update = REQUESTS_PER_UPDATE
             self._initial_timeouts = self._find_initial_timeouts()
-            if self._total >= HALVE_COUNTS_AFTER:
+            if self._request_count >= HALVE_COUNTS_AFTER:
                 self._halve()
 
     def _find_initial_timeouts(self) -> list[float]:
@@ -68,7 +68,7 @@
         candidates = [
             self._max_s_by_bucket[bucket]
             for bucket, count in self._count_by_bucket.items()
-            if count >= MIN_INITIAL_TIMEOUT_SHARE * self._total
+            if count >= MIN_INITIAL_TIMEOUT_SHARE * self._request_count
         ]
         initial_timeouts: list[float] = []
         for initial_s in sorted(candidates, reverse=True):
@@ -80,7 +80,7 @@
         return initial_timeouts
 
     def _halve(self) -> None:
-        self._total /= 2.0
+        self._request_count /= 2.0
         for bucket, count in list(self._count_by_bucket.items()):
             if count < 1.0:
                 del self._count_by_bucket[bucket], self._max_s_by_bucket[bucket]
