--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -102,5 +102,5 @@
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
         """Drop what was stated on routes that are gone."""
         names = {route.name for route in routes}
-        for name in [n for n in self._timeouts_by_route if n not in names]:
+        for name in [known for known in self._timeouts_by_route if known not in names]:
             del self._timeouts_by_route[name]
