--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -83,14 +83,14 @@
     def _accept(self) -> asyncio.BaseProtocol:
         """Return the protocol of a new connection, by the limit in force."""
         timeout_s = self._idle_timeout_s()
-        self._drop_unused(timeout_s)
+        self._drop_unused_servers(timeout_s)
         server = self._server_by_idle_timeout_s.get(timeout_s)
         if server is None:
             server = self._new_server(timeout_s)
             self._server_by_idle_timeout_s[timeout_s] = server
         return server()
 
-    def _drop_unused(self, timeout_s: float) -> None:
+    def _drop_unused_servers(self, timeout_s: float) -> None:
         """Drop the servers of other limits that have no connection left."""
         for other_s, server in list(self._server_by_idle_timeout_s.items()):
             if other_s != timeout_s and not server.connections:
