--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -92,9 +92,9 @@
 
     def _drop_unused_servers(self, timeout_s: float) -> None:
         """Drop the servers of other limits that have no connection left."""
-        for other_s, server in list(self._server_by_idle_timeout_s.items()):
-            if other_s != timeout_s and not server.connections:
-                del self._server_by_idle_timeout_s[other_s]
+        for other_timeout_s, server in list(self._server_by_idle_timeout_s.items()):
+            if other_timeout_s != timeout_s and not server.connections:
+                del self._server_by_idle_timeout_s[other_timeout_s]
 
     def _new_server(self, timeout_s: float) -> web_server.Server:
         return pipelining.PipeliningServer(
