--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -50,20 +50,20 @@
         self._begin_early = start_early
         self._idle_timeout_s = idle_timeout_s
         self._server_by_idle_timeout_s: dict[float, web_server.Server] = {}
-        self._socket: asyncio.Server | None = None
+        self._listener: asyncio.Server | None = None
 
     async def start(self, address: ids.Address) -> None:
         """Listen on ``address``; raises ``OSError`` where it can't be bound."""
         host, port = peer_link.split(address)
         loop = asyncio.get_running_loop()
-        self._socket = await loop.create_server(
+        self._listener = await loop.create_server(
             self._accept, host, port, backlog=BACKLOG
         )
 
     def stop_accepting(self) -> None:
         """Accept no new connections; those that are open stay open."""
-        if self._socket is not None:
-            self._socket.close()
+        if self._listener is not None:
+            self._listener.close()
 
     async def stop(self, limit_s: float) -> None:
         """
