--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -24,7 +24,7 @@
 DEFAULT_TIMEOUT_S = 60.0
 #: Longest time in seconds that a caller can give its request, a day; a longer one
 #: counts as none stated. Keeps instants within what the event loop can wait for.
-LONGEST_TIMEOUT_S = 86_400.0
+MAX_TIMEOUT_S = 86_400.0
 #: Seconds of expected latency that an upstream in another zone counts more than
 #: one in this: the round trip, and load estimates that are less certain there.
 CROSS_ZONE_S = 0.008
@@ -161,7 +161,7 @@
     except ValueError:
         return DEFAULT_TIMEOUT_S
     # Not true of NaN either, which no instant can be reckoned with.
-    if not timeout_s <= LONGEST_TIMEOUT_S:
+    if not timeout_s <= MAX_TIMEOUT_S:
         return DEFAULT_TIMEOUT_S
     return max(0.0, timeout_s)
 
