--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -158,7 +158,7 @@
     slow = job_factory.cross_zone_s(request_body.NoBody(), 0.2)
     assert slow == 0.2 * job_factory.CROSS_ZONE_SHARE
     slowest = job_factory.cross_zone_s(request_body.NoBody(), 60.0)
-    assert slow < slowest == job_factory.MOST_CROSS_ZONE_S
+    assert slow < slowest == job_factory.MAX_CROSS_ZONE_S
 
 
 @kernel.PROPERTIES.register("a refusal never asks for a retry at once")
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -33,7 +33,7 @@
 CROSS_ZONE_SHARE = 0.12
 #: The most seconds by that share: an overloaded service, whose latency is high,
 #: needs the upstreams of all zones.
-MOST_CROSS_ZONE_S = 0.03
+MAX_CROSS_ZONE_S = 0.03
 #: Seconds that each byte of the request's body adds to that.
 CROSS_ZONE_S_PER_BYTE = 2.5e-6
 #: Milliseconds of the shortest time left that an upstream is told.
@@ -180,7 +180,7 @@
     ``typical_s`` is the typical latency of its kind. A streamed body without a
     declared length counts as empty.
     """
-    share_s = min(MOST_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
+    share_s = min(MAX_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
     crossing_s = max(CROSS_ZONE_S, share_s)
     return crossing_s + CROSS_ZONE_S_PER_BYTE * body.known_bytes
 
