--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -151,7 +151,7 @@
 @kernel.PROPERTIES.register("another zone costs more the longer the body or the work")
 def cross_zone() -> None:
     none = job_factory.cross_zone_s(request_body.NoBody(), 0.0)
-    assert none == job_factory.CROSS_ZONE_S
+    assert none == job_factory.MIN_CROSS_ZONE_S
     short = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 100), 0.0)
     long = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 10_000), 0.0)
     assert none < short < long
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -27,7 +27,7 @@
 MAX_TIMEOUT_S = 86_400.0
 #: Seconds of expected latency that an upstream in another zone counts more than
 #: one in this: the round trip, and load estimates that are less certain there.
-CROSS_ZONE_S = 0.008
+MIN_CROSS_ZONE_S = 0.008
 #: The same as a share of the typical latency, where that is more: what differs by
 #: less than the estimates err is not worth bytes between zones.
 CROSS_ZONE_SHARE = 0.12
@@ -181,7 +181,7 @@
     declared length counts as empty.
     """
     share_s = min(MAX_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
-    crossing_s = max(CROSS_ZONE_S, share_s)
+    crossing_s = max(MIN_CROSS_ZONE_S, share_s)
     return crossing_s + CROSS_ZONE_S_PER_BYTE * body.known_bytes
 
 
