--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -37,7 +37,7 @@
 #: Seconds that each byte of the request's body adds to that.
 CROSS_ZONE_S_PER_BYTE = 2.5e-6
 #: Milliseconds of the shortest time left that an upstream is told.
-LEAST_TIME_LEFT_MS = 1
+MIN_REMAINING_MS = 1
 
 
 class JobFactory:
@@ -209,7 +209,7 @@
 
     def label(job: jobs.Job, grant: verdicts.Grant, left_s: float) -> jobs.Labels:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
-        left_ms = max(LEAST_TIME_LEFT_MS, int(left_s * 1000))
+        left_ms = max(MIN_REMAINING_MS, int(left_s * 1000))
         extra = [(gateway_dialect.deadline_ms, str(left_ms))]
         if gateway_dialect.expect_upstream is not None:
             extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
