--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -56,7 +56,7 @@
         self.state = gateway_state
         self.traffic = traffic
         self.dialect = gateway_dialect
-        self._dropped = gateway_dialect.replaced | {"content-length"}
+        self._removed_headers = gateway_dialect.replaced | {"content-length"}
         self._numbers = itertools.count()
         self._ages = caller_age.RequestAges()
         self._table: routing.RouteTable | None = None
@@ -136,7 +136,7 @@
     ) -> list[tuple[str, str]]:
         """Return the caller's headers that every try carries, its id among them."""
         pairs = [(k, v) for k, v in request.headers.items()]
-        passed = headers.end_to_end(pairs, self._dropped)
+        passed = headers.end_to_end(pairs, self._removed_headers)
         request_id = request.headers.get(self.dialect.request_id)
         if request_id is not None:
             passed.append((self.dialect.request_id, request_id))
