--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -57,7 +57,7 @@
         self.traffic = traffic
         self.dialect = gateway_dialect
         self._removed_headers = gateway_dialect.replaced | {"content-length"}
-        self._numbers = itertools.count()
+        self._call_numbers = itertools.count()
         self._ages = caller_age.RequestAges()
         self._table: routing.RouteTable | None = None
 
@@ -108,7 +108,7 @@
         size = body.known_bytes + self.traffic.expected_response_bytes(route)
         far_s = overflow.cross_region_cost_s(size)
         return waiting.Call(
-            id=ids.CallId(f"{next(self._numbers):x}"),
+            id=ids.CallId(f"{next(self._call_numbers):x}"),
             priority=route.rank,
             repeatable=route.repeatable,
             deadline=deadline(now, timeout_s, route),
