--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -73,7 +73,7 @@
 
         ``startup_wait_s`` is how long this gateway has held it before, in seconds.
         """
-        self._follow_configuration()
+        self._drop_removed_routes()
         service = self.state.round_robin.next(route)
         chosen = self.state.balancer_by_service[service]
         return jobs.Job(
@@ -123,7 +123,7 @@
             allowed_regions=allowed_regions(route),
         )
 
-    def _follow_configuration(self) -> None:
+    def _drop_removed_routes(self) -> None:
         """Forget routes that are gone, once for each configuration in force."""
         table = self.state.table
         if table is not None and table is not self._table:
