--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -81,7 +81,7 @@
             call=self._call(request, route, body, chosen, startup_wait_s),
             method=request.method,
             target=request.raw_path,
-            headers=self._passed_headers(request),
+            headers=self._end_to_end_headers(request),
             body=body.content,
             needs_new_connection=needs_new_connection(route, body),
             caller=request.remote or "",
@@ -131,7 +131,7 @@
             self._ages.forget_missing(table.configuration.routes)
             self.traffic.forget_missing(table.configuration.routes)
 
-    def _passed_headers(
+    def _end_to_end_headers(
         self, request: web_request.BaseRequest
     ) -> list[tuple[str, str]]:
         """Return the caller's headers that every try carries, its id among them."""
