--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -136,11 +136,11 @@
     ) -> list[tuple[str, str]]:
         """Return the caller's headers that every try carries, its id among them."""
         pairs = [(k, v) for k, v in request.headers.items()]
-        passed = headers.end_to_end(pairs, self._removed_headers)
+        forwarded = headers.end_to_end(pairs, self._removed_headers)
         request_id = request.headers.get(self.dialect.request_id)
         if request_id is not None:
-            passed.append((self.dialect.request_id, request_id))
-        return passed
+            forwarded.append((self.dialect.request_id, request_id))
+        return forwarded
 
 
 def _streamed_bytes(body: request_body.Body) -> int:
