--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -135,7 +135,7 @@
         self, request: web_request.BaseRequest
     ) -> list[tuple[str, str]]:
         """Return the caller's headers that every try carries, its id among them."""
-        pairs = [(name, v) for name, v in request.headers.items()]
+        pairs = [(name, value) for name, value in request.headers.items()]
         forwarded = headers.end_to_end(pairs, self._removed_headers)
         request_id = request.headers.get(self.dialect.request_id)
         if request_id is not None:
