--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -75,10 +75,10 @@
         """
         self._drop_removed_routes()
         service = self.state.round_robin.next(route)
-        chosen = self.state.balancer_by_service[service]
+        service_balancer = self.state.balancer_by_service[service]
         return jobs.Job(
-            balancer=chosen,
-            call=self._call(request, route, body, chosen, startup_wait_s),
+            balancer=service_balancer,
+            call=self._call(request, route, body, service_balancer, startup_wait_s),
             method=request.method,
             target=request.raw_path,
             headers=self._end_to_end_headers(request),
@@ -93,12 +93,12 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: request_body.Body,
-        chosen: balancer.Balancer,
+        service_balancer: balancer.Balancer,
         startup_wait_s: float,
     ) -> waiting.Call:
         now = ids.later(self.state.clock.now(), -startup_wait_s)
         timeout_s = read_timeout_s(request.headers.get(self.dialect.deadline_ms))
-        typical_s = chosen.pool.latencies.typical_s(route.name)
+        typical_s = service_balancer.pool.latencies.typical_s(route.name)
         limit = start_limit.for_request(
             now,
             target_s=route.target_s,
