--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -105,8 +105,8 @@
             age_s=self._ages.age_s(route.name, timeout_s),
             typical_s=typical_s,
         )
-        size = body.known_bytes + self.traffic.expected_response_bytes(route)
-        far_s = overflow.cross_region_cost_s(size)
+        body_bytes = body.known_bytes + self.traffic.expected_response_bytes(route)
+        far_s = overflow.cross_region_cost_s(body_bytes)
         return waiting.Call(
             id=ids.CallId(f"{next(self._call_numbers):x}"),
             priority=route.rank,
