--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -207,9 +207,9 @@
 ) -> abc.Callable[[jobs.Job, verdicts.Grant, float], jobs.Labels]:
     """Return the function that sets the headers of each try in that dialect."""
 
-    def label(job: jobs.Job, grant: verdicts.Grant, left_s: float) -> jobs.Labels:
+    def label(job: jobs.Job, grant: verdicts.Grant, remaining_s: float) -> jobs.Labels:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
-        left_ms = max(MIN_REMAINING_MS, int(left_s * 1000))
+        left_ms = max(MIN_REMAINING_MS, int(remaining_s * 1000))
         extra = [(gateway_dialect.deadline_ms, str(left_ms))]
         if gateway_dialect.expect_upstream is not None:
             extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
