--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -209,8 +209,8 @@
 
     def label(job: jobs.Job, grant: verdicts.Grant, remaining_s: float) -> jobs.Labels:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
-        left_ms = max(MIN_REMAINING_MS, int(remaining_s * 1000))
-        extra = [(gateway_dialect.deadline_ms, str(left_ms))]
+        remaining_ms = max(MIN_REMAINING_MS, int(remaining_s * 1000))
+        extra = [(gateway_dialect.deadline_ms, str(remaining_ms))]
         if gateway_dialect.expect_upstream is not None:
             extra.append((gateway_dialect.expect_upstream, grant.upstream.spec.id))
         return jobs.Labels(request_id, extra)
