--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -180,8 +180,8 @@
     ``typical_s`` is the typical latency of its kind. A streamed body without a
     declared length counts as empty.
     """
-    share_s = min(MAX_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
-    crossing_s = max(MIN_CROSS_ZONE_S, share_s)
+    proportional_s = min(MAX_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
+    crossing_s = max(MIN_CROSS_ZONE_S, proportional_s)
     return crossing_s + CROSS_ZONE_S_PER_BYTE * body.known_bytes
 
 
