--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -58,7 +58,7 @@
         self.dialect = gateway_dialect
         self._removed_headers = gateway_dialect.replaced | {"content-length"}
         self._call_numbers = itertools.count()
-        self._ages = caller_age.RequestAges()
+        self._request_ages = caller_age.RequestAges()
         self._table: routing.RouteTable | None = None
 
     def create(
@@ -102,7 +102,7 @@
         limit = start_limit.for_request(
             now,
             target_s=route.target_s,
-            age_s=self._ages.age_s(route.name, timeout_s),
+            age_s=self._request_ages.age_s(route.name, timeout_s),
             typical_s=typical_s,
         )
         body_bytes = body.known_bytes + self.traffic.expected_response_bytes(route)
@@ -128,7 +128,7 @@
         table = self.state.table
         if table is not None and table is not self._table:
             self._table = table
-            self._ages.forget_missing(table.configuration.routes)
+            self._request_ages.forget_missing(table.configuration.routes)
             self.traffic.forget_missing(table.configuration.routes)
 
     def _end_to_end_headers(
