--- a/spindlenotch/gateway/serving/refusals.py
+++ b/spindlenotch/gateway/serving/refusals.py
@@ -17,7 +17,7 @@
 #: The request has not run.
 NOT_RUN_STATUS = 503
 #: The deadline has passed; whether the request ran is unknown.
-LATE_STATUS = 504
+DEADLINE_PASSED_STATUS = 504
 NO_ROUTE_STATUS = 404
 #: Seconds after which a request of a refused route may come back. Only an operator can
 #: mend the route, so it is as long as callers keep an answer of the directory: sooner
@@ -39,7 +39,7 @@
 def failure_status(reason: outcomes.Reason) -> int:
     """Return the status of a request whose outcome is unknown."""
     if reason is outcomes.Reason.DEADLINE_PASSED:
-        return LATE_STATUS
+        return DEADLINE_PASSED_STATUS
     return UNKNOWN_STATUS
 
 
