--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -14,7 +14,7 @@
 from spindlenotch.kernel import outcomes
 
 #: One in this many answered requests is logged.
-SERVED_SAMPLE = 64
+SERVED_SAMPLE_INTERVAL = 64
 #: Counts requests that are refused before a service is known.
 NO_SERVICE = ""
 #: The reason logged for a failure that the upstream itself answered with.
@@ -152,4 +152,4 @@
 
 def is_sampled(request_id: str) -> bool:
     """Tell whether the answer to a request is logged; the same in every process."""
-    return zlib.crc32(request_id.encode()) % SERVED_SAMPLE == 0
+    return zlib.crc32(request_id.encode()) % SERVED_SAMPLE_INTERVAL == 0
