--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -18,7 +18,7 @@
 #: Counts requests that are refused before a service is known.
 NO_SERVICE = ""
 #: The reason logged for a failure that the upstream itself answered with.
-UPSTREAM_FAILED = "the upstream's own answer"
+UPSTREAM_FAILED_REASON = "the upstream's own answer"
 
 
 class RequestLog:
@@ -62,7 +62,7 @@
             service=job.balancer.service.name,
             upstream=exchange.grant.upstream.spec.id,
             status=exchange.answer.status,
-            reason=UPSTREAM_FAILED,
+            reason=UPSTREAM_FAILED_REASON,
         )
 
     def refused(
