--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -92,7 +92,7 @@
     def route_refused(self, request_id: str, route: str) -> None:
         """Count and log a request whose route can't be served as configured."""
         reason = outcomes.Reason.ROUTE_REFUSED
-        self._count_unplaced(reason)
+        self._count_without_service(reason)
         events.emit(
             events.Event.REQUEST_REFUSED,
             request=request_id,
@@ -104,7 +104,7 @@
     def region_refused(self, request_id: str, route: str) -> None:
         """Count and log a request whose route may not be served in this region."""
         reason = outcomes.Reason.REGION_NOT_ALLOWED
-        self._count_unplaced(reason)
+        self._count_without_service(reason)
         events.emit(
             events.Event.REGION_NOT_ALLOWED,
             request=request_id,
@@ -141,7 +141,7 @@
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._took_s(job))
 
-    def _count_unplaced(self, reason: outcomes.Reason) -> None:
+    def _count_without_service(self, reason: outcomes.Reason) -> None:
         """Count a request that was refused before a service was chosen."""
         not_run = outcomes.Outcome.NOT_RUN.value
         self.state.metrics.requests.labels(NO_SERVICE, not_run, reason.value).inc()
