--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -48,7 +48,7 @@
             status=exchange.answer.status,
             pace=round(grant.slowdown, 2),
             waited_s=round(grant.sent_at - job.call.arrived_at, 4),
-            took_s=round(self._took_s(job), 4),
+            took_s=round(self._elapsed_s(job), 4),
             version=self.state.version,
         )
 
@@ -129,7 +129,7 @@
             service=job.balancer.service.name,
             status=status,
             reason=reason.value,
-            after_s=round(self._took_s(job), 4),
+            after_s=round(self._elapsed_s(job), 4),
             version=self.state.version,
         )
 
@@ -139,14 +139,14 @@
         """Count the end of a request and observe how many seconds it took."""
         service = job.balancer.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
-        self.state.metrics.request_time.labels(service).observe(self._took_s(job))
+        self.state.metrics.request_time.labels(service).observe(self._elapsed_s(job))
 
     def _count_without_service(self, reason: outcomes.Reason) -> None:
         """Count a request that was refused before a service was chosen."""
         not_run = outcomes.Outcome.NOT_RUN.value
         self.state.metrics.requests.labels(NO_SERVICE, not_run, reason.value).inc()
 
-    def _took_s(self, job: jobs.Job) -> float:
+    def _elapsed_s(self, job: jobs.Job) -> float:
         return self.state.clock.now() - job.call.arrived_at
 
 
