--- a/features/support/recorded_logs.py
+++ b/features/support/recorded_logs.py
@@ -128,7 +128,7 @@
     exchange = exchanges.Exchange(grants, watch, job, grant, answer)
     log = request_log.RequestLog(state)
     log.served(_sampled(), job, exchange)
-    log.failed_upstream("request-1", job, exchange)
+    log.upstream_failed("request-1", job, exchange)
     log.refused(
         "request-2", job, outcomes.not_run(outcomes.Reason.QUEUE_FULL), wait_s=0.5
     )
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -147,7 +147,7 @@
         self._traffic.record_response(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
         if answer.status >= outcomes.FIRST_FAILED_STATUS:
-            self.log.failed_upstream(self._request_id(request), job, exchange)
+            self.log.upstream_failed(self._request_id(request), job, exchange)
         self.log.served(self._request_id(request), job, exchange)
         return web_response.Response(
             status=answer.status,
--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -52,7 +52,7 @@
             version=self.state.version,
         )
 
-    def failed_upstream(
+    def upstream_failed(
         self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
         """Log an upstream's own failure that was passed on."""
