--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -34,7 +34,7 @@
     latency_ratio += silence.overdue_cost(upstream, typical_s, now)
     crossing_s = 0.0
     if upstream.spec.zone != pool.local_member.zone:
-        crossing_s = waiting.MIN_CROSS_ZONE_S
+        crossing_s = waiting.CROSS_ZONE_S
     return float(latency_ratio * (1 + queued / slots) + crossing_s / typical_s)
 
 
--- a/spindlenotch/kernel/waiting.py
+++ b/spindlenotch/kernel/waiting.py
@@ -20,7 +20,7 @@
 MOST_TRIES = 1_000
 #: What an upstream in another zone costs a call where nothing else is said, in seconds,
 #: both ways.
-MIN_CROSS_ZONE_S = 0.002
+CROSS_ZONE_S = 0.002
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
@@ -46,7 +46,7 @@
     most_tries: int = MOST_TRIES
     wait_until: ids.Instant = ids.NEVER
     late: bool = False
-    cross_zone_s: float = MIN_CROSS_ZONE_S
+    cross_zone_s: float = CROSS_ZONE_S
     far_s: float = 0.0
     far_from: ids.Instant = ids.Instant(0.0)
     allowed_regions: frozenset[ids.RegionName] | None = None
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -127,7 +127,7 @@
             "decisions/owned_slots.MIN_FACTOR",
             "decisions/owned_slots.MAX_FACTOR",
             "decisions/owned_slots.QUEUE_TARGET",
-            "kernel/waiting.MIN_CROSS_ZONE_S",
+            "kernel/waiting.CROSS_ZONE_S",
             "decisions/queueing_cost.MIN_LATENCY_RATIO",
             "decisions/overload.REFUSED_SHARE",
             "decisions/overload.QUEUED_PER_SLOT",
