--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -47,7 +47,7 @@
         idle_timeout_s: abc.Callable[[], float],
     ) -> None:
         self._handler = handler
-        self._begin_early = start_early
+        self._start_early = start_early
         self._idle_timeout_s = idle_timeout_s
         self._server_by_idle_timeout_s: dict[float, web_server.Server] = {}
         self._listener: asyncio.Server | None = None
@@ -99,7 +99,7 @@
     def _new_server(self, timeout_s: float) -> web_server.Server:
         return pipelining.PipeliningServer(
             self._handler,
-            self._begin_early,
+            self._start_early,
             keepalive_timeout=timeout_s + IDLE_MARGIN_S,
             max_line_size=MAX_LINE_BYTES,
             max_field_size=MAX_FIELD_BYTES,
