--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -46,7 +46,7 @@
             gateway_state, gateway_dialect, self._traffic
         )
 
-    async def answer(
+    async def process(
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
         """
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -138,7 +138,7 @@
     ) -> pipelining.PendingResponse:
         if self.closing:
             return refusals.not_ready()
-        return await self.processor.answer(request)
+        return await self.processor.process(request)
 
     async def _stream(
         self,
