--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -77,8 +77,8 @@
         """
         self.in_flight += 1
         try:
-            answer = await self._await_response(request)
-            response = await self._deliver(request, answer)
+            pending = await self._await_response(request)
+            response = await self._deliver(request, pending)
             self.state.demand.count(_declared_body_bytes(request, response))
             return response
         finally:
@@ -123,15 +123,15 @@
             raise
 
     async def _deliver(
-        self, request: web_request.BaseRequest, answer: pipelining.PendingResponse
+        self, request: web_request.BaseRequest, pending: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
         """Return the response, streamed already where the answer is a long one."""
         should_close = self._leaving and not pipelining.has_pending_responses(request)
-        if isinstance(answer, answer_stream.StreamedResponse):
-            return await self._stream(request, answer, close_connection=should_close)
+        if isinstance(pending, answer_stream.StreamedResponse):
+            return await self._stream(request, pending, close_connection=should_close)
         if should_close:
-            answer.force_close()
-        return answer
+            pending.force_close()
+        return pending
 
     async def _process(
         self, request: web_request.BaseRequest
@@ -143,7 +143,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        answer: answer_stream.StreamedResponse,
+        pending: answer_stream.StreamedResponse,
         *,
         close_connection: bool,
     ) -> web_response.StreamResponse:
@@ -153,16 +153,16 @@
         A second response in its place would be taken for the rest of its body.
         """
         try:
-            async with self.state.deadlines.until(answer.deadline):
+            async with self.state.deadlines.until(pending.deadline):
                 response = await answer_stream.send(
-                    request, answer, close_connection=close_connection
+                    request, pending, close_connection=close_connection
                 )
         except (TimeoutError, answer_stream.TruncatedResponseError):
             # Without an answer in return, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
-        self.processor.record_streamed(request, answer.exchange)
+        self.processor.record_streamed(request, pending.exchange)
         return response
 
 
