--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -102,14 +102,14 @@
         job = self._jobs.create(request, route, body, startup_wait_s)
         try:
             async with self.state.deadlines.until(job.call.deadline):
-                answer = await self._try_upstreams(request, job)
+                response = await self._try_upstreams(request, job)
         except TimeoutError:
             return self._failed(request, job, outcomes.Reason.DEADLINE_PASSED)
         finally:
             self.path.forget(job)
-        if isinstance(answer, outcomes.Refusal):
-            return self._refuse(request, job, answer)
-        return answer
+        if isinstance(response, outcomes.Refusal):
+            return self._refuse(request, job, response)
+        return response
 
     async def _try_upstreams(
         self, request: web_request.BaseRequest, job: jobs.Job
@@ -122,9 +122,9 @@
         """
         exchange = await self.path.begin(job)
         while not isinstance(exchange, outcomes.Refusal):
-            answer = await answers.read(exchange)
-            if not isinstance(answer, answers.TruncatedResponse):
-                return self._to_pending_response(request, exchange, answer)
+            response = await answers.read(exchange)
+            if not isinstance(response, answers.TruncatedResponse):
+                return self._to_pending_response(request, exchange, response)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
             exchange = await self.path.again(job, exchange.grant)
@@ -134,25 +134,25 @@
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
-        answer: answers.BufferedResponse | answers.PartialResponse,
+        response: answers.BufferedResponse | answers.PartialResponse,
     ) -> pipelining.PendingResponse | outcomes.Refusal:
         """Return the answer in the form in which it goes to the caller."""
         if answers.implies_not_run(exchange):
             # Changes nothing where the answer was read to its end.
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-        if isinstance(answer, answers.PartialResponse):
-            return answer_stream.StreamedResponse(exchange, answer.received)
+        if isinstance(response, answers.PartialResponse):
+            return answer_stream.StreamedResponse(exchange, response.received)
         job = exchange.job
-        self._traffic.record_response(exchange, len(answer.body))
+        self._traffic.record_response(exchange, len(response.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if answer.status >= outcomes.FIRST_FAILED_STATUS:
+        if response.status >= outcomes.FIRST_FAILED_STATUS:
             self.log.upstream_failed(self._request_id(request), job, exchange)
         self.log.served(self._request_id(request), job, exchange)
         return web_response.Response(
-            status=answer.status,
-            headers=multidict.CIMultiDict(answer.headers),
-            body=answer.body,
+            status=response.status,
+            headers=multidict.CIMultiDict(response.headers),
+            body=response.body,
         )
 
     def record_streamed(
