--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -205,6 +205,6 @@
         return
     if task.cancelled() or task.exception() is not None:
         return
-    answer = task.result()
-    if isinstance(answer, answer_stream.StreamedResponse):
-        answer.discard()
+    response = task.result()
+    if isinstance(response, answer_stream.StreamedResponse):
+        response.discard()
