--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -41,7 +41,7 @@
 
 async def send(
     request: web_request.BaseRequest,
-    answer: StreamedResponse,
+    streamed: StreamedResponse,
     *,
     close_connection: bool,
 ) -> web_response.StreamResponse:
@@ -51,13 +51,13 @@
     Raises ``TruncatedResponseError`` where the upstream breaks off or the caller's
     connection times out, and aiohttp's connection errors where it is closed.
     """
-    exchange = answer.exchange
+    exchange = streamed.exchange
     response = _prepare_head(exchange)
     if close_connection:
         response.force_close()
     try:
         await response.prepare(request)
-        await response.write(answer.received)
+        await response.write(streamed.received)
         await _copy_remaining(exchange, response)
         await response.write_eof()
     except TimeoutError:
