--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -41,19 +41,21 @@
         self._requests_until_update = REQUESTS_PER_UPDATE
         self._initial_timeouts: list[float] = []
 
-    def age_s(self, left_s: float) -> float:
-        """Return the age of a request whose caller has ``left_s``, and count it."""
-        self._count(left_s)
+    def age_s(self, remaining_s: float) -> float:
+        """Return the age of a request with ``remaining_s``, and count it."""
+        self._count(remaining_s)
         longer = [
-            initial_s for initial_s in self._initial_timeouts if initial_s >= left_s
+            initial_s
+            for initial_s in self._initial_timeouts
+            if initial_s >= remaining_s
         ]
-        return min(longer, default=left_s) - left_s
+        return min(longer, default=remaining_s) - remaining_s
 
-    def _count(self, left_s: float) -> None:
-        bucket = int(math.log(max(MIN_TIMEOUT_S, left_s)) / LOG_BUCKET_RATIO)
+    def _count(self, remaining_s: float) -> None:
+        bucket = int(math.log(max(MIN_TIMEOUT_S, remaining_s)) / LOG_BUCKET_RATIO)
         self._count_by_bucket[bucket] = self._count_by_bucket.get(bucket, 0.0) + 1.0
         self._max_s_by_bucket[bucket] = max(
-            self._max_s_by_bucket.get(bucket, 0.0), left_s
+            self._max_s_by_bucket.get(bucket, 0.0), remaining_s
         )
         self._request_count += 1.0
         self._requests_until_update -= 1
@@ -94,10 +96,10 @@
     def __init__(self) -> None:
         self._timeouts_by_route: dict[routing.RouteName, RouteTimeouts] = {}
 
-    def age_s(self, route: routing.RouteName, left_s: float) -> float:
+    def age_s(self, route: routing.RouteName, remaining_s: float) -> float:
         """Return for how many seconds a caller has asked, zero where not known."""
         timeouts = self._timeouts_by_route.setdefault(route, RouteTimeouts())
-        return timeouts.age_s(left_s)
+        return timeouts.age_s(remaining_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
         """Drop what was stated on routes that are gone."""
