--- a/spindlenotch/gateway/serving/__init__.py
+++ b/spindlenotch/gateway/serving/__init__.py
@@ -1,6 +1,6 @@
 """
-How a gateway serves callers: from a request's head to its final answer.
+Request handling of a gateway, from the request head to the final response.
 
-Reads the gateway's state and passes work to ``forwarding``; knows neither the source
-of the configuration nor the other gateways.
+Reads the gateway's state and hands jobs to ``forwarding``. Depends neither on the
+source of the configuration nor on the other gateways.
 """
--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -1,9 +1,9 @@
 """
-Passes a long answer on to the caller piece by piece, in bounded memory.
+Streams a long response to the caller in chunks, with bounded memory.
 
-Once the head has gone out, the answer can't be replaced: where the upstream
-breaks off, the caller's connection is broken too, so that the caller does not
-take what it has for the whole. Holds no state.
+Once the head is sent, the response can't be replaced by a retry. If the upstream
+fails after that, the caller's connection is aborted, so that the caller does not
+take a truncated body for a complete one. Holds no state.
 """
 
 import msgspec
@@ -17,25 +17,27 @@
 
 
 class TruncatedResponseError(Exception):
-    """Raised when an answer breaks off after its head was passed on."""
+    """Raised if a response is truncated after its head was sent."""
 
 
 class StreamedResponse(msgspec.Struct, frozen=True):
     """
-    A long answer that is to be passed on; nothing of it has gone out yet.
+    A response to stream to the caller, of which nothing has been sent yet.
 
-    ``received`` was read already; ``exchange`` is open and holds the rest."""
+    ``received`` is the part of the body read so far; the rest is read from
+    ``exchange``, which is still open.
+    """
 
     exchange: exchanges.Exchange
     received: bytes
 
     @property
     def deadline(self) -> ids.Instant:
-        """Return when it must have gone out."""
+        """Return when the response must have been sent completely."""
         return self.exchange.job.call.deadline
 
     def discard(self) -> None:
-        """End the exchange without passing anything on."""
+        """End the exchange without sending anything."""
         self.exchange.end(upstreams.Result.CANCELLED)
 
 
@@ -46,10 +48,10 @@
     close_connection: bool,
 ) -> web_response.StreamResponse:
     """
-    Send the head, the start and the rest of an answer; end its exchange.
+    Send the head and the body of a response, then end its exchange.
 
-    Raises ``TruncatedResponseError`` where the upstream breaks off or the caller's
-    connection times out, and aiohttp's connection errors where it is closed.
+    Raises ``TruncatedResponseError`` if the upstream's body ends early or writing to
+    the caller times out, and aiohttp's connection errors if the caller disconnects.
     """
     exchange = streamed.exchange
     response = _prepare_head(exchange)
@@ -63,7 +65,7 @@
     except TimeoutError:
         raise TruncatedResponseError from None
     finally:
-        # Changes nothing where the exchange has come to its end.
+        # No effect if the exchange has already ended.
         exchange.end(upstreams.Result.CANCELLED)
     return response
 
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -1,11 +1,10 @@
 """
-The answer of one request, from its head to what is delivered in its turn.
+Determines the final response to a request, without sending it.
 
-Each request gets one final answer as soon as it is known: the upstream's own; a
-refusal (503 with ``Retry-After``), where the request has not run; or a failure
-(502, 504) that promises nothing. Holds no state of requests. Relies on
-``job_factory``, ``answers`` and ``refusals`` for the rules, and on the data path
-for upstreams.
+Each request gets exactly one final response: the upstream's; a refusal (503 with
+``Retry-After``) if the request was not executed; or a failure (502, 504) if it is
+unknown whether it was. Keeps no state per request. Relies on ``job_factory``,
+``answers`` and ``refusals`` for the rules, and on the data path for the upstreams.
 """
 
 import multidict
@@ -29,7 +28,7 @@
 
 
 class RequestProcessor:
-    """Gets requests their answers; delivers nothing."""
+    """Determines the final response to each request; sends nothing."""
 
     def __init__(
         self,
@@ -50,9 +49,9 @@
         self, request: web_request.BaseRequest
     ) -> pipelining.PendingResponse:
         """
-        Get a request its final answer.
+        Return the final response to a request.
 
-        Raises ``asyncio.CancelledError`` where the caller has gone.
+        Raises ``asyncio.CancelledError`` if the caller disconnects.
         """
         startup_wait_s = 0.0
         if not self.state.can_serve:
@@ -86,7 +85,7 @@
         return refusals.region_refused()
 
     async def _wait_until_ready(self) -> float:
-        """Hold a request while this gateway starts; return for how many seconds."""
+        """Wait until this gateway can serve; return the time waited in seconds."""
         arrived_at = self.state.clock.now()
         hold_until = start_limit.hold_until(self.state.started_at)
         await self.state.until_can_serve(hold_until)
@@ -115,10 +114,10 @@
         self, request: web_request.BaseRequest, job: jobs.Job
     ) -> pipelining.PendingResponse | outcomes.Refusal:
         """
-        Try upstreams until one answer can be passed on or the job is refused.
+        Try upstreams until one responds completely or the job is refused.
 
-        An answer that breaks off before its head went out is replaced by another
-        upstream's, where the request may run again.
+        If a response is truncated before its head was sent, the request is retried
+        on another upstream, provided that it is repeatable.
         """
         exchange = await self.path.begin(job)
         while not isinstance(exchange, outcomes.Refusal):
@@ -136,9 +135,9 @@
         exchange: exchanges.Exchange,
         response: answers.BufferedResponse | answers.PartialResponse,
     ) -> pipelining.PendingResponse | outcomes.Refusal:
-        """Return the answer in the form in which it goes to the caller."""
+        """Convert an upstream's response to the one that is sent to the caller."""
         if answers.implies_not_run(exchange):
-            # Changes nothing where the answer was read to its end.
+            # No effect if the response was read completely.
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         if isinstance(response, answers.PartialResponse):
@@ -158,7 +157,7 @@
     def record_streamed(
         self, request: web_request.BaseRequest, exchange: exchanges.Exchange
     ) -> None:
-        """Count and log an answer that was streamed to its end."""
+        """Count and log a response that was streamed completely."""
         job = exchange.job
         self._traffic.record_response(exchange, exchange.answer.length or 0)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
--- a/spindlenotch/gateway/serving/answers.py
+++ b/spindlenotch/gateway/serving/answers.py
@@ -1,10 +1,10 @@
 """
-What counts as an upstream's whole answer, and what may not be passed on.
+Reads an upstream's response and decides whether it may go to the caller.
 
-An answer is read whole before its head goes to the caller, where it is short
-enough: one that breaks off can still be replaced by another upstream's. Holds
-no state; relies on ``forwarding.data_path`` for the exchange and on the driver
-for telling a body's true end from a lost connection.
+A response of up to ``MAX_BUFFERED_RESPONSE_BYTES`` is buffered completely before its
+head is sent to the caller, so that a truncated one can still be replaced by a retry
+on another upstream. Holds no state. Relies on ``forwarding.data_path`` for the
+exchange and on the driver to distinguish the end of a body from a lost connection.
 """
 
 import msgspec
@@ -12,16 +12,16 @@
 from spindlenotch import headers, ports
 from spindlenotch.forwarding import exchanges
 
-#: Bytes of the longest answer that is read whole; bounds the memory that one request
-#: takes.
+#: Size in bytes above which a response is streamed instead of buffered; bounds the
+#: memory per request.
 MAX_BUFFERED_RESPONSE_BYTES = 128 * 1024
-#: Statuses by which a caller knows that its request has not run and may be sent
-#: again. Defined by the protocol with callers.
+#: Statuses that tell a caller that its request was not executed and may be retried.
+#: Defined by the protocol between gateway and callers.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class BufferedResponse(msgspec.Struct, frozen=True):
-    """An answer whose body has come to its true end."""
+    """A response whose body was received completely."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -29,23 +29,23 @@
 
 
 class PartialResponse(msgspec.Struct, frozen=True):
-    """An answer too long to be read whole; its exchange holds the rest."""
+    """A response too long to buffer; the rest is read from its exchange."""
 
     received: bytes
 
 
 class TruncatedResponse(msgspec.Struct, frozen=True):
-    """An answer that broke off; nothing of it has gone to the caller."""
+    """A response that ended early, before any of it was sent to the caller."""
 
 
 async def read(
     exchange: exchanges.Exchange,
 ) -> BufferedResponse | PartialResponse | TruncatedResponse:
     """
-    Read an answer to its end, or to the length from which it is streamed.
+    Read a response completely, or up to the size above which it is streamed.
 
-    The exchange ends itself where its body ends, breaks off or is cancelled; only
-    that of a ``PartialResponse`` is still open.
+    The exchange ends itself when the body is complete, truncated or cancelled. It is
+    still open only if a ``PartialResponse`` is returned.
     """
     chunks: list[bytes] = []
     size = 0
@@ -61,17 +61,17 @@
 
 
 def end_to_end_headers(exchange: exchanges.Exchange) -> list[tuple[str, str]]:
-    """Return the answer's headers that go on to the caller, without its length."""
+    """Return the end-to-end headers of the response, without Content-Length."""
     return headers.end_to_end(exchange.answer.headers, {"content-length"})
 
 
 def implies_not_run(exchange: exchanges.Exchange) -> bool:
     """
-    Tell whether a caller would wrongly conclude that its request has not run.
+    Return whether the caller would take the status to mean "not executed".
 
-    The data path has already taken out the answers by which an upstream says so
-    in its dialect. One that is left with such a status may come from a request
-    that ran, so its outcome is unknown.
+    The data path has already handled the responses in which an upstream states in
+    its dialect that it did not execute the request. Any other response with such a
+    status may belong to a request that was executed, so the outcome is unknown.
     """
     return exchange.answer.status in NOT_RUN_STATUSES
 
--- a/spindlenotch/gateway/serving/body_traffic.py
+++ b/spindlenotch/gateway/serving/body_traffic.py
@@ -1,9 +1,9 @@
 """
-Bytes of requests' and answers' bodies: how far they went, and what to expect.
+Measures the body bytes of requests and responses.
 
-Counts them by distance for the operator, and keeps the mean size of each route's
-answers, by which calls are held back from other regions. Relies on the metrics of
-the gateway's state.
+Counts them by distance in the metrics, and keeps the mean response size of each
+route, from which the cost of sending a call to another region is estimated. Relies
+on the metrics of the gateway's state.
 """
 
 from spindlenotch.forwarding import exchanges
@@ -11,25 +11,25 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import latency, regions
 
-#: Weight of the newest answer in the mean size of a route's answers: sizes differ
-#: severalfold from one to the next, and change with the configuration only.
+#: Weight of the newest response in a route's mean response size. Low, as single
+#: sizes vary severalfold while the mean changes only with the configuration.
 SIZE_WEIGHT = 0.05
-#: Bytes expected of a large answer before there was one: such routes are worth
-#: keeping in the region from the first request on.
+#: Expected response size in bytes of a route with large responses before the first
+#: was seen, so that such routes stay in the region from the first request on.
 INITIAL_LARGE_RESPONSE_BYTES = 64 * 1024.0
 
 
 class BodyTraffic:
     """
-    Follows the bodies that one gateway passes on.
+    Measures the bodies that one gateway forwards.
 
-    Invariant: nothing is kept of routes that are no longer configured.
+    Invariant: holds nothing about routes that are no longer configured.
     """
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
         self.state = gateway_state
         self._mean_size_by_route: dict[str, latency.Mean] = {}
-        # Looked up once: the labels of a metric are found anew with each call.
+        # Cached, as ``labels`` looks the child metric up at each call.
         traffic_bytes = gateway_state.metrics.traffic_bytes
         self._requests_by_distance = {
             distance: traffic_bytes.labels("requests", distance.value)
@@ -41,7 +41,7 @@
         }
 
     def expected_response_bytes(self, route: routing.Route) -> float:
-        """Return the expected size of a route's next answer."""
+        """Return the expected size in bytes of a route's next response."""
         mean_size = self._mean_size_by_route.get(route.name)
         if mean_size is not None:
             return mean_size.value
@@ -50,7 +50,7 @@
     def record_response(
         self, exchange: exchanges.Exchange, response_bytes: int
     ) -> None:
-        """Note an answer that is passed on, and the request that it answers."""
+        """Record the bytes of a forwarded response and of its request."""
         job = exchange.job
         mean_size = self._mean_size_by_route.setdefault(
             job.call.latency_key, latency.Mean(float(response_bytes), SIZE_WEIGHT)
@@ -64,7 +64,7 @@
         self._responses_by_distance[distance].inc(response_bytes)
 
     def forget_missing(self, routes: tuple[routing.Route, ...]) -> None:
-        """Drop the sizes of routes that are gone."""
+        """Drop the mean sizes of routes that are no longer configured."""
         names = {route.name for route in routes}
         for name in self._mean_size_by_route.keys() - names:
             del self._mean_size_by_route[name]
--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -1,10 +1,11 @@
 """
-How long ago a caller began to ask, from the time that it says it has left.
+Estimates when a caller first sent a request, from the timeout of this attempt.
 
-A caller that was refused comes back with less time left than it began with, and
-says nothing else of its earlier tries. Callers of one route mostly begin with one
-of few times, so these stand out among all that are stated; the age of a request
-is what it lacks to the next of them. Pure; owns what was stated, by route.
+A caller that retries after a refusal states a shorter remaining timeout; nothing
+else in the request tells of the earlier attempts. The callers of one route mostly
+use one of a few initial timeouts, which therefore are the most frequent of the
+stated values. The age of a request is the difference between its timeout and the
+next longer initial timeout. Pure; owns the histogram of timeouts of each route.
 """
 
 import math
@@ -12,27 +13,27 @@
 
 from spindlenotch.gateway.source import routing
 
-#: Two stated times whose ratio is above this fall into one class, roughly.
+#: Approximate ratio between the bounds of a histogram bucket.
 BUCKET_RATIO = 0.97
 LOG_BUCKET_RATIO = math.log(BUCKET_RATIO)
-#: Share of a route's requests from which a class holds times that callers begin with.
-#: Above what the tries of one age make, below what one of several kinds of caller
-#: makes.
+#: Share of a route's requests from which a bucket is taken for an initial timeout.
+#: Higher than the share of retries of one age, lower than that of one of several
+#: kinds of caller.
 MIN_INITIAL_TIMEOUT_SHARE = 0.15
-#: A common class is no time that callers begin with where another one lies above it
-#: within this ratio: those are tries that come back after a usual wait.
+#: An initial timeout must be below this ratio of the next longer one. A frequent
+#: timeout closer to it comes from retries after a typical wait.
 MAX_INITIAL_TIMEOUT_RATIO = 0.75
-#: Requests after which all counts are halved, so that they follow a change.
+#: Number of counted requests at which all counts are halved, to follow changes.
 HALVE_COUNTS_AFTER = 400
-#: Requests after which the common times are worked out anew, and before which nothing
-#: is concluded.
+#: Number of requests between two updates of the initial timeouts; until the first
+#: update all ages are zero.
 REQUESTS_PER_UPDATE = 20
-#: Stated times below this many seconds are not told apart: callers count milliseconds.
+#: Seconds; shorter timeouts count as this one, as callers state milliseconds.
 MIN_TIMEOUT_S = 0.001
 
 
 class RouteTimeouts:
-    """The stated times of one route's callers, in seconds."""
+    """Histogram of the timeouts stated on one route, in seconds."""
 
     def __init__(self) -> None:
         self._count_by_bucket: dict[int, float] = {}
@@ -42,7 +43,7 @@
         self._initial_timeouts: list[float] = []
 
     def age_s(self, remaining_s: float) -> float:
-        """Return the age of a request with ``remaining_s``, and count it."""
+        """Count a request with timeout ``remaining_s``; return its age in seconds."""
         self._count(remaining_s)
         longer = [
             initial_s
@@ -66,7 +67,7 @@
                 self._halve()
 
     def _find_initial_timeouts(self) -> list[float]:
-        """Return the times that callers begin with, the longest first."""
+        """Return the initial timeouts in seconds, the longest first."""
         candidates = [
             self._max_s_by_bucket[bucket]
             for bucket, count in self._count_by_bucket.items()
@@ -91,18 +92,18 @@
 
 
 class RequestAges:
-    """The ages of requests, by route."""
+    """Estimates the ages of requests, by route."""
 
     def __init__(self) -> None:
         self._timeouts_by_route: dict[routing.RouteName, RouteTimeouts] = {}
 
     def age_s(self, route: routing.RouteName, remaining_s: float) -> float:
-        """Return for how many seconds a caller has asked, zero where not known."""
+        """Return the seconds since the caller's first attempt, zero if unknown."""
         timeouts = self._timeouts_by_route.setdefault(route, RouteTimeouts())
         return timeouts.age_s(remaining_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
-        """Drop what was stated on routes that are gone."""
+        """Drop the histograms of routes that are no longer configured."""
         names = {route.name for route in routes}
         for name in [known for known in self._timeouts_by_route if known not in names]:
             del self._timeouts_by_route[name]
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -1,9 +1,9 @@
 """
-Takes callers' requests, each in its turn, and delivers their answers.
+Receives callers' requests in order and sends the responses.
 
-Owns the count of requests in flight and what a planned stop means for them.
-Relies on ``caller_listener`` for connections, on ``pipelining`` for their order
-and on ``answering`` for the answers.
+Owns the count of requests in flight and the handling of requests during a planned
+stop. Relies on ``caller_listener`` for connections, on ``pipelining`` for the order
+of responses and on ``answering`` for the responses themselves.
 """
 
 import asyncio
@@ -25,8 +25,9 @@
     """
     Serves callers' requests.
 
-    ``closing`` is set late in a planned stop; requests that come then are
-    refused. Invariant: ``in_flight`` counts the requests whose answer has not ended.
+    ``closing`` is set late in a planned stop; requests received after that are
+    refused. Invariant: ``in_flight`` is the number of requests whose response has
+    not been sent completely.
     """
 
     def __init__(
@@ -43,22 +44,22 @@
         )
 
     async def start(self) -> None:
-        """Listen for callers; raises ``OSError`` where the address can't be bound."""
+        """Listen for callers; raises ``OSError`` if the address can't be bound."""
         await self._listener.start(self.state.config.listen)
 
     def stop_listening(self) -> None:
-        """Accept no new connections; refuse requests on those that are open."""
+        """Stop accepting connections; refuse new requests on open ones."""
         self.closing = True
         self._listener.stop_accepting()
 
     async def stop(self, limit_s: float) -> None:
-        """Close all connections when their requests are answered, or at the limit."""
+        """Close connections after their responses, at the latest after ``limit_s``."""
         self.stop_listening()
         await self._listener.stop(limit_s)
 
     @property
     def _leaving(self) -> bool:
-        """Tell whether connections are closed with their next answer."""
+        """Return whether each connection is closed after its next response."""
         return self.state.phase is lifecycle.Phase.LEAVING
 
     def _idle_timeout_s(self) -> float:
@@ -72,8 +73,8 @@
         """
         Serve one request.
 
-        Raises ``asyncio.CancelledError`` where the caller has gone, or where its
-        connection was broken because a streamed answer broke off.
+        Raises ``asyncio.CancelledError`` if the caller disconnects, or if its
+        connection was aborted because a streamed response was truncated.
         """
         self.in_flight += 1
         try:
@@ -88,10 +89,10 @@
         self, request: web_request.BaseRequest
     ) -> pipelining.ResponseTask | None:
         """
-        Begin a request that was sent behind others, where it may run again.
+        Start processing a pipelined request before its turn, if it is repeatable.
 
-        Its connection closes then only after its answer; so none is begun late in
-        the life of this gateway.
+        The connection then stays open until its response is sent, so no request is
+        started early once this gateway is stopping.
         """
         table = self.state.table
         if self.closing or self._leaving or table is None:
@@ -125,7 +126,7 @@
     async def _deliver(
         self, request: web_request.BaseRequest, pending: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
-        """Return the response, streamed already where the answer is a long one."""
+        """Return the response; one that is streamed has been sent already."""
         should_close = self._leaving and not pipelining.has_pending_responses(request)
         if isinstance(pending, answer_stream.StreamedResponse):
             return await self._stream(request, pending, close_connection=should_close)
@@ -148,9 +149,9 @@
         close_connection: bool,
     ) -> web_response.StreamResponse:
         """
-        Pass on a long answer; break the connection where it does not end well.
+        Stream a response; abort the connection if it can't be completed.
 
-        A second response in its place would be taken for the rest of its body.
+        The caller would take an error response for the rest of the body.
         """
         try:
             async with self.state.deadlines.until(pending.deadline):
@@ -158,7 +159,7 @@
                     request, pending, close_connection=close_connection
                 )
         except (TimeoutError, answer_stream.TruncatedResponseError):
-            # Without an answer in return, aiohttp sends nothing more.
+            # If the handler returns no response, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
@@ -169,5 +170,5 @@
 def _declared_body_bytes(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
-    """Return the declared bytes of both bodies; those without a length count 0."""
+    """Return the sum of both Content-Lengths in bytes; a missing one counts as 0."""
     return (request.content_length or 0) + (response.content_length or 0)
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -1,11 +1,12 @@
 """
-Begins requests that callers sent behind others on the same connection.
-
-aiohttp handles the requests of a connection one after the other, so that one sent
-behind another would reach an upstream only after the answer to the first. Requests
-that may be repeated are begun when they are read; their answers still go out in
-the order of the requests. Owns what was begun on one connection. Relies on the
-queue of parsed messages of aiohttp's ``RequestHandler``.
+HTTP/1.1 pipelining: starts queued requests of a connection before their turn.
+
+aiohttp handles the requests of a connection one after the other, so a pipelined
+request would reach an upstream only after the response to the previous one. Here,
+repeatable requests are started as soon as they are parsed; the responses are still
+sent in the order of the requests (RFC 9112, section 9.3.2). Owns the requests
+started early on one connection. Relies on the queue of parsed messages in aiohttp's
+``RequestHandler``.
 """
 
 import asyncio
@@ -26,22 +27,22 @@
 
 from spindlenotch.gateway.serving import answer_stream
 
-#: Requests of one connection that may be begun before it is their turn; bounds what one
-#: caller can occupy.
+#: Maximum number of requests of one connection that are started before their turn;
+#: bounds the capacity that one caller can occupy.
 MAX_EARLY_REQUESTS = 8
-#: Methods of which several may run at once: RFC 9110, section 9.2.1, calls them
-#: safe.
+#: Methods whose requests may run concurrently: safe methods by RFC 9110, section
+#: 9.2.1.
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 
-#: What a request is answered with: a whole response, or one that is to be streamed.
+#: A response that has not been sent: complete, or to be streamed.
 PendingResponse = web_response.Response | answer_stream.StreamedResponse
 ResponseTask = asyncio.Task[PendingResponse]
-#: Begins a request, or returns None where it must wait for its turn.
+#: Starts processing a request, or returns None if it must wait for its turn.
 EarlyStarter = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
 
 
 class EarlyRequest(msgspec.Struct, frozen=True):
-    """A request that was begun before its turn."""
+    """A request that was started before its turn."""
 
     message: http_parser.RawRequestMessage
     task: ResponseTask
@@ -51,9 +52,8 @@
     """
     A caller's connection.
 
-    Invariants: a request is begun early only if all that are in front of it use a
-    safe method; the connection is not closed as planned while the answer to a
-    request that was begun is owed.
+    Invariants: a request is started early only if all requests before it use a safe
+    method; a graceful close waits for the requests that were started early.
     """
 
     __slots__ = ("_none_pending", "_start_early", "_early_requests", "_close_requested")
@@ -73,20 +73,20 @@
 
     @property
     def has_pending_responses(self) -> bool:
-        """Tell whether requests were begun whose turn has not come."""
+        """Return whether any request was started early and awaits its turn."""
         return bool(self._early_requests)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received, and begin the requests that may be begun."""
+        """Parse received data and start the requests that may be started early."""
         super().data_received(data)
         if self._current_request is not None:
             self._start_queued(self._current_request)
 
     def take_task(self, request: web_request.BaseRequest) -> ResponseTask | None:
         """
-        Begin the turn of a request.
+        Begin the turn of a request and start those queued behind it.
 
-        Return its task if it was begun before, and begin those behind it.
+        Return its task if it was started early.
         """
         self._start_queued(request)
         for index, early_request in enumerate(self._early_requests):
@@ -97,13 +97,13 @@
         return None
 
     def close(self) -> None:
-        """Close the connection once all that was begun is answered."""
+        """Close the connection once all requests started early have had their turn."""
         self._close_requested = True
         if not self._early_requests:
             super().close()
 
     async def shutdown(self, timeout: float | None = None) -> None:
-        """Close the connection likewise, at the latest after ``timeout`` seconds."""
+        """Close the connection gracefully, within ``timeout`` seconds."""
         loop = asyncio.get_running_loop()
         deadline = None if timeout is None else loop.time() + timeout
         with contextlib.suppress(TimeoutError):
@@ -113,7 +113,7 @@
         await super().shutdown(remaining_s)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Break off what was begun: its caller is gone."""
+        """Discard the requests started early: the caller has disconnected."""
         for early_request in self._early_requests:
             discard(early_request.task)
         self._early_requests.clear()
@@ -121,7 +121,7 @@
         super().connection_lost(exc)
 
     def _on_early_request_removed(self) -> None:
-        """Let the connection close if that was waited for."""
+        """If none is left, wake ``shutdown`` and carry out a requested close."""
         if self._early_requests:
             return
         self._none_pending.set()
@@ -129,7 +129,7 @@
             super().close()
 
     def _start_queued(self, current: web_request.BaseRequest) -> None:
-        """Begin requests that wait behind ``current``, whose turn it is."""
+        """Start requests queued behind ``current``, whose turn it is."""
         if current.method not in SAFE_METHODS:
             return
         for message, payload in self._messages:
@@ -161,7 +161,7 @@
 
 
 class PipeliningServer(web_server.Server):
-    """Makes the connections of one listener; ``options`` are aiohttp's."""
+    """Creates the connections of one listener; ``options`` are aiohttp's."""
 
     def __init__(
         self,
@@ -176,14 +176,14 @@
         self._options = options
 
     def __call__(self) -> web_protocol.RequestHandler:
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return PipelinedConnection(
             self, self._start_early, loop=self._loop, **self._options
         )
 
 
 def take_task(request: web_request.BaseRequest) -> ResponseTask | None:
-    """Return the task of a request whose turn has come, if it was begun before."""
+    """Return the task of a request whose turn has come, if it was started early."""
     connection = request.protocol
     if isinstance(connection, PipelinedConnection):
         return connection.take_task(request)
@@ -191,7 +191,7 @@
 
 
 def has_pending_responses(request: web_request.BaseRequest) -> bool:
-    """Tell whether requests behind this one were begun on its connection."""
+    """Return whether requests queued behind this one were started early."""
     connection = request.protocol
     return (
         isinstance(connection, PipelinedConnection) and connection.has_pending_responses
@@ -199,7 +199,7 @@
 
 
 def discard(task: ResponseTask) -> None:
-    """End a task whose answer nobody waits for, and the exchange it may hold."""
+    """Cancel a task whose response is not needed, and end its exchange if any."""
     if not task.done():
         task.cancel()
         return
