--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -1,10 +1,10 @@
 """
-The port that callers connect to: accepts connections and closes idle ones.
+Listener for callers: accepts connections and closes idle ones.
 
-Owns the listening socket and the aiohttp servers behind it. Each request goes
-to the handler given at construction; one that was sent behind others may be begun
-before (``pipelining``). Relies on aiohttp for HTTP/1.1 and for
-keep-alive; the operator's idle timeout is read anew for each connection.
+Owns the listening socket and the aiohttp servers behind it. Each request is passed
+to the handler given at construction; a pipelined request may be started before its
+turn (``pipelining``). Relies on aiohttp for HTTP/1.1 and keep-alive. The operator's
+idle timeout is read for each new connection.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
     [web_request.BaseRequest], abc.Awaitable[web_response.StreamResponse]
 ]
 
-#: Seconds an idle connection stays open beyond the operator's limit, so that a caller
-#: that reuses it just in time is not cut off.
+#: Seconds that an idle connection stays open beyond the operator's limit, so that a
+#: request sent just before the limit does not meet a closed connection.
 IDLE_MARGIN_S = 1.0
-#: Connections that may wait to be accepted.
+#: Maximum number of connections waiting to be accepted.
 BACKLOG = 1024
-#: Bytes of the longest request line.
+#: Maximum length of a request line in bytes.
 MAX_LINE_BYTES = 64 * 1024
-#: Bytes of the longest header field.
+#: Maximum length of a header field in bytes.
 MAX_FIELD_BYTES = 64 * 1024
 
 
@@ -35,9 +35,9 @@
     """
     Accepts callers' connections.
 
-    ``idle_timeout_s`` returns the limit in force, in seconds. aiohttp fixes the
-    timeout of a server at construction, so there is one server for each limit
-    that open connections were accepted under.
+    ``idle_timeout_s`` returns the current idle timeout in seconds. aiohttp sets the
+    timeout of a server at construction, so there is one server for each timeout
+    under which an open connection was accepted.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self, address: ids.Address) -> None:
-        """Listen on ``address``; raises ``OSError`` where it can't be bound."""
+        """Listen on ``address``; raises ``OSError`` if it can't be bound."""
         host, port = peer_link.split(address)
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
@@ -61,27 +61,28 @@
         )
 
     def stop_accepting(self) -> None:
-        """Accept no new connections; those that are open stay open."""
+        """Stop accepting connections; open ones stay open."""
         if self._listener is not None:
             self._listener.close()
 
     async def stop(self, limit_s: float) -> None:
         """
-        Close all connections, each when its request is answered.
+        Close each connection after the response to its current request.
 
-        Those that still have a request after ``limit_s`` seconds are cut off.
+        Connections with a request still unanswered after ``limit_s`` seconds are
+        aborted.
         """
         self.stop_accepting()
         servers = list(self._server_by_idle_timeout_s.values())
         for server in servers:
             for connection in server.connections:
-                # ``shutdown`` alone leaves idle connections open until its limit
-                # and never answers what is sent over them meanwhile.
+                # ``shutdown`` alone keeps idle connections open until the limit
+                # and never answers requests received on them meanwhile.
                 connection.close()
         await asyncio.gather(*(server.shutdown(limit_s) for server in servers))
 
     def _accept(self) -> asyncio.BaseProtocol:
-        """Return the protocol of a new connection, by the limit in force."""
+        """Create the protocol of a new connection, with the current idle timeout."""
         timeout_s = self._idle_timeout_s()
         self._drop_unused_servers(timeout_s)
         server = self._server_by_idle_timeout_s.get(timeout_s)
@@ -91,7 +92,7 @@
         return server()
 
     def _drop_unused_servers(self, timeout_s: float) -> None:
-        """Drop the servers of other limits that have no connection left."""
+        """Drop servers with another idle timeout that have no connection left."""
         for other_timeout_s, server in list(self._server_by_idle_timeout_s.items()):
             if other_timeout_s != timeout_s and not server.connections:
                 del self._server_by_idle_timeout_s[other_timeout_s]
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -1,10 +1,10 @@
 """
-Turns a caller's request and its route into a job for the data path.
+Builds the job for the data path from a caller's request and its route.
 
-Owns the rules for how long a request may take and what crossing to another zone
-costs it; all instants are those of the gateway's clock. Numbers the calls of this
-process. Relies on the route (operator's configuration), on the dialect's header
-names, on ``caller_age`` and on ``decisions.start_limit``.
+Owns the rules for the deadline of a request and for its cross-zone cost, and assigns
+the call ids of this process. All instants are those of the gateway's clock. Relies
+on the route (operator's configuration), on the dialect's header names, on
+``caller_age`` and on ``decisions.start_limit``.
 """
 
 import itertools
@@ -20,31 +20,32 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import waiting
 
-#: Seconds until the deadline of a request that states none.
+#: Timeout in seconds of a request that states none.
 DEFAULT_TIMEOUT_S = 60.0
-#: Longest time in seconds that a caller can give its request, a day; a longer one
-#: counts as none stated. Keeps instants within what the event loop can wait for.
+#: Longest timeout in seconds that a caller can state, one day; a longer one is
+#: ignored. Keeps instants within the range that the event loop can wait for.
 MAX_TIMEOUT_S = 86_400.0
-#: Seconds of expected latency that an upstream in another zone counts more than
-#: one in this: the round trip, and load estimates that are less certain there.
+#: Minimum cross-zone cost: seconds added to the expected latency of an upstream in
+#: another zone, for the round trip and for the less certain load estimates.
 MIN_CROSS_ZONE_S = 0.008
-#: The same as a share of the typical latency, where that is more: what differs by
-#: less than the estimates err is not worth bytes between zones.
+#: Cross-zone cost as a share of the typical latency, if that is more than the
+#: minimum: a gain within the error of the estimates does not justify cross-zone
+#: traffic.
 CROSS_ZONE_SHARE = 0.12
-#: The most seconds by that share: an overloaded service, whose latency is high,
+#: Maximum of that share in seconds: an overloaded service, whose latency is high,
 #: needs the upstreams of all zones.
 MAX_CROSS_ZONE_S = 0.03
-#: Seconds that each byte of the request's body adds to that.
+#: Seconds added to the cross-zone cost per byte of the request body.
 CROSS_ZONE_S_PER_BYTE = 2.5e-6
-#: Milliseconds of the shortest time left that an upstream is told.
+#: Minimum remaining time in milliseconds that is sent to an upstream.
 MIN_REMAINING_MS = 1
 
 
 class JobFactory:
     """
-    Builds the jobs of one gateway.
+    Creates the jobs of one gateway.
 
-    Invariant: no two calls of this process have the same id.
+    Invariant: the call ids of this process are unique.
     """
 
     def __init__(
@@ -69,9 +70,10 @@
         startup_wait_s: float = 0.0,
     ) -> jobs.Job:
         """
-        Build the job of a request; advances the route's round robin.
+        Create the job of a request; advances the round robin of the route.
 
-        ``startup_wait_s`` is how long this gateway has held it before, in seconds.
+        ``startup_wait_s`` is how many seconds the request has waited for this gateway
+        to become ready.
         """
         self._drop_removed_routes()
         service = self.state.round_robin.next(route)
@@ -124,7 +126,7 @@
         )
 
     def _drop_removed_routes(self) -> None:
-        """Forget routes that are gone, once for each configuration in force."""
+        """Drop the statistics of removed routes, once per configuration."""
         table = self.state.table
         if table is not None and table is not self._table:
             self._table = table
@@ -134,7 +136,7 @@
     def _end_to_end_headers(
         self, request: web_request.BaseRequest
     ) -> list[tuple[str, str]]:
-        """Return the caller's headers that every try carries, its id among them."""
+        """Return the caller's headers sent with every attempt, with its request id."""
         pairs = [(name, value) for name, value in request.headers.items()]
         forwarded = headers.end_to_end(pairs, self._removed_headers)
         request_id = request.headers.get(self.dialect.request_id)
@@ -149,10 +151,11 @@
 
 def read_timeout_s(text: str | None) -> float:
     """
-    Read the seconds that a caller gives its request, from milliseconds as text.
+    Parse the caller's timeout in milliseconds; return it in seconds.
 
-    An absent, unreadable or endless header counts as ``DEFAULT_TIMEOUT_S``, so
-    that the request is served rather than rejected; a negative one as zero.
+    Returns ``DEFAULT_TIMEOUT_S`` if the header is absent, malformed, NaN or above
+    ``MAX_TIMEOUT_S``, so that the request is served rather than rejected, and zero
+    if it is negative.
     """
     if not text:
         return DEFAULT_TIMEOUT_S
@@ -160,14 +163,14 @@
         timeout_s = float(text) / 1000
     except ValueError:
         return DEFAULT_TIMEOUT_S
-    # Not true of NaN either, which no instant can be reckoned with.
+    # Written as a negation to reject NaN too, which is invalid in an instant.
     if not timeout_s <= MAX_TIMEOUT_S:
         return DEFAULT_TIMEOUT_S
     return max(0.0, timeout_s)
 
 
 def deadline(now: ids.Instant, timeout_s: float, route: routing.Route) -> ids.Instant:
-    """Return when a request must be answered: its caller's limit or the route's."""
+    """Return the deadline by the shorter of the caller's and the route's timeout."""
     if route.timeout_s is not None:
         timeout_s = min(timeout_s, route.timeout_s)
     return ids.later(now, timeout_s)
@@ -175,10 +178,10 @@
 
 def cross_zone_s(body: request_body.Body, typical_s: float) -> float:
     """
-    Return what an upstream in another zone costs a request, in seconds.
+    Return the cross-zone cost of a request in seconds.
 
-    ``typical_s`` is the typical latency of its kind. A streamed body without a
-    declared length counts as empty.
+    ``typical_s`` is the typical latency of the route in seconds. A streamed body
+    without a Content-Length counts as empty.
     """
     proportional_s = min(MAX_CROSS_ZONE_S, CROSS_ZONE_SHARE * typical_s)
     crossing_s = max(MIN_CROSS_ZONE_S, proportional_s)
@@ -186,7 +189,7 @@
 
 
 def allowed_regions(route: routing.Route) -> frozenset[ids.RegionName] | None:
-    """Return the regions in which a route's requests may run; None: anywhere."""
+    """Return the regions in which a route's requests may run; None means any."""
     if route.allowed_regions is None:
         return None
     return frozenset(route.allowed_regions)
@@ -194,10 +197,11 @@
 
 def needs_new_connection(route: routing.Route, body: request_body.Body) -> bool:
     """
-    Tell whether a request must not go over a kept connection.
+    Return whether a request must not be sent on a reused connection.
 
-    On a kept connection it can't be known whether a request ran that broke off,
-    and an answer that comes before the body was read spoils the next exchange.
+    If a reused connection is lost, it is unknown whether the request was executed.
+    A response sent before the upstream has read the body corrupts the next exchange
+    on the connection.
     """
     return not route.repeatable or body.content is not None
 
@@ -205,7 +209,7 @@
 def labels(
     gateway_dialect: dialect.Dialect,
 ) -> abc.Callable[[jobs.Job, verdicts.Grant, float], jobs.Labels]:
-    """Return the function that sets the headers of each try in that dialect."""
+    """Return the function that sets the headers of each attempt in a dialect."""
 
     def label(job: jobs.Job, grant: verdicts.Grant, remaining_s: float) -> jobs.Labels:
         request_id = dict(job.headers).get(gateway_dialect.request_id, "")
--- a/spindlenotch/gateway/serving/refusals.py
+++ b/spindlenotch/gateway/serving/refusals.py
@@ -1,9 +1,9 @@
 """
-What a caller is told where it gets no answer of an upstream.
+The gateway's own responses, for requests that get none from an upstream.
 
-One function each for the status of a failure and for when a retry makes sense,
-and the responses of the gateway itself. A refusal (503) promises that the
-request has not run; a failure (502, 504) promises nothing. Holds no state.
+Also determines the status of a failure and the time after which to retry. A refusal
+(503) guarantees that the request was not executed; after a failure (502, 504) that
+is unknown. Holds no state.
 """
 
 from aiohttp import web_response
@@ -12,25 +12,25 @@
 from spindlenotch.decisions import queueing
 from spindlenotch.kernel import outcomes
 
-#: Whether the request ran is unknown: it was sent, and no whole answer came.
+#: The request was sent and no complete response received; it may have run.
 UNKNOWN_STATUS = 502
-#: The request has not run.
+#: The request was not executed.
 NOT_RUN_STATUS = 503
-#: The deadline has passed; whether the request ran is unknown.
+#: The deadline has passed; the request may have run.
 DEADLINE_PASSED_STATUS = 504
 NO_ROUTE_STATUS = 404
-#: Seconds after which a request of a refused route may come back. Only an operator can
-#: mend the route, so it is as long as callers keep an answer of the directory: sooner
-#: is in vain, later keeps them waiting once it is mended.
+#: Seconds after which to retry a request of a refused route. Only an operator can
+#: correct the route, so this is as long as callers cache a directory response: an
+#: earlier retry would fail again, a later one delay recovery after the correction.
 ROUTE_REFUSED_RETRY_S = 5.0
-#: Seconds after which a request may come back that was refused for its region: by
-#: then its caller has asked the directory again and may reach another one.
+#: Seconds after which to retry a request refused for its region: by then the caller
+#: has queried the directory again and may reach another region.
 REGION_REFUSED_RETRY_S = 1.0
 BODY_TOO_LONG_STATUS = 413
 
 
 def retry_after_s(refusal: outcomes.Refusal, now: ids.Instant) -> float:
-    """Return in how many seconds a retry makes sense: at ``retry_at``, not at once."""
+    """Return the seconds until ``retry_at``, at least ``MIN_RETRY_AFTER_S``."""
     if refusal.retry_at is None:
         return queueing.MIN_RETRY_AFTER_S
     return max(queueing.MIN_RETRY_AFTER_S, refusal.retry_at - now)
@@ -44,7 +44,7 @@
 
 
 def not_run(reason: outcomes.Reason, wait_s: float) -> web_response.Response:
-    """Return the response to a request that has not run; retry in ``wait_s``."""
+    """Return a 503 response with ``Retry-After`` of ``wait_s`` seconds."""
     return web_response.Response(
         status=NOT_RUN_STATUS,
         headers={"Retry-After": f"{wait_s:.3f}"},
@@ -75,10 +75,10 @@
 
 
 def no_route() -> web_response.Response:
-    """Return the response to a request that no route of the configuration fits."""
+    """Return the response to a request that matches no configured route."""
     return web_response.Response(status=NO_ROUTE_STATUS, text="no route\n")
 
 
 def body_too_long() -> web_response.Response:
-    """Return the response to a request whose declared body is beyond the limit."""
+    """Return the response to a request whose Content-Length exceeds the limit."""
     return web_response.Response(status=BODY_TOO_LONG_STATUS, text="body too long\n")
--- a/spindlenotch/gateway/serving/request_body.py
+++ b/spindlenotch/gateway/serving/request_body.py
@@ -1,9 +1,9 @@
 """
-Reading the body of a caller's request, whole where it is short enough.
+Reads the body of a caller's request: buffered if it is short, else streamed.
 
-A whole body can be sent again with a retry or a hedge; a streamed one is passed
-on piece by piece in bounded memory and can be sent once. Relies on aiohttp for
-the framing; holds no state.
+A buffered body can be sent again with a retry or a hedge. A streamed one is
+forwarded in chunks with bounded memory and can be sent only once. Relies on aiohttp
+for the framing; holds no state.
 """
 
 from collections import abc
@@ -11,7 +11,7 @@
 import msgspec
 from aiohttp import web_request
 
-#: Bytes of the longest body that is read whole.
+#: Size in bytes above which a body is streamed instead of buffered.
 MAX_BUFFERED_BODY_BYTES = 1024 * 1024
 
 
@@ -23,7 +23,7 @@
 
 
 class BufferedBody(msgspec.Struct, frozen=True):
-    """A body that was read to its end."""
+    """A body that was read completely."""
 
     content: bytes
 
@@ -37,7 +37,7 @@
     """
     A body that is read while it is sent; ``content`` can be iterated once.
 
-    ``known_bytes`` is the declared length, zero where none was declared.
+    ``known_bytes`` is the Content-Length, zero if there is none.
     """
 
     content: abc.AsyncIterable[bytes]
@@ -45,7 +45,7 @@
 
 
 class BodyTooLong(msgspec.Struct, frozen=True):
-    """The declared length is beyond the operator's limit; nothing was read."""
+    """The Content-Length exceeds the operator's limit; nothing was read."""
 
 
 Body = NoBody | BufferedBody | StreamedBody
@@ -60,8 +60,8 @@
     """
     Read the body of a request of at most ``limit_bytes``.
 
-    The limit holds for a declared length only. Raises aiohttp's payload errors
-    where the caller breaks off.
+    The limit applies only if there is a Content-Length. Raises aiohttp's payload
+    errors if the body is truncated.
     """
     if not request.body_exists:
         return _NO_BODY
@@ -78,7 +78,7 @@
 async def _read_buffered(
     request: web_request.BaseRequest,
 ) -> BufferedBody | StreamedBody:
-    """Read to the end, or go over to streaming where the body is too long."""
+    """Read the whole body, or switch to streaming if it is too long to buffer."""
     chunks: list[bytes] = []
     size = 0
     async for chunk in request.content.iter_any():
@@ -92,7 +92,7 @@
 async def _chunks(
     request: web_request.BaseRequest, received: list[bytes]
 ) -> abc.AsyncIterator[bytes]:
-    """Yield what was read already, then the rest as it comes."""
+    """Yield the chunks received so far, then the rest as it arrives."""
     for chunk in received:
         yield chunk
     async for chunk in request.content.iter_any():
--- a/spindlenotch/gateway/serving/request_log.py
+++ b/spindlenotch/gateway/serving/request_log.py
@@ -1,9 +1,9 @@
 """
-How each request of a gateway ended, as log lines and counters.
+Logs and counts the outcome of each request of a gateway.
 
-Refusals and failures are logged one by one (within the limits of ``log_sink``),
-answers as a sample by request id, so that all processes log the same requests.
-Relies on the metrics of the gateway's state; holds nothing itself.
+Every refusal and failure is logged (within the limits of ``log_sink``); served
+requests are sampled by request id, so that all processes log the same ones. Relies
+on the metrics of the gateway's state; holds no state itself.
 """
 
 import zlib
@@ -13,19 +13,19 @@
 from spindlenotch.gateway import state
 from spindlenotch.kernel import outcomes
 
-#: One in this many answered requests is logged.
+#: One in this many served requests is logged.
 SERVED_SAMPLE_INTERVAL = 64
-#: Counts requests that are refused before a service is known.
+#: Service label of requests refused before a service was chosen.
 NO_SERVICE = ""
-#: The reason logged for a failure that the upstream itself answered with.
+#: Logged reason of a failure that the upstream itself returned.
 UPSTREAM_FAILED_REASON = "the upstream's own answer"
 
 
 class RequestLog:
     """
-    Logs and counts how requests ended.
+    Logs and counts the outcomes of requests.
 
-    ``request_id`` is the caller's own name of a request, empty where it sent none.
+    ``request_id`` is the id that the caller sent, empty if it sent none.
     """
 
     def __init__(self, gateway_state: state.GatewayState) -> None:
@@ -34,7 +34,7 @@
     def served(
         self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
-        """Log an answer that was passed on, if its request is in the sample."""
+        """Log a request that was served, if it is in the sample."""
         if not is_sampled(request_id):
             return
         grant = exchange.grant
@@ -55,7 +55,7 @@
     def upstream_failed(
         self, request_id: str, job: jobs.Job, exchange: exchanges.Exchange
     ) -> None:
-        """Log an upstream's own failure that was passed on."""
+        """Log a failure response of an upstream that was forwarded."""
         events.emit(
             events.Event.REQUEST_FAILED,
             request=request_id,
@@ -73,9 +73,9 @@
         wait_s: float,
     ) -> None:
         """
-        Count and log a request that has not run; retry after ``wait_s`` seconds.
+        Count and log a refused request; ``wait_s`` is its ``Retry-After`` in seconds.
 
-        The log names the rule that decided where one reason has several.
+        If several rules share a reason, the log names the rule that decided.
         """
         self.count(job, refusal.outcome, refusal.reason)
         events.emit(
@@ -102,7 +102,7 @@
         )
 
     def region_refused(self, request_id: str, route: str) -> None:
-        """Count and log a request whose route may not be served in this region."""
+        """Count and log a request whose route is not allowed in this region."""
         reason = outcomes.Reason.REGION_NOT_ALLOWED
         self._count_without_service(reason)
         events.emit(
@@ -136,7 +136,7 @@
     def count(
         self, job: jobs.Job, outcome: outcomes.Outcome, reason: outcomes.Reason
     ) -> None:
-        """Count the end of a request and observe how many seconds it took."""
+        """Count the outcome of a request and record its duration in seconds."""
         service = job.balancer.service.name
         self.state.metrics.requests.labels(service, outcome.value, reason.value).inc()
         self.state.metrics.request_time.labels(service).observe(self._elapsed_s(job))
@@ -151,5 +151,5 @@
 
 
 def is_sampled(request_id: str) -> bool:
-    """Tell whether the answer to a request is logged; the same in every process."""
+    """Return whether a served request is logged; the same in every process."""
     return zlib.crc32(request_id.encode()) % SERVED_SAMPLE_INTERVAL == 0
