--- a/features/support/served_gateway.py
+++ b/features/support/served_gateway.py
@@ -17,7 +17,7 @@
 from spindlenotch import clock, ids, ports
 from spindlenotch.forwarding import data_path
 from spindlenotch.gateway import dialect, gateway
-from spindlenotch.gateway.serving import answering, ingress, job_factory
+from spindlenotch.gateway.serving import ingress, job_factory, request_processing
 from spindlenotch.gateway.source import routing, sources
 from spindlenotch.kernel import backpressure, upstreams
 
@@ -157,7 +157,7 @@
             self.learn()
         native = dialect.DIALECTS.get("native")()
         path = data_path.DataPath(state, self.port, job_factory.labels(native))
-        processor = answering.RequestProcessor(state, path, native)
+        processor = request_processing.RequestProcessor(state, path, native)
         self.ingress = ingress.Ingress(state, processor)
 
     def use_clock(self, host_clock: clock.Clock) -> None:
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -30,7 +30,7 @@
 )
 from spindlenotch.gateway.quarantine import sharing, writer
 from spindlenotch.gateway.rollout import loop as rollout_loop
-from spindlenotch.gateway.serving import answering, ingress, job_factory
+from spindlenotch.gateway.serving import ingress, job_factory, request_processing
 from spindlenotch.gateway.source import discovery, relay, source_reader, sources
 from spindlenotch.peers import background
 
@@ -68,7 +68,9 @@
             job_factory.labels(gateway_dialect),
             known=gateway_state.quarantines.known,
         )
-        processor = answering.RequestProcessor(gateway_state, path, gateway_dialect)
+        processor = request_processing.RequestProcessor(
+            gateway_state, path, gateway_dialect
+        )
         self.ingress = ingress.Ingress(gateway_state, processor)
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -3,7 +3,7 @@
 
 Owns the count of requests in flight and the handling of requests during a planned
 stop. Relies on ``caller_listener`` for connections, on ``pipelining`` for the order
-of responses and on ``answering`` for the responses themselves.
+of responses and on ``request_processing`` for the responses themselves.
 """
 
 import asyncio
@@ -12,10 +12,10 @@
 
 from spindlenotch.gateway import lifecycle, state
 from spindlenotch.gateway.serving import (
-    answering,
     caller_listener,
     pipelining,
     refusals,
+    request_processing,
     response_streaming,
 )
 from spindlenotch.gateway.source import routing
@@ -33,7 +33,7 @@
     def __init__(
         self,
         gateway_state: state.GatewayState,
-        processor: answering.RequestProcessor,
+        processor: request_processing.RequestProcessor,
     ) -> None:
         self.state = gateway_state
         self.processor = processor
