--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -26,8 +26,8 @@
     Serves callers' requests.
 
     ``closing`` is set late in a planned stop; requests received after that are
-    refused. Invariant: ``in_flight`` is the number of requests whose response has
-    not been sent completely.
+    refused. Invariant: ``in_flight`` is the number of requests whose response is
+    not complete.
     """
 
     def __init__(
--- a/spindlenotch/gateway/serving/request_processing.py
+++ b/spindlenotch/gateway/serving/request_processing.py
@@ -114,7 +114,7 @@
         self, request: web_request.BaseRequest, job: jobs.Job
     ) -> pipelining.PendingResponse | outcomes.Refusal:
         """
-        Try upstreams until one responds completely or the job is refused.
+        Try upstreams until a response can be forwarded or the job is refused.
 
         If a response is truncated before its head was sent, the request is retried
         on another upstream, provided that it is repeatable.
