--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -12,11 +12,11 @@
 
 from spindlenotch.gateway import lifecycle, state
 from spindlenotch.gateway.serving import (
+    answer_stream,
     caller_listener,
     pipelining,
     refusals,
     request_processing,
-    response_streaming,
 )
 from spindlenotch.gateway.source import routing
 
@@ -128,7 +128,7 @@
     ) -> web_response.StreamResponse:
         """Return the response; one that is streamed has been sent already."""
         should_close = self._leaving and not pipelining.has_pending_responses(request)
-        if isinstance(pending, response_streaming.StreamedResponse):
+        if isinstance(pending, answer_stream.StreamedResponse):
             return await self._stream(request, pending, close_connection=should_close)
         if should_close:
             pending.force_close()
@@ -144,7 +144,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        pending: response_streaming.StreamedResponse,
+        pending: answer_stream.StreamedResponse,
         *,
         close_connection: bool,
     ) -> web_response.StreamResponse:
@@ -155,10 +155,10 @@
         """
         try:
             async with self.state.deadlines.until(pending.deadline):
-                response = await response_streaming.send(
+                response = await answer_stream.send(
                     request, pending, close_connection=close_connection
                 )
-        except (TimeoutError, response_streaming.TruncatedResponseError):
+        except (TimeoutError, answer_stream.TruncatedResponseError):
             # If the handler returns no response, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -25,7 +25,7 @@
     web_server,
 )
 
-from spindlenotch.gateway.serving import response_streaming
+from spindlenotch.gateway.serving import answer_stream
 
 #: Maximum number of requests of one connection that are started before their turn;
 #: bounds the capacity that one caller can occupy.
@@ -35,7 +35,7 @@
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 
 #: A response that has not been sent: complete, or to be streamed.
-PendingResponse = web_response.Response | response_streaming.StreamedResponse
+PendingResponse = web_response.Response | answer_stream.StreamedResponse
 ResponseTask = asyncio.Task[PendingResponse]
 #: Starts processing a request, or returns None if it must wait for its turn.
 EarlyStarter = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
@@ -206,5 +206,5 @@
     if task.cancelled() or task.exception() is not None:
         return
     response = task.result()
-    if isinstance(response, response_streaming.StreamedResponse):
+    if isinstance(response, answer_stream.StreamedResponse):
         response.discard()
--- a/spindlenotch/gateway/serving/request_processing.py
+++ b/spindlenotch/gateway/serving/request_processing.py
@@ -14,6 +14,7 @@
 from spindlenotch.forwarding import data_path, exchanges, jobs
 from spindlenotch.gateway import dialect, state
 from spindlenotch.gateway.serving import (
+    answer_stream,
     answers,
     body_traffic,
     job_factory,
@@ -21,7 +22,6 @@
     refusals,
     request_body,
     request_log,
-    response_streaming,
 )
 from spindlenotch.gateway.source import region_rules, routing
 from spindlenotch.kernel import outcomes, upstreams
@@ -141,7 +141,7 @@
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
         if isinstance(response, answers.PartialResponse):
-            return response_streaming.StreamedResponse(exchange, response.received)
+            return answer_stream.StreamedResponse(exchange, response.received)
         job = exchange.job
         self._traffic.record_response(exchange, len(response.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
