--- a/spindlenotch/gateway/serving/request_processing.py
+++ b/spindlenotch/gateway/serving/request_processing.py
@@ -103,7 +103,7 @@
             async with self.state.deadlines.until(job.call.deadline):
                 response = await self._try_upstreams(request, job)
         except TimeoutError:
-            return self._failed(request, job, outcomes.Reason.DEADLINE_PASSED)
+            return self._fail(request, job, outcomes.Reason.DEADLINE_PASSED)
         finally:
             self.path.forget(job)
         if isinstance(response, outcomes.Refusal):
@@ -173,12 +173,12 @@
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
-            return self._failed(request, job, refusal.reason)
+            return self._fail(request, job, refusal.reason)
         wait_s = refusals.retry_after_s(refusal, self.state.clock.now())
         self.log.refused(self._request_id(request), job, refusal, wait_s)
         return refusals.not_run(refusal.reason, wait_s)
 
-    def _failed(
+    def _fail(
         self,
         request: web_request.BaseRequest,
         job: jobs.Job,
