--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -58,7 +58,7 @@
         await self._listener.stop(limit_s)
 
     @property
-    def _leaving(self) -> bool:
+    def _is_leaving(self) -> bool:
         """Return whether each connection is closed after its next response."""
         return self.state.phase is lifecycle.Phase.LEAVING
 
@@ -95,7 +95,7 @@
         started early once this gateway is stopping.
         """
         table = self.state.table
-        if self.closing or self._leaving or table is None:
+        if self.closing or self._is_leaving or table is None:
             return None
         route = table.find(request.headers.get("Host", ""), request.raw_path)
         if not isinstance(route, routing.Route) or not route.repeatable:
@@ -127,7 +127,9 @@
         self, request: web_request.BaseRequest, pending: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
         """Return the response; one that is streamed has been sent already."""
-        should_close = self._leaving and not pipelining.has_pending_responses(request)
+        should_close = self._is_leaving and not pipelining.has_pending_responses(
+            request
+        )
         if isinstance(pending, answer_stream.StreamedResponse):
             return await self._stream(request, pending, close_connection=should_close)
         if should_close:
