--- a/features/steps/gateway_requests.py
+++ b/features/steps/gateway_requests.py
@@ -102,7 +102,7 @@
         strategies.floats(0.3, 3.5),
     )
     def check(delays_s: list[float], age_s: float) -> None:
-        ages = caller_age.CallerAges()
+        ages = caller_age.RequestAges()
         # Two kinds of callers begin with 4 s and 1 s.
         for number, delay_s in enumerate(delays_s):
             ages.age_s(ROUTE.name, (4.0 if number % 3 else 1.0) - delay_s)
@@ -121,9 +121,9 @@
 
 @kernel.PROPERTIES.register("ages follow callers that begin with another time")
 def caller_age_follows() -> None:
-    ages = caller_age.CallerAges()
+    ages = caller_age.RequestAges()
     for first_s in (4.0, 2.0, 8.0):
-        for _ in range(4 * caller_age.REQUESTS_COUNTED):
+        for _ in range(4 * caller_age.HALVE_COUNTS_AFTER):
             ages.age_s(ROUTE.name, first_s)
         assert ages.age_s(ROUTE.name, first_s) == 0.0
         assert ages.age_s(ROUTE.name, first_s / 2) == first_s / 2
@@ -151,14 +151,14 @@
 @kernel.PROPERTIES.register("another zone costs more the longer the body or the work")
 def cross_zone() -> None:
     none = job_factory.cross_zone_s(request_body.NoBody(), 0.0)
-    assert none == job_factory.CROSS_ZONE_S
-    short = job_factory.cross_zone_s(request_body.WholeBody(b"x" * 100), 0.0)
-    long = job_factory.cross_zone_s(request_body.WholeBody(b"x" * 10_000), 0.0)
+    assert none == job_factory.MIN_CROSS_ZONE_S
+    short = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 100), 0.0)
+    long = job_factory.cross_zone_s(request_body.BufferedBody(b"x" * 10_000), 0.0)
     assert none < short < long
     slow = job_factory.cross_zone_s(request_body.NoBody(), 0.2)
     assert slow == 0.2 * job_factory.CROSS_ZONE_SHARE
     slowest = job_factory.cross_zone_s(request_body.NoBody(), 60.0)
-    assert slow < slowest == job_factory.MOST_CROSS_ZONE_S
+    assert slow < slowest == job_factory.MAX_CROSS_ZONE_S
 
 
 @kernel.PROPERTIES.register("a refusal never asks for a retry at once")
@@ -205,12 +205,12 @@
 @kernel.PROPERTIES.register("an answer is whole, too long or cut short by how it ends")
 def answer_ends() -> None:
     lost = ports.UpstreamFault.CONNECTION_LOST
-    full = b"x" * answers.MAX_WHOLE_ANSWER_BYTES
-    assert read(b"a", b"b", b"") == answers.WholeAnswer(200, [], b"ab")
-    assert read(full, b"") == answers.WholeAnswer(200, [], full)
-    assert read(full, b"x", b"never read") == answers.LongAnswer(full + b"x")
-    assert read(b"a", lost) == answers.CutAnswer()
-    assert read(lost) == answers.CutAnswer()
+    full = b"x" * answers.MAX_BUFFERED_RESPONSE_BYTES
+    assert read(b"a", b"b", b"") == answers.BufferedResponse(200, [], b"ab")
+    assert read(full, b"") == answers.BufferedResponse(200, [], full)
+    assert read(full, b"x", b"never read") == answers.PartialResponse(full + b"x")
+    assert read(b"a", lost) == answers.TruncatedResponse()
+    assert read(lost) == answers.TruncatedResponse()
 
 
 @kernel.PROPERTIES.register("requests are held while a gateway starts, not for long")
--- a/spindlenotch/gateway/serving/answer_stream.py
+++ b/spindlenotch/gateway/serving/answer_stream.py
@@ -1,9 +1,9 @@
 """
-Passes a long answer on to the caller piece by piece, in bounded memory.
+Streams a long response to the caller in chunks, with bounded memory.
 
-Once the head has gone out, the answer can't be replaced: where the upstream
-breaks off, the caller's connection is broken too, so that the caller does not
-take what it has for the whole. Holds no state.
+Once the head is sent, the response can't be replaced by a retry. If the upstream
+fails after that, the caller's connection is aborted, so that the caller does not
+take a truncated body for a complete one. Holds no state.
 """
 
 import msgspec
@@ -16,75 +16,77 @@
 from spindlenotch.kernel import upstreams
 
 
-class BrokenAnswerError(Exception):
-    """Raised when an answer breaks off after its head was passed on."""
+class TruncatedResponseError(Exception):
+    """Raised if a response is truncated after its head was sent."""
 
 
-class StreamedAnswer(msgspec.Struct, frozen=True):
+class StreamedResponse(msgspec.Struct, frozen=True):
     """
-    A long answer that is to be passed on; nothing of it has gone out yet.
+    A response to stream to the caller, of which nothing has been sent yet.
 
-    ``start`` was read already; ``exchange`` is open and holds the rest."""
+    ``received`` is the part of the body read so far; the rest is read from
+    ``exchange``, which is still open.
+    """
 
     exchange: exchanges.Exchange
-    start: bytes
+    received: bytes
 
     @property
     def deadline(self) -> ids.Instant:
-        """Return when it must have gone out."""
+        """Return when the response must have been sent completely."""
         return self.exchange.job.call.deadline
 
     def discard(self) -> None:
-        """End the exchange without passing anything on."""
+        """End the exchange without sending anything."""
         self.exchange.end(upstreams.Result.CANCELLED)
 
 
-async def pass_on(
+async def send(
     request: web_request.BaseRequest,
-    answer: StreamedAnswer,
+    streamed: StreamedResponse,
     *,
     close_connection: bool,
 ) -> web_response.StreamResponse:
     """
-    Send the head, the start and the rest of an answer; end its exchange.
+    Send the head and the body of a response, then end its exchange.
 
-    Raises ``BrokenAnswerError`` where the upstream breaks off or the caller's
-    connection times out, and aiohttp's connection errors where it is closed.
+    Raises ``TruncatedResponseError`` if the upstream's body ends early or writing to
+    the caller times out, and aiohttp's connection errors if the caller disconnects.
     """
-    exchange = answer.exchange
-    response = _head(exchange)
+    exchange = streamed.exchange
+    response = _prepare_head(exchange)
     if close_connection:
         response.force_close()
     try:
         await response.prepare(request)
-        await response.write(answer.start)
-        await _copy_rest(exchange, response)
+        await response.write(streamed.received)
+        await _copy_remaining(exchange, response)
         await response.write_eof()
     except TimeoutError:
-        raise BrokenAnswerError from None
+        raise TruncatedResponseError from None
     finally:
-        # Changes nothing where the exchange has come to its end.
+        # No effect if the exchange has already ended.
         exchange.end(upstreams.Result.CANCELLED)
     return response
 
 
-def _head(exchange: exchanges.Exchange) -> web_response.StreamResponse:
+def _prepare_head(exchange: exchanges.Exchange) -> web_response.StreamResponse:
     response = web_response.StreamResponse(
         status=exchange.answer.status,
-        headers=multidict.CIMultiDict(answers.passed_headers(exchange)),
+        headers=multidict.CIMultiDict(answers.end_to_end_headers(exchange)),
     )
     if exchange.answer.length is not None:
         response.content_length = exchange.answer.length
     return response
 
 
-async def _copy_rest(
+async def _copy_remaining(
     exchange: exchanges.Exchange, response: web_response.StreamResponse
 ) -> None:
     while True:
-        piece = await exchange.chunk()
-        if isinstance(piece, ports.UpstreamFault):
-            raise BrokenAnswerError
-        if not piece:
+        chunk = await exchange.chunk()
+        if isinstance(chunk, ports.UpstreamFault):
+            raise TruncatedResponseError
+        if not chunk:
             return
-        await response.write(piece)
+        await response.write(chunk)
--- a/spindlenotch/gateway/serving/caller_age.py
+++ b/spindlenotch/gateway/serving/caller_age.py
@@ -1,10 +1,11 @@
 """
-How long ago a caller began to ask, from the time that it says it has left.
+Estimates when a caller first sent a request, from the timeout of this attempt.
 
-A caller that was refused comes back with less time left than it began with, and
-says nothing else of its earlier tries. Callers of one route mostly begin with one
-of few times, so these stand out among all that are stated; the age of a request
-is what it lacks to the next of them. Pure; owns what was stated, by route.
+A caller that retries after a refusal states a shorter remaining timeout; nothing
+else in the request tells of the earlier attempts. The callers of one route mostly
+use one of a few initial timeouts, which therefore are the most frequent of the
+stated values. The age of a request is the difference between its timeout and the
+next longer initial timeout. Pure; owns the histogram of timeouts of each route.
 """
 
 import math
@@ -12,88 +13,97 @@
 
 from spindlenotch.gateway.source import routing
 
-#: Two stated times whose ratio is above this fall into one class, roughly.
-CLASS_RATIO = 0.97
-LOG_CLASS_RATIO = math.log(CLASS_RATIO)
-#: Share of a route's requests from which a class holds times that callers begin with.
-#: Above what the tries of one age make, below what one of several kinds of caller
-#: makes.
-COMMON_SHARE = 0.15
-#: A common class is no time that callers begin with where another one lies above it
-#: within this ratio: those are tries that come back after a usual wait.
-APART_RATIO = 0.75
-#: Requests after which all counts are halved, so that they follow a change.
-REQUESTS_COUNTED = 400
-#: Requests after which the common times are worked out anew, and before which nothing
-#: is concluded.
-REQUESTS_BETWEEN = 20
-#: Stated times below this many seconds are not told apart: callers count milliseconds.
-LEAST_STATED_S = 0.001
-
-
-class RouteTimes:
-    """The stated times of one route's callers, in seconds."""
+#: Approximate ratio between the bounds of a histogram bucket.
+BUCKET_RATIO = 0.97
+LOG_BUCKET_RATIO = math.log(BUCKET_RATIO)
+#: Share of a route's requests from which a bucket is taken for an initial timeout.
+#: Higher than the share of retries of one age, lower than that of one of several
+#: kinds of caller.
+MIN_INITIAL_TIMEOUT_SHARE = 0.15
+#: An initial timeout must be below this ratio of the next longer one. A frequent
+#: timeout closer to it comes from retries after a typical wait.
+MAX_INITIAL_TIMEOUT_RATIO = 0.75
+#: Number of counted requests at which all counts are halved, to follow changes.
+HALVE_COUNTS_AFTER = 400
+#: Number of requests between two updates of the initial timeouts; until the first
+#: update all ages are zero.
+REQUESTS_PER_UPDATE = 20
+#: Seconds; shorter timeouts count as this one, as callers state milliseconds.
+MIN_TIMEOUT_S = 0.001
+
+
+class RouteTimeouts:
+    """Histogram of the timeouts stated on one route, in seconds."""
 
     def __init__(self) -> None:
-        self._count_by_class: dict[int, float] = {}
-        self._most_by_class: dict[int, float] = {}
-        self._total = 0.0
-        self._unseen = REQUESTS_BETWEEN
-        self._first_times: list[float] = []
-
-    def age_s(self, left_s: float) -> float:
-        """Return the age of a request whose caller has ``left_s``, and count it."""
-        self._count(left_s)
-        above = [first_s for first_s in self._first_times if first_s >= left_s]
-        return min(above, default=left_s) - left_s
-
-    def _count(self, left_s: float) -> None:
-        key = int(math.log(max(LEAST_STATED_S, left_s)) / LOG_CLASS_RATIO)
-        self._count_by_class[key] = self._count_by_class.get(key, 0.0) + 1.0
-        self._most_by_class[key] = max(self._most_by_class.get(key, 0.0), left_s)
-        self._total += 1.0
-        self._unseen -= 1
-        if self._unseen <= 0:
-            self._unseen = REQUESTS_BETWEEN
-            self._first_times = self._common_times()
-            if self._total >= REQUESTS_COUNTED:
+        self._count_by_bucket: dict[int, float] = {}
+        self._max_s_by_bucket: dict[int, float] = {}
+        self._request_count = 0.0
+        self._requests_until_update = REQUESTS_PER_UPDATE
+        self._initial_timeouts: list[float] = []
+
+    def age_s(self, remaining_s: float) -> float:
+        """Count a request with timeout ``remaining_s``; return its age in seconds."""
+        self._count(remaining_s)
+        longer = [
+            initial_s
+            for initial_s in self._initial_timeouts
+            if initial_s >= remaining_s
+        ]
+        return min(longer, default=remaining_s) - remaining_s
+
+    def _count(self, remaining_s: float) -> None:
+        bucket = int(math.log(max(MIN_TIMEOUT_S, remaining_s)) / LOG_BUCKET_RATIO)
+        self._count_by_bucket[bucket] = self._count_by_bucket.get(bucket, 0.0) + 1.0
+        self._max_s_by_bucket[bucket] = max(
+            self._max_s_by_bucket.get(bucket, 0.0), remaining_s
+        )
+        self._request_count += 1.0
+        self._requests_until_update -= 1
+        if self._requests_until_update <= 0:
+            self._requests_until_update = REQUESTS_PER_UPDATE
+            self._initial_timeouts = self._find_initial_timeouts()
+            if self._request_count >= HALVE_COUNTS_AFTER:
                 self._halve()
 
-    def _common_times(self) -> list[float]:
-        """Return the times that callers begin with, the longest first."""
-        common = [
-            self._most_by_class[key]
-            for key, count in self._count_by_class.items()
-            if count >= COMMON_SHARE * self._total
+    def _find_initial_timeouts(self) -> list[float]:
+        """Return the initial timeouts in seconds, the longest first."""
+        candidates = [
+            self._max_s_by_bucket[bucket]
+            for bucket, count in self._count_by_bucket.items()
+            if count >= MIN_INITIAL_TIMEOUT_SHARE * self._request_count
         ]
-        apart: list[float] = []
-        for first_s in sorted(common, reverse=True):
-            if not apart or first_s < APART_RATIO * apart[-1]:
-                apart.append(first_s)
-        return apart
+        initial_timeouts: list[float] = []
+        for initial_s in sorted(candidates, reverse=True):
+            if (
+                not initial_timeouts
+                or initial_s < MAX_INITIAL_TIMEOUT_RATIO * initial_timeouts[-1]
+            ):
+                initial_timeouts.append(initial_s)
+        return initial_timeouts
 
     def _halve(self) -> None:
-        self._total /= 2.0
-        for key, count in list(self._count_by_class.items()):
+        self._request_count /= 2.0
+        for bucket, count in list(self._count_by_bucket.items()):
             if count < 1.0:
-                del self._count_by_class[key], self._most_by_class[key]
+                del self._count_by_bucket[bucket], self._max_s_by_bucket[bucket]
             else:
-                self._count_by_class[key] = count / 2.0
+                self._count_by_bucket[bucket] = count / 2.0
 
 
-class CallerAges:
-    """The ages of requests, by route."""
+class RequestAges:
+    """Estimates the ages of requests, by route."""
 
     def __init__(self) -> None:
-        self._times_by_route: dict[routing.RouteName, RouteTimes] = {}
+        self._timeouts_by_route: dict[routing.RouteName, RouteTimeouts] = {}
 
-    def age_s(self, route: routing.RouteName, left_s: float) -> float:
-        """Return for how many seconds a caller has asked, zero where not known."""
-        times = self._times_by_route.setdefault(route, RouteTimes())
-        return times.age_s(left_s)
+    def age_s(self, route: routing.RouteName, remaining_s: float) -> float:
+        """Return the seconds since the caller's first attempt, zero if unknown."""
+        timeouts = self._timeouts_by_route.setdefault(route, RouteTimeouts())
+        return timeouts.age_s(remaining_s)
 
     def forget_missing(self, routes: abc.Iterable[routing.Route]) -> None:
-        """Drop what was stated on routes that are gone."""
+        """Drop the histograms of routes that are no longer configured."""
         names = {route.name for route in routes}
-        for name in [n for n in self._times_by_route if n not in names]:
-            del self._times_by_route[name]
+        for name in [known for known in self._timeouts_by_route if known not in names]:
+            del self._timeouts_by_route[name]
--- a/spindlenotch/gateway/serving/ingress.py
+++ b/spindlenotch/gateway/serving/ingress.py
@@ -1,9 +1,9 @@
 """
-Takes callers' requests, each in its turn, and delivers their answers.
+Receives callers' requests in order and sends the responses.
 
-Owns the count of requests in flight and what a planned stop means for them.
-Relies on ``caller_listener`` for connections, on ``pipelining`` for their order
-and on ``answering`` for the answers.
+Owns the count of requests in flight and the handling of requests during a planned
+stop. Relies on ``caller_listener`` for connections, on ``pipelining`` for the order
+of responses and on ``request_processing`` for the responses themselves.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 from spindlenotch.gateway import lifecycle, state
 from spindlenotch.gateway.serving import (
     answer_stream,
-    answering,
     caller_listener,
     pipelining,
     refusals,
+    request_processing,
 )
 from spindlenotch.gateway.source import routing
 
@@ -25,40 +25,41 @@
     """
     Serves callers' requests.
 
-    ``closing`` is set late in a planned stop; requests that come then are
-    refused. Invariant: ``in_flight`` counts the requests whose answer has not ended.
+    ``closing`` is set late in a planned stop; requests received after that are
+    refused. Invariant: ``in_flight`` is the number of requests whose response is
+    not complete.
     """
 
     def __init__(
         self,
         gateway_state: state.GatewayState,
-        answerer: answering.Answerer,
+        processor: request_processing.RequestProcessor,
     ) -> None:
         self.state = gateway_state
-        self.answerer = answerer
+        self.processor = processor
         self.in_flight = 0
         self.closing = False
         self._listener = caller_listener.CallerListener(
-            self.handle, self.begin_early, self._idle_timeout_s
+            self.handle, self.start_early, self._idle_timeout_s
         )
 
     async def start(self) -> None:
-        """Listen for callers; raises ``OSError`` where the address can't be bound."""
+        """Listen for callers; raises ``OSError`` if the address can't be bound."""
         await self._listener.start(self.state.config.listen)
 
     def stop_listening(self) -> None:
-        """Accept no new connections; refuse requests on those that are open."""
+        """Stop accepting connections; refuse new requests on open ones."""
         self.closing = True
         self._listener.stop_accepting()
 
     async def stop(self, limit_s: float) -> None:
-        """Close all connections when their requests are answered, or at the limit."""
+        """Close connections after their responses, at the latest after ``limit_s``."""
         self.stop_listening()
         await self._listener.stop(limit_s)
 
     @property
-    def _leaving(self) -> bool:
-        """Tell whether connections are closed with their next answer."""
+    def _is_leaving(self) -> bool:
+        """Return whether each connection is closed after its next response."""
         return self.state.phase is lifecycle.Phase.LEAVING
 
     def _idle_timeout_s(self) -> float:
@@ -72,98 +73,104 @@
         """
         Serve one request.
 
-        Raises ``asyncio.CancelledError`` where the caller has gone, or where its
-        connection was broken because a streamed answer broke off.
+        Raises ``asyncio.CancelledError`` if the caller disconnects, or if its
+        connection was aborted because a streamed response was truncated.
         """
         self.in_flight += 1
         try:
-            answer = await self._answer_in_turn(request)
-            response = await self._deliver(request, answer)
-            self.state.demand.count(_bodies_length(request, response))
+            pending = await self._await_response(request)
+            response = await self._deliver(request, pending)
+            self.state.demand.count(_declared_body_bytes(request, response))
             return response
         finally:
             self.in_flight -= 1
 
-    def begin_early(
+    def start_early(
         self, request: web_request.BaseRequest
-    ) -> pipelining.AnswerTask | None:
+    ) -> pipelining.ResponseTask | None:
         """
-        Begin a request that was sent behind others, where it may run again.
+        Start processing a pipelined request before its turn, if it is repeatable.
 
-        Its connection closes then only after its answer; so none is begun late in
-        the life of this gateway.
+        The connection then stays open until its response is sent, so no request is
+        started early once this gateway is stopping.
         """
         table = self.state.table
-        if self.closing or self._leaving or table is None:
+        if self.closing or self._is_leaving or table is None:
             return None
         route = table.find(request.headers.get("Host", ""), request.raw_path)
         if not isinstance(route, routing.Route) or not route.repeatable:
             return None
-        return asyncio.ensure_future(self._count_while(request))
+        return asyncio.ensure_future(self._process_early(request))
 
-    async def _count_while(self, request: web_request.BaseRequest) -> pipelining.Answer:
+    async def _process_early(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         self.in_flight += 1
         try:
-            return await self._answer(request)
+            return await self._process(request)
         finally:
             self.in_flight -= 1
 
-    async def _answer_in_turn(
+    async def _await_response(
         self, request: web_request.BaseRequest
-    ) -> pipelining.Answer:
-        begun = pipelining.take(request)
-        if begun is None:
-            return await self._answer(request)
+    ) -> pipelining.PendingResponse:
+        task = pipelining.take_task(request)
+        if task is None:
+            return await self._process(request)
         try:
-            return await begun
+            return await task
         except asyncio.CancelledError:
-            pipelining.discard(begun)
+            pipelining.discard(task)
             raise
 
     async def _deliver(
-        self, request: web_request.BaseRequest, answer: pipelining.Answer
+        self, request: web_request.BaseRequest, pending: pipelining.PendingResponse
     ) -> web_response.StreamResponse:
-        """Return the response, streamed already where the answer is a long one."""
-        close = self._leaving and not pipelining.owes_answers(request)
-        if isinstance(answer, answer_stream.StreamedAnswer):
-            return await self._stream(request, answer, close_connection=close)
-        if close:
-            answer.force_close()
-        return answer
-
-    async def _answer(self, request: web_request.BaseRequest) -> pipelining.Answer:
+        """Return the response; one that is streamed has been sent already."""
+        should_close = self._is_leaving and not pipelining.has_pending_responses(
+            request
+        )
+        if isinstance(pending, answer_stream.StreamedResponse):
+            return await self._stream(request, pending, close_connection=should_close)
+        if should_close:
+            pending.force_close()
+        return pending
+
+    async def _process(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         if self.closing:
             return refusals.not_ready()
-        return await self.answerer.answer(request)
+        return await self.processor.process(request)
 
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        answer: answer_stream.StreamedAnswer,
+        pending: answer_stream.StreamedResponse,
         *,
         close_connection: bool,
     ) -> web_response.StreamResponse:
         """
-        Pass on a long answer; break the connection where it does not end well.
+        Stream a response; abort the connection if it can't be completed.
 
-        A second response in its place would be taken for the rest of its body.
+        The caller would take an error response for the rest of the body.
         """
         try:
-            async with self.state.deadlines.until(answer.deadline):
-                response = await answer_stream.pass_on(
-                    request, answer, close_connection=close_connection
+            async with self.state.deadlines.until(pending.deadline):
+                response = await answer_stream.send(
+                    request, pending, close_connection=close_connection
                 )
-        except (TimeoutError, answer_stream.BrokenAnswerError):
-            # Without an answer in return, aiohttp sends nothing more.
+        except (TimeoutError, answer_stream.TruncatedResponseError):
+            # If the handler returns no response, aiohttp sends nothing more.
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from None
-        self.answerer.note_streamed(request, answer.exchange)
+        self.processor.record_streamed(request, pending.exchange)
         return response
 
 
-def _bodies_length(
+def _declared_body_bytes(
     request: web_request.BaseRequest, response: web_response.StreamResponse
 ) -> int:
-    """Return the declared bytes of both bodies; those without a length count 0."""
+    """Return the sum of both Content-Lengths in bytes; a missing one counts as 0."""
     return (request.content_length or 0) + (response.content_length or 0)
--- a/spindlenotch/gateway/serving/pipelining.py
+++ b/spindlenotch/gateway/serving/pipelining.py
@@ -1,11 +1,12 @@
 """
-Begins requests that callers sent behind others on the same connection.
-
-aiohttp handles the requests of a connection one after the other, so that one sent
-behind another would reach an upstream only after the answer to the first. Requests
-that may be repeated are begun when they are read; their answers still go out in
-the order of the requests. Owns what was begun on one connection. Relies on the
-queue of parsed messages of aiohttp's ``RequestHandler``.
+HTTP/1.1 pipelining: starts queued requests of a connection before their turn.
+
+aiohttp handles the requests of a connection one after the other, so a pipelined
+request would reach an upstream only after the response to the previous one. Here,
+repeatable requests are started as soon as they are parsed; the responses are still
+sent in the order of the requests (RFC 9112, section 9.3.2). Owns the requests
+started early on one connection. Relies on the queue of parsed messages in aiohttp's
+``RequestHandler``.
 """
 
 import asyncio
@@ -26,177 +27,184 @@
 
 from spindlenotch.gateway.serving import answer_stream
 
-#: Requests of one connection that may be begun before it is their turn; bounds what one
-#: caller can occupy.
-MOST_BEGUN = 8
-#: Methods of which several may run at once: RFC 9110, section 9.2.1, calls them
-#: safe.
+#: Maximum number of requests of one connection that are started before their turn;
+#: bounds the capacity that one caller can occupy.
+MAX_EARLY_REQUESTS = 8
+#: Methods whose requests may run concurrently: safe methods by RFC 9110, section
+#: 9.2.1.
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 
-#: What a request is answered with: a whole response, or one that is to be streamed.
-Answer = web_response.Response | answer_stream.StreamedAnswer
-AnswerTask = asyncio.Task[Answer]
-#: Begins a request, or returns None where it must wait for its turn.
-BeginEarly = abc.Callable[[web_request.BaseRequest], AnswerTask | None]
+#: A response that has not been sent: complete, or to be streamed.
+PendingResponse = web_response.Response | answer_stream.StreamedResponse
+ResponseTask = asyncio.Task[PendingResponse]
+#: Starts processing a request, or returns None if it must wait for its turn.
+EarlyStarter = abc.Callable[[web_request.BaseRequest], ResponseTask | None]
 
 
-class Begun(msgspec.Struct, frozen=True):
-    """A request that was begun before its turn."""
+class EarlyRequest(msgspec.Struct, frozen=True):
+    """A request that was started before its turn."""
 
     message: http_parser.RawRequestMessage
-    task: AnswerTask
+    task: ResponseTask
 
 
 class PipelinedConnection(web_protocol.RequestHandler):
     """
     A caller's connection.
 
-    Invariants: a request is begun early only if all that are in front of it use a
-    safe method; the connection is not closed as planned while the answer to a
-    request that was begun is owed.
+    Invariants: a request is started early only if all requests before it use a safe
+    method; a graceful close waits for the requests that were started early.
     """
 
-    __slots__ = ("_all_taken", "_begin_early", "_begun", "_close_wanted")
+    __slots__ = ("_none_pending", "_start_early", "_early_requests", "_close_requested")
 
     def __init__(
-        self, manager: web_server.Server, begin_early: BeginEarly, **options: typing.Any
+        self,
+        manager: web_server.Server,
+        start_early: EarlyStarter,
+        **options: typing.Any,
     ) -> None:
         super().__init__(manager, **options)
-        self._begin_early = begin_early
-        self._begun: list[Begun] = []
-        self._close_wanted = False
-        self._all_taken = asyncio.Event()
-        self._all_taken.set()
+        self._start_early = start_early
+        self._early_requests: list[EarlyRequest] = []
+        self._close_requested = False
+        self._none_pending = asyncio.Event()
+        self._none_pending.set()
 
     @property
-    def owes_answers(self) -> bool:
-        """Tell whether requests were begun whose turn has not come."""
-        return bool(self._begun)
+    def has_pending_responses(self) -> bool:
+        """Return whether any request was started early and awaits its turn."""
+        return bool(self._early_requests)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received, and begin the requests that may be begun."""
+        """Parse received data and start the requests that may be started early."""
         super().data_received(data)
         if self._current_request is not None:
-            self._begin_behind(self._current_request)
+            self._start_queued(self._current_request)
 
-    def take(self, request: web_request.BaseRequest) -> AnswerTask | None:
+    def take_task(self, request: web_request.BaseRequest) -> ResponseTask | None:
         """
-        Begin the turn of a request.
+        Begin the turn of a request and start those queued behind it.
 
-        Return its task if it was begun before, and begin those behind it.
+        Return its task if it was started early.
         """
-        self._begin_behind(request)
-        for number, begun in enumerate(self._begun):
-            if begun.message is request._message:
-                del self._begun[number]
-                self._note_taken()
-                return begun.task
+        self._start_queued(request)
+        for index, early_request in enumerate(self._early_requests):
+            if early_request.message is request._message:
+                del self._early_requests[index]
+                self._on_early_request_removed()
+                return early_request.task
         return None
 
     def close(self) -> None:
-        """Close the connection once all that was begun is answered."""
-        self._close_wanted = True
-        if not self._begun:
+        """Close the connection once all requests started early have had their turn."""
+        self._close_requested = True
+        if not self._early_requests:
             super().close()
 
     async def shutdown(self, timeout: float | None = None) -> None:
-        """Close the connection likewise, at the latest after ``timeout`` seconds."""
+        """Close the connection gracefully, within ``timeout`` seconds."""
         loop = asyncio.get_running_loop()
-        end = None if timeout is None else loop.time() + timeout
+        deadline = None if timeout is None else loop.time() + timeout
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(end):
-                await self._all_taken.wait()
-        left_s = None if end is None else max(0.0, end - loop.time())
-        await super().shutdown(left_s)
+            async with asyncio.timeout_at(deadline):
+                await self._none_pending.wait()
+        remaining_s = None if deadline is None else max(0.0, deadline - loop.time())
+        await super().shutdown(remaining_s)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Break off what was begun: its caller is gone."""
-        for begun in self._begun:
-            discard(begun.task)
-        self._begun.clear()
-        self._note_taken()
+        """Discard the requests started early: the caller has disconnected."""
+        for early_request in self._early_requests:
+            discard(early_request.task)
+        self._early_requests.clear()
+        self._on_early_request_removed()
         super().connection_lost(exc)
 
-    def _note_taken(self) -> None:
-        """Let the connection close if that was waited for."""
-        if self._begun:
+    def _on_early_request_removed(self) -> None:
+        """If none is left, wake ``shutdown`` and carry out a requested close."""
+        if self._early_requests:
             return
-        self._all_taken.set()
-        if self._close_wanted:
+        self._none_pending.set()
+        if self._close_requested:
             super().close()
 
-    def _begin_behind(self, current: web_request.BaseRequest) -> None:
-        """Begin requests that wait behind ``current``, whose turn it is."""
+    def _start_queued(self, current: web_request.BaseRequest) -> None:
+        """Start requests queued behind ``current``, whose turn it is."""
         if current.method not in SAFE_METHODS:
             return
         for message, payload in self._messages:
             if not isinstance(message, http_parser.RawRequestMessage):
                 return
-            bare = payload is streams.EMPTY_PAYLOAD
-            if not bare or message.method not in SAFE_METHODS:
+            has_no_body = payload is streams.EMPTY_PAYLOAD
+            if not has_no_body or message.method not in SAFE_METHODS:
                 return
-            if not any(begun.message is message for begun in self._begun):
-                self._begin(message)
+            if not any(
+                early_request.message is message
+                for early_request in self._early_requests
+            ):
+                self._start(message)
 
-    def _begin(self, message: http_parser.RawRequestMessage) -> None:
+    def _start(self, message: http_parser.RawRequestMessage) -> None:
         handler_task = self._task_handler
         if self._request_factory is None or handler_task is None:
             return
-        if len(self._begun) >= MOST_BEGUN:
+        if len(self._early_requests) >= MAX_EARLY_REQUESTS:
             return
         writer = http_writer.StreamWriter(self, asyncio.get_running_loop())
         request = self._request_factory(
             message, streams.EMPTY_PAYLOAD, self, writer, handler_task
         )
-        task = self._begin_early(request)
+        task = self._start_early(request)
         if task is not None:
-            self._begun.append(Begun(message, task))
-            self._all_taken.clear()
+            self._early_requests.append(EarlyRequest(message, task))
+            self._none_pending.clear()
 
 
 class PipeliningServer(web_server.Server):
-    """Makes the connections of one listener; ``options`` are aiohttp's."""
+    """Creates the connections of one listener; ``options`` are aiohttp's."""
 
     def __init__(
         self,
         handler: abc.Callable[
             [web_request.BaseRequest], abc.Awaitable[web_response.StreamResponse]
         ],
-        begin_early: BeginEarly,
+        start_early: EarlyStarter,
         **options: typing.Any,
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        self._begin_early = begin_early
+        self._start_early = start_early
         self._options = options
 
     def __call__(self) -> web_protocol.RequestHandler:
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return PipelinedConnection(
-            self, self._begin_early, loop=self._loop, **self._options
+            self, self._start_early, loop=self._loop, **self._options
         )
 
 
-def take(request: web_request.BaseRequest) -> AnswerTask | None:
-    """Return the task of a request whose turn has come, if it was begun before."""
+def take_task(request: web_request.BaseRequest) -> ResponseTask | None:
+    """Return the task of a request whose turn has come, if it was started early."""
     connection = request.protocol
     if isinstance(connection, PipelinedConnection):
-        return connection.take(request)
+        return connection.take_task(request)
     return None
 
 
-def owes_answers(request: web_request.BaseRequest) -> bool:
-    """Tell whether requests behind this one were begun on its connection."""
+def has_pending_responses(request: web_request.BaseRequest) -> bool:
+    """Return whether requests queued behind this one were started early."""
     connection = request.protocol
-    return isinstance(connection, PipelinedConnection) and connection.owes_answers
+    return (
+        isinstance(connection, PipelinedConnection) and connection.has_pending_responses
+    )
 
 
-def discard(task: AnswerTask) -> None:
-    """End a task whose answer nobody waits for, and the exchange it may hold."""
+def discard(task: ResponseTask) -> None:
+    """Cancel a task whose response is not needed, and end its exchange if any."""
     if not task.done():
         task.cancel()
         return
     if task.cancelled() or task.exception() is not None:
         return
-    answer = task.result()
-    if isinstance(answer, answer_stream.StreamedAnswer):
-        answer.discard()
+    response = task.result()
+    if isinstance(response, answer_stream.StreamedResponse):
+        response.discard()
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/request_processing.py
@@ -1,11 +1,10 @@
 """
-The answer of one request, from its head to what is delivered in its turn.
+Determines the final response to a request, without sending it.
 
-Each request gets one final answer as soon as it is known: the upstream's own; a
-refusal (503 with ``Retry-After``), where the request has not run; or a failure
-(502, 504) that promises nothing. Holds no state of requests. Relies on
-``job_factory``, ``answers`` and ``refusals`` for the rules, and on the data path
-for upstreams.
+Each request gets exactly one final response: the upstream's; a refusal (503 with
+``Retry-After``) if the request was not executed; or a failure (502, 504) if it is
+unknown whether it was. Keeps no state per request. Relies on ``job_factory``,
+``answers`` and ``refusals`` for the rules, and on the data path for the upstreams.
 """
 
 import multidict
@@ -28,8 +27,8 @@
 from spindlenotch.kernel import outcomes, upstreams
 
 
-class Answerer:
-    """Gets requests their answers; delivers nothing."""
+class RequestProcessor:
+    """Determines the final response to each request; sends nothing."""
 
     def __init__(
         self,
@@ -46,15 +45,17 @@
             gateway_state, gateway_dialect, self._traffic
         )
 
-    async def answer(self, request: web_request.BaseRequest) -> pipelining.Answer:
+    async def process(
+        self, request: web_request.BaseRequest
+    ) -> pipelining.PendingResponse:
         """
-        Get a request its final answer.
+        Return the final response to a request.
 
-        Raises ``asyncio.CancelledError`` where the caller has gone.
+        Raises ``asyncio.CancelledError`` if the caller disconnects.
         """
-        held_s = 0.0
+        startup_wait_s = 0.0
         if not self.state.can_serve:
-            held_s = await self._hold()
+            startup_wait_s = await self._wait_until_ready()
         table = self.state.table
         if table is None or not self.state.can_serve:
             return refusals.not_ready()
@@ -67,24 +68,24 @@
             return self._refuse_region(request, route)
         limit_bytes = table.configuration.limits.body_bytes
         body = await request_body.read(request, limit_bytes)
-        if isinstance(body, request_body.TooLong):
+        if isinstance(body, request_body.BodyTooLong):
             return refusals.body_too_long()
-        return await self._forward(request, route, body, held_s)
+        return await self._forward(request, route, body, startup_wait_s)
 
     def _refuse_route(
         self, request: web_request.BaseRequest, route: routing.RefusedRoute
     ) -> web_response.Response:
-        self.log.route_refused(self._id(request), route.name)
+        self.log.route_refused(self._request_id(request), route.name)
         return refusals.route_refused()
 
     def _refuse_region(
         self, request: web_request.BaseRequest, route: routing.Route
     ) -> web_response.Response:
-        self.log.region_refused(self._id(request), route.name)
+        self.log.region_refused(self._request_id(request), route.name)
         return refusals.region_refused()
 
-    async def _hold(self) -> float:
-        """Hold a request while this gateway starts; return for how many seconds."""
+    async def _wait_until_ready(self) -> float:
+        """Wait until this gateway can serve; return the time waited in seconds."""
         arrived_at = self.state.clock.now()
         hold_until = start_limit.hold_until(self.state.started_at)
         await self.state.until_can_serve(hold_until)
@@ -95,74 +96,74 @@
         request: web_request.BaseRequest,
         route: routing.Route,
         body: request_body.Body,
-        held_s: float,
-    ) -> pipelining.Answer:
-        job = self._jobs.create(request, route, body, held_s)
+        startup_wait_s: float,
+    ) -> pipelining.PendingResponse:
+        job = self._jobs.create(request, route, body, startup_wait_s)
         try:
             async with self.state.deadlines.until(job.call.deadline):
-                answer = await self._try_upstreams(request, job)
+                response = await self._try_upstreams(request, job)
         except TimeoutError:
-            return self._failed(request, job, outcomes.Reason.DEADLINE_PASSED)
+            return self._fail(request, job, outcomes.Reason.DEADLINE_PASSED)
         finally:
             self.path.forget(job)
-        if isinstance(answer, outcomes.Refusal):
-            return self._refuse(request, job, answer)
-        return answer
+        if isinstance(response, outcomes.Refusal):
+            return self._refuse(request, job, response)
+        return response
 
     async def _try_upstreams(
         self, request: web_request.BaseRequest, job: jobs.Job
-    ) -> pipelining.Answer | outcomes.Refusal:
+    ) -> pipelining.PendingResponse | outcomes.Refusal:
         """
-        Try upstreams until one answer can be passed on or the job is refused.
+        Try upstreams until a response can be forwarded or the job is refused.
 
-        An answer that breaks off before its head went out is replaced by another
-        upstream's, where the request may run again.
+        If a response is truncated before its head was sent, the request is retried
+        on another upstream, provided that it is repeatable.
         """
         exchange = await self.path.begin(job)
         while not isinstance(exchange, outcomes.Refusal):
-            answer = await answers.read(exchange)
-            if not isinstance(answer, answers.CutAnswer):
-                return self._pass_on(request, exchange, answer)
+            response = await answers.read(exchange)
+            if not isinstance(response, answers.TruncatedResponse):
+                return self._to_pending_response(request, exchange, response)
             if not job.call.repeatable:
                 return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
             exchange = await self.path.retry(job, exchange.grant)
         return exchange
 
-    def _pass_on(
+    def _to_pending_response(
         self,
         request: web_request.BaseRequest,
         exchange: exchanges.Exchange,
-        answer: answers.WholeAnswer | answers.LongAnswer,
-    ) -> pipelining.Answer | outcomes.Refusal:
-        """Return the answer in the form in which it goes to the caller."""
-        if answers.falsely_says_not_run(exchange):
-            # Changes nothing where the answer was read to its end.
+        response: answers.BufferedResponse | answers.PartialResponse,
+    ) -> pipelining.PendingResponse | outcomes.Refusal:
+        """Convert an upstream's response to the one that is sent to the caller."""
+        if answers.implies_not_run(exchange):
+            # No effect if the response was read completely.
             exchange.end(upstreams.Result.FAILED)
             return outcomes.unknown(outcomes.Reason.CONNECTION_LOST)
-        if isinstance(answer, answers.LongAnswer):
-            return answer_stream.StreamedAnswer(exchange, answer.start)
+        if isinstance(response, answers.PartialResponse):
+            return answer_stream.StreamedResponse(exchange, response.received)
         job = exchange.job
-        self._traffic.passed_on(exchange, len(answer.body))
+        self._traffic.record_response(exchange, len(response.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if answer.status >= outcomes.FIRST_FAILED_STATUS:
-            self.log.failed_upstream(self._id(request), job, exchange)
-        self.log.served(self._id(request), job, exchange)
+        if response.status >= outcomes.FIRST_FAILED_STATUS:
+            self.log.upstream_failed(self._request_id(request), job, exchange)
+        self.log.served(self._request_id(request), job, exchange)
         return web_response.Response(
-            status=answer.status,
-            headers=multidict.CIMultiDict(answer.headers),
-            body=answer.body,
+            status=response.status,
+            headers=multidict.CIMultiDict(response.headers),
+            body=response.body,
         )
 
-    def note_streamed(
+    def record_streamed(
         self, request: web_request.BaseRequest, exchange: exchanges.Exchange
     ) -> None:
-        """Count and log an answer that was streamed to its end."""
+        """Count and log a response that was streamed completely."""
         job = exchange.job
-        self._traffic.passed_on(exchange, exchange.answer.length or 0)
+        self._traffic.record_response(exchange, exchange.answer.length or 0)
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        self.log.served(self._id(request), job, exchange)
+        self.log.served(self._request_id(request), job, exchange)
 
-    def _id(self, request: web_request.BaseRequest) -> str:
+    def _request_id(self, request: web_request.BaseRequest) -> str:
         return request.headers.get(self.dialect.request_id, "")
 
     def _refuse(
@@ -172,17 +173,17 @@
         refusal: outcomes.Refusal,
     ) -> web_response.Response:
         if refusal.outcome is outcomes.Outcome.UNKNOWN:
-            return self._failed(request, job, refusal.reason)
+            return self._fail(request, job, refusal.reason)
         wait_s = refusals.retry_after_s(refusal, self.state.clock.now())
-        self.log.refused(self._id(request), job, refusal, wait_s)
+        self.log.refused(self._request_id(request), job, refusal, wait_s)
         return refusals.not_run(refusal.reason, wait_s)
 
-    def _failed(
+    def _fail(
         self,
         request: web_request.BaseRequest,
         job: jobs.Job,
         reason: outcomes.Reason,
     ) -> web_response.Response:
         status = refusals.failure_status(reason)
-        self.log.failed(self._id(request), job, status, reason)
+        self.log.failed(self._request_id(request), job, status, reason)
         return refusals.failed(reason)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -34,7 +34,7 @@
             "decisions/overflow.CROSS_REGION_S_PER_BYTE",
             "decisions/overflow.MAX_WAIT_SHARE",
             "gateway/serving/body_traffic.SIZE_WEIGHT",
-            "gateway/serving/body_traffic.LARGE_ANSWER_BYTES",
+            "gateway/serving/body_traffic.INITIAL_LARGE_RESPONSE_BYTES",
         ),
         events=("REGION_NOT_ALLOWED",),
         tests=(
@@ -90,7 +90,7 @@
             "kernel/contention.CONTENTION_RATIO",
             "decisions/silence.TOLERATED_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
-            "gateway/serving/job_factory.CROSS_ZONE_S",
+            "gateway/serving/job_factory.MIN_CROSS_ZONE_S",
             "gateway/serving/job_factory.CROSS_ZONE_S_PER_BYTE",
         ),
         events=("REQUEST_SERVED", "REQUEST_SENT_AGAIN"),
@@ -167,7 +167,7 @@
             "decisions/queueing.refusal_rule",
             "decisions/queueing.refusal_rule_for_waiting",
             "decisions/queueing.displaced_by",
-            "gateway/serving/caller_age.CallerAges.age_s",
+            "gateway/serving/caller_age.RequestAges.age_s",
             "kernel/completion_rate.CompletionRate",
             "kernel/wait_queue.WaitQueue",
         ),
@@ -180,9 +180,9 @@
             "decisions/start_limit.LATE_WAIT_SHARE",
             "decisions/start_limit.WAIT_WITHOUT_TARGET_S",
             "decisions/start_limit.RESPONSE_TRANSIT_S",
-            "gateway/serving/caller_age.CLASS_RATIO",
-            "gateway/serving/caller_age.COMMON_SHARE",
-            "gateway/serving/caller_age.APART_RATIO",
+            "gateway/serving/caller_age.BUCKET_RATIO",
+            "gateway/serving/caller_age.MIN_INITIAL_TIMEOUT_SHARE",
+            "gateway/serving/caller_age.MAX_INITIAL_TIMEOUT_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
             "decisions/queueing.MIN_COMPLETIONS_PER_S",
             "decisions/queueing.TURN_RESERVE_S",
@@ -209,12 +209,12 @@
         question="When a request is begun that stands behind others",
         functions=(
             "gateway/serving/pipelining.PipelinedConnection",
-            "gateway/serving/ingress.Ingress.begin_early",
+            "gateway/serving/ingress.Ingress.start_early",
         ),
         inputs="methods of the requests in front, kind of the route, phase.",
         reason="A lookup sent behind another would else start when that is answered."
         " Answers go out in the order of the requests.",
-        constants=("gateway/serving/pipelining.MOST_BEGUN",),
+        constants=("gateway/serving/pipelining.MAX_EARLY_REQUESTS",),
         tests=(
             Scenario(
                 "pipelining",
@@ -355,14 +355,14 @@
             "forwarding/classification.classify_fault",
             "forwarding/classification.classify_answer",
             "gateway/serving/answers.read",
-            "gateway/serving/answers.falsely_says_not_run",
+            "gateway/serving/answers.implies_not_run",
             "drivers/upstream_http.HttpUpstreamPort.send",
         ),
         inputs="fault of the connection, request id and stamp of the answer, status,"
         " framing and end of the body.",
         reason="'Not run' needs positive knowledge: no connection was made, or the"
         " upstream said so. All else may have run.",
-        constants=("gateway/serving/answers.MAX_WHOLE_ANSWER_BYTES",),
+        constants=("gateway/serving/answers.MAX_BUFFERED_RESPONSE_BYTES",),
         events=("REQUEST_FAILED", "FOREIGN_ANSWER"),
         tests=(
             Scenario(
