--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -71,7 +71,7 @@
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    running = gateway.create(config, _start_took_s(begun_at))
+    running = gateway.create(config, _startup_duration_s(begun_at))
     loop.add_signal_handler(signal.SIGHUP, _reload, running, source)
     await running.start()
     file_watcher = asyncio.ensure_future(_watch_file(running, source))
@@ -81,7 +81,7 @@
     await running.stop()
 
 
-def _start_took_s(begun_at: ids.Instant | None) -> float:
+def _startup_duration_s(begun_at: ids.Instant | None) -> float:
     if begun_at is None:
         return 0.0
     return clock.CLOCKS.get("boottime")().now() - begun_at
