--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -159,7 +159,7 @@
             self._offer_own(
                 documents.DocumentKind.BUNDLE, configuration.version, configuration
             )
-        if gateway_state.listed_once:
+        if gateway_state.has_listing:
             listed = gateway_state.listed_for_peers()
             self._offer_own(
                 documents.DocumentKind.HOSTS, listing_version, listed, position
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -82,7 +82,7 @@
         self.region_size = fleet_size.FleetSize()
         self.services = services.Services(self.local_member, self.region_size, self.rng)
         self.balancer_by_service = self.services.balancer_by_service
-        self.listed_once = False
+        self.has_listing = False
         self._upstreams_in_use: frozenset[ids.UpstreamId] = frozenset()
         self._era: int | None = None
         self.fence = documents.Fence()
@@ -123,7 +123,7 @@
     @property
     def can_serve(self) -> bool:
         """Tell whether routes and upstreams are known."""
-        return self.table is not None and self.listed_once
+        return self.table is not None and self.has_listing
 
     async def until_can_serve(self, limit: ids.Instant) -> None:
         """Wait until routes and upstreams are known, until ``limit`` at most."""
@@ -327,7 +327,7 @@
         self._era = snapshot.era
 
     def _listing_changed(self, learned_from: str) -> None:
-        self.listed_once = True
+        self.has_listing = True
         before = self._upstreams_in_use
         self._upstreams_in_use = self.listing.in_use(self.clock.now())
         source_events.report_withdrawn(
