--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -164,7 +164,7 @@
         )
         source_events.report_remarks(configuration)
         self._refresh_upstreams()
-        self._settle_phase()
+        self._update_phase()
         return True
 
     def add_end_listener(self, listener: EndListener) -> None:
@@ -334,9 +334,9 @@
             before - self._upstreams_in_use, learned_from, self.listing.revision
         )
         self._refresh_upstreams()
-        self._settle_phase()
+        self._update_phase()
 
-    def _settle_phase(self) -> None:
+    def _update_phase(self) -> None:
         if self.can_serve:
             self._can_serve.set()
         before = self.phase
