--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -181,7 +181,7 @@
         upstreams stay: an older list would bring back those that have ended.
         """
         self._source_events.report_bad(snapshot.bad, self.clock.now())
-        self._note_era(snapshot)
+        self._update_era(snapshot)
         # Records lost in a restore must not stay known, or nobody rewrites them.
         self.discovery_record_by_zone.clear()
         self._store_discovery_records(snapshot.discovery_records)
@@ -319,7 +319,7 @@
         for record in records:
             self.discovery_record_by_zone[record.zone] = record
 
-    def _note_era(self, snapshot: sources.Snapshot) -> None:
+    def _update_era(self, snapshot: sources.Snapshot) -> None:
         if snapshot.era is None:
             return
         if self._era is not None and snapshot.era > self._era:
