--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -227,7 +227,7 @@
         ordered = self.rollouts.orders.change(changes, self.clock.now())
         is_relisted = self._apply_listing_changes(changes)
         if ordered and not is_relisted:
-            self._follow_rollouts()
+            self._reconcile_rollouts()
         return is_relisted or ordered or changes.configuration is not None
 
     def _apply_listing_changes(self, changes: sources.Changes) -> bool:
@@ -266,7 +266,7 @@
     def rollout_status_written(self, status: sources.RolloutStatus) -> None:
         """Take in a status that this gateway has written into the source."""
         self.rollouts.orders.written(status)
-        self._follow_rollouts()
+        self._reconcile_rollouts()
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
@@ -354,9 +354,9 @@
         configuration = None if self.table is None else self.table.configuration
         specs_by_service = self.listing.specs(now)
         self.services.set_listed(specs_by_service, configuration, self.config, now)
-        self._follow_rollouts()
+        self._reconcile_rollouts()
 
-    def _follow_rollouts(self) -> None:
+    def _reconcile_rollouts(self) -> None:
         """Bring the splits of calls between versions in step with the orders."""
         self.rollouts.reconcile(self.balancer_by_service)
         self.services.report_changes()
