--- a/features/steps/gateway_restored.py
+++ b/features/steps/gateway_restored.py
@@ -311,7 +311,7 @@
         assert rollouts.run_by_service[SERVICE] is run
         # A final status missing from the backup is reported as lost.
         status = sources.RolloutStatus(SERVICE, TARGET, state.ROLLED_BACK, 502)
-        reading.state.rollout_status_written(status)
+        reading.state.apply_rollout_status(status)
         assert run.final is state.ROLLED_BACK and not rollouts.lacks_final_status(run)
         reading.state.apply_snapshot(snapshot_with(reading, 6, rewritten))
         assert rollouts.lacks_final_status(run)
--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -137,7 +137,7 @@
             table=types.SimpleNamespace(configuration=rollout_service.CONFIGURATION),
             rng=rng,
             config=types.SimpleNamespace(peers=("a", "b"), peer_listen="a"),
-            rollout_status_written=self._status_written,
+            apply_rollout_status=self._status_written,
         )
         self.loop = loops.RolloutLoop(self.state, self, self, world.store)  # type: ignore[arg-type]
         self.loop.tasks = world.store  # type: ignore[assignment]
--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -115,7 +115,7 @@
         )
         if outcome:
             self._next_at = now
-            self.state.rollout_status_written(written)
+            self.state.apply_rollout_status(written)
 
     def _report_fault(
         self, status: sources.RolloutStatus, fault: sources.SourceFault
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -263,7 +263,7 @@
         now = self.clock.now()
         return self.rollouts.orders.with_marks(self.listing.listed(now), now)
 
-    def rollout_status_written(self, status: sources.RolloutStatus) -> None:
+    def apply_rollout_status(self, status: sources.RolloutStatus) -> None:
         """Take in a status that this gateway has written into the source."""
         self.rollouts.orders.written(status)
         self._reconcile_rollouts()
