--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -104,7 +104,7 @@
     if isinstance(config, list):
         _log_faults(config)
         return
-    running.state.take_settings(config)
+    running.state.apply_settings(config)
     events.emit(events.Event.SETTINGS_RELOADED, host=config.host)
 
 
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -299,7 +299,7 @@
         self.services.report_changes()
         return expired or is_released
 
-    def take_settings(self, config: settings.GatewaySettings) -> None:
+    def apply_settings(self, config: settings.GatewaySettings) -> None:
         """Take in the settings that may change without a restart."""
         self.config = reloading.reloaded(self.config, config)
 
