--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -165,7 +165,7 @@
 
     async def _tick(self) -> None:
         while True:
-            self._note_suspension()
+            self._log_suspension()
             self.fleet.update_size()
             if self.state.tick() and self.state.reads_source:
                 self.relay.publish_expiry()
@@ -176,7 +176,7 @@
             self.limit_report.update(services, self.state.clock.now())
             await self.state.wakeups.sleep(TICK_S)
 
-    def _note_suspension(self) -> None:
+    def _log_suspension(self) -> None:
         suspended_s = self.state.deadlines.check()
         if suspended_s:
             events.emit(events.Event.HOST_SUSPENDED, seconds=round(suspended_s, 3))
