--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -39,7 +39,7 @@
 #: Time between two looks at the requests in flight of a planned stop.
 DRAIN_CHECK_S = 0.02
 #: Least time that connections get to close.
-LEAST_CLOSE_S = 0.05
+MIN_CLOSE_S = 0.05
 
 
 class Gateway:
@@ -149,7 +149,7 @@
             await asyncio.sleep(DRAIN_CHECK_S)
         if self.ingress.in_flight:
             events.emit(events.Event.STOP_FORCED, in_flight=self.ingress.in_flight)
-        await self.ingress.stop(max(LEAST_CLOSE_S, end - now()))
+        await self.ingress.stop(max(MIN_CLOSE_S, end - now()))
         await self.close()
 
     async def close(self) -> None:
