--- a/spindlenotch/gateway/deadlines.py
+++ b/spindlenotch/gateway/deadlines.py
@@ -24,7 +24,7 @@
     def __init__(self, host_clock: clock.Clock) -> None:
         self.clock = host_clock
         self._deadline_by_timeout: dict[asyncio.Timeout, ids.Instant] = {}
-        self._ahead_s: float | None = None
+        self._clock_offset_s: float | None = None
 
     @contextlib.asynccontextmanager
     async def until(self, deadline: ids.Instant) -> abc.AsyncIterator[None]:
@@ -43,8 +43,8 @@
         Return for how many seconds it was, zero where it was not.
         """
         ahead_s = self.clock.now() - asyncio.get_running_loop().time()
-        before_s = ahead_s if self._ahead_s is None else self._ahead_s
-        self._ahead_s = ahead_s
+        before_s = ahead_s if self._clock_offset_s is None else self._clock_offset_s
+        self._clock_offset_s = ahead_s
         if ahead_s - before_s < LEAST_S:
             return 0.0
         for timeout, deadline in self._deadline_by_timeout.items():
