--- a/spindlenotch/gateway/deadlines.py
+++ b/spindlenotch/gateway/deadlines.py
@@ -43,15 +43,15 @@
         Return for how many seconds it was, zero where it was not.
         """
         clock_offset_s = self.clock.now() - asyncio.get_running_loop().time()
-        before_s = (
+        previous_offset_s = (
             clock_offset_s if self._clock_offset_s is None else self._clock_offset_s
         )
         self._clock_offset_s = clock_offset_s
-        if clock_offset_s - before_s < LEAST_S:
+        if clock_offset_s - previous_offset_s < LEAST_S:
             return 0.0
         for timeout, deadline in self._deadline_by_timeout.items():
             timeout.reschedule(self._loop_time(deadline))
-        return clock_offset_s - before_s
+        return clock_offset_s - previous_offset_s
 
     def _loop_time(self, instant: ids.Instant) -> float:
         """Turn an instant of the host's clock into one of the event loop's."""
