--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -295,8 +295,8 @@
     assert platform.read_origin(query) == dialect.Origin(
         host="h.example", zone=ids.ZoneName("north-a"), region=ids.RegionName("north")
     )
-    assert platform.read_origin({}) == dialect.ANYWHERE
-    assert platform.read_origin({"region": "", "zone": ""}) == dialect.ANYWHERE
+    assert platform.read_origin({}) == dialect.UNKNOWN_ORIGIN
+    assert platform.read_origin({"region": "", "zone": ""}) == dialect.UNKNOWN_ORIGIN
 
 
 @kernel.PROPERTIES.register("documents of other regions count while no reader is heard")
--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -34,7 +34,7 @@
 
 
 #: The origin of a query that says nothing.
-ANYWHERE = Origin()
+UNKNOWN_ORIGIN = Origin()
 
 
 class Dialect(msgspec.Struct, frozen=True):
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -83,7 +83,7 @@
         return web_response.Response(status=503, text=f"{self.state.unready_reason}\n")
 
     def _directory(
-        self, origin: dialect.Origin = dialect.ANYWHERE
+        self, origin: dialect.Origin = dialect.UNKNOWN_ORIGIN
     ) -> web_response.Response:
         """Name the gateways that callers should use, for ``hand_out_s`` seconds."""
         addresses = self.fleet.addresses_for(
