--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -77,7 +77,7 @@
         replaced=headers.OWN | {headers.UPSTREAM.lower()},
         directory_path="/v1/entries",
         ready_path="/ready",
-        render_directory=_render,
+        render_directory=_render_directory,
         read_origin=read_origin,
     )
 
@@ -92,7 +92,7 @@
     )
 
 
-def _render(directory: Directory) -> bytes:
+def _render_directory(directory: Directory) -> bytes:
     return msgspec.json.encode(
         {"entries": directory.addresses, "valid_for_ms": directory.valid_for_s * 1000}
     )
