--- a/spindlenotch/gateway/jitter.py
+++ b/spindlenotch/gateway/jitter.py
@@ -8,9 +8,9 @@
 
 #: A jittered period lies within these shares of the period.
 MIN_FACTOR = 0.9
-MOST_SHARE = 1.1
+MAX_FACTOR = 1.1
 
 
 def jittered(period_s: float, rng: random.Random) -> float:
     """Return a period near ``period_s``, in seconds; one draw of ``rng``."""
-    return period_s * rng.uniform(MIN_FACTOR, MOST_SHARE)
+    return period_s * rng.uniform(MIN_FACTOR, MAX_FACTOR)
