--- a/spindlenotch/gateway/lifecycle.py
+++ b/spindlenotch/gateway/lifecycle.py
@@ -55,8 +55,8 @@
     ``hand_out_s`` is how long callers are told to keep an address,
     ``stop_limit_s`` the longest planned stop, both in seconds.
     """
-    kept_s = KEPT_FACTOR * hand_out_s + LAST_ARRIVALS_S
+    cached_s = KEPT_FACTOR * hand_out_s + LAST_ARRIVALS_S
     return StopSchedule(
-        listen_s=min(kept_s, stop_limit_s - CLOSING_S),
+        listen_s=min(cached_s, stop_limit_s - CLOSING_S),
         end_s=stop_limit_s - MARGIN_S,
     )
