--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -15,7 +15,7 @@
 from spindlenotch.kernel import named_limit, upstreams
 
 
-class _Told(msgspec.Struct):
+class _Reported(msgspec.Struct):
     """How many requests were told of, and when the next line is due."""
 
     sent: int
@@ -26,7 +26,7 @@
     """Reports on the upstreams of one process that name a limit."""
 
     def __init__(self) -> None:
-        self._told_by_id: dict[ids.UpstreamId, _Told] = {}
+        self._told_by_id: dict[ids.UpstreamId, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
@@ -48,7 +48,7 @@
         told = self._told_by_id.get(upstream.spec.id)
         if told is None:
             until = ids.later(now, named_limit.WINDOW.seconds)
-            self._told_by_id[upstream.spec.id] = _Told(limit.sent, until)
+            self._told_by_id[upstream.spec.id] = _Reported(limit.sent, until)
             return
         if now < told.window_until:
             return
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -18,7 +18,7 @@
 AGE_DIGITS = 3
 
 
-class _Told(msgspec.Struct):
+class _Reported(msgspec.Struct):
     """What of a service's budget was told, and when its next window ends."""
 
     window_until: ids.Instant
@@ -34,7 +34,7 @@
 
     def __init__(self, process_metrics: metrics.Metrics) -> None:
         self.metrics = process_metrics
-        self._told_by_service: dict[ids.ServiceName, _Told] = {}
+        self._told_by_service: dict[ids.ServiceName, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
@@ -67,7 +67,7 @@
         name = service.service.name
         told = self._told_by_service.get(name)
         if told is None:
-            told = _Told(ids.later(now, budget.window_s))
+            told = _Reported(ids.later(now, budget.window_s))
             self._told_by_service[name] = told
         earned = budget.earned_count - told.metric_earned
         if earned:
@@ -83,7 +83,7 @@
         self,
         name: ids.ServiceName,
         budget: budgets.SlidingShareBudget,
-        told: _Told,
+        told: _Reported,
     ) -> None:
         taken = budget.taken_by_part - told.taken_by_part
         requests = budget.earned_count - told.earned
