--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -26,7 +26,7 @@
     """Reports on the upstreams of one process that name a limit."""
 
     def __init__(self) -> None:
-        self._told_by_id: dict[ids.UpstreamId, _Reported] = {}
+        self._reported_by_id: dict[ids.UpstreamId, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
@@ -38,17 +38,17 @@
                 if upstream.backpressure.limit.per_s is not None:
                     limited.add(upstream.spec.id)
                     self._tell(service.service.name, upstream, now)
-        for upstream_id in self._told_by_id.keys() - limited:
-            del self._told_by_id[upstream_id]
+        for upstream_id in self._reported_by_id.keys() - limited:
+            del self._reported_by_id[upstream_id]
 
     def _tell(
         self, service: ids.ServiceName, upstream: upstreams.Upstream, now: ids.Instant
     ) -> None:
         limit = upstream.backpressure.limit
-        told = self._told_by_id.get(upstream.spec.id)
+        told = self._reported_by_id.get(upstream.spec.id)
         if told is None:
             until = ids.later(now, named_limit.WINDOW.seconds)
-            self._told_by_id[upstream.spec.id] = _Reported(limit.sent, until)
+            self._reported_by_id[upstream.spec.id] = _Reported(limit.sent, until)
             return
         if now < told.window_until:
             return
