--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -34,7 +34,7 @@
 
     def __init__(self, process_metrics: metrics.Metrics) -> None:
         self.metrics = process_metrics
-        self._told_by_service: dict[ids.ServiceName, _Reported] = {}
+        self._reported_by_service: dict[ids.ServiceName, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
@@ -65,10 +65,10 @@
         now: ids.Instant,
     ) -> None:
         name = service.service.name
-        told = self._told_by_service.get(name)
+        told = self._reported_by_service.get(name)
         if told is None:
             told = _Reported(ids.later(now, budget.window_s))
-            self._told_by_service[name] = told
+            self._reported_by_service[name] = told
         earned = budget.earned_count - told.metric_earned
         if earned:
             self.metrics.extra_earning.labels(name).inc(earned)
