--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -45,21 +45,21 @@
         self, service: ids.ServiceName, upstream: upstreams.Upstream, now: ids.Instant
     ) -> None:
         limit = upstream.backpressure.limit
-        told = self._reported_by_id.get(upstream.spec.id)
-        if told is None:
+        reported = self._reported_by_id.get(upstream.spec.id)
+        if reported is None:
             until = ids.later(now, named_limit.WINDOW.seconds)
             self._reported_by_id[upstream.spec.id] = _Reported(limit.sent, until)
             return
-        if now < told.window_until:
+        if now < reported.window_until:
             return
-        if limit.sent > told.sent:
+        if limit.sent > reported.sent:
             events.emit(
                 events.Event.SENT_TO_LIMITED,
                 service=service,
                 upstream=upstream.spec.id,
-                count=limit.sent - told.sent,
+                count=limit.sent - reported.sent,
                 limit_per_s=round(limit.per_s or 0.0, backpressure_events.RATE_DIGITS),
                 window_s=named_limit.WINDOW.seconds,
             )
-        told.sent = limit.sent
-        told.window_until = ids.later(now, named_limit.WINDOW.seconds)
+        reported.sent = limit.sent
+        reported.window_until = ids.later(now, named_limit.WINDOW.seconds)
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -65,30 +65,30 @@
         now: ids.Instant,
     ) -> None:
         name = service.service.name
-        told = self._reported_by_service.get(name)
-        if told is None:
-            told = _Reported(ids.later(now, budget.window_s))
-            self._reported_by_service[name] = told
-        earned = budget.earned_count - told.metric_earned
+        reported = self._reported_by_service.get(name)
+        if reported is None:
+            reported = _Reported(ids.later(now, budget.window_s))
+            self._reported_by_service[name] = reported
+        earned = budget.earned_count - reported.metric_earned
         if earned:
             self.metrics.extra_earning.labels(name).inc(earned)
-            told.metric_earned = budget.earned_count
+            reported.metric_earned = budget.earned_count
         if budget.taken_by_part:
             self.metrics.extra_unread.labels(name).set(budget.unsettled)
-        if now >= told.window_until:
-            self._tell_window(name, budget, told)
-            told.window_until = ids.later(now, budget.window_s)
+        if now >= reported.window_until:
+            self._tell_window(name, budget, reported)
+            reported.window_until = ids.later(now, budget.window_s)
 
     def _tell_window(
         self,
         name: ids.ServiceName,
         budget: budgets.SlidingShareBudget,
-        told: _Reported,
+        reported: _Reported,
     ) -> None:
-        taken = budget.taken_by_part - told.taken_by_part
-        requests = budget.earned_count - told.earned
-        told.taken_by_part = budget.taken_by_part.copy()
-        told.earned = budget.earned_count
+        taken = budget.taken_by_part - reported.taken_by_part
+        requests = budget.earned_count - reported.earned
+        reported.taken_by_part = budget.taken_by_part.copy()
+        reported.earned = budget.earned_count
         if not taken and not budget.unsettled:
             return
         events.emit(
