--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -37,11 +37,11 @@
             for upstream in service.pool.usable_order:
                 if upstream.backpressure.limit.per_s is not None:
                     limited.add(upstream.spec.id)
-                    self._tell(service.service.name, upstream, now)
+                    self._report(service.service.name, upstream, now)
         for upstream_id in self._reported_by_id.keys() - limited:
             del self._reported_by_id[upstream_id]
 
-    def _tell(
+    def _report(
         self, service: ids.ServiceName, upstream: upstreams.Upstream, now: ids.Instant
     ) -> None:
         limit = upstream.backpressure.limit
