--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -42,11 +42,11 @@
         """Tell what is new."""
         for service in services:
             service.copies.settle_read(now)
-            self._tell_late(service)
+            self._report_late_reads(service)
             for budget in service.extra.sliding_budgets():
                 self._tell_budget(service, budget, now)
 
-    def _tell_late(self, service: balancer.Balancer) -> None:
+    def _report_late_reads(self, service: balancer.Balancer) -> None:
         name = service.service.name
         for late in service.copies.take_late_reads():
             self.metrics.read_late.labels(name).inc(late.count)
