--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -44,7 +44,7 @@
             service.copies.settle_read(now)
             self._report_late_reads(service)
             for budget in service.extra.sliding_budgets():
-                self._tell_budget(service, budget, now)
+                self._report_budget(service, budget, now)
 
     def _report_late_reads(self, service: balancer.Balancer) -> None:
         name = service.service.name
@@ -58,7 +58,7 @@
                 after_s=round(late.after_s, AGE_DIGITS),
             )
 
-    def _tell_budget(
+    def _report_budget(
         self,
         service: balancer.Balancer,
         budget: budgets.SlidingShareBudget,
