--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -76,10 +76,10 @@
         if budget.taken_by_part:
             self.metrics.extra_unread.labels(name).set(budget.unsettled)
         if now >= reported.window_until:
-            self._tell_window(name, budget, reported)
+            self._report_window(name, budget, reported)
             reported.window_until = ids.later(now, budget.window_s)
 
-    def _tell_window(
+    def _report_window(
         self,
         name: ids.ServiceName,
         budget: budgets.SlidingShareBudget,
