--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -29,7 +29,7 @@
     )
 
 
-class RepeatReport:
+class RetryBudgetReport:
     """Reports on the budgets of one process."""
 
     def __init__(self, process_metrics: metrics.Metrics) -> None:
