--- a/spindlenotch/gateway/log_sink.py
+++ b/spindlenotch/gateway/log_sink.py
@@ -37,7 +37,7 @@
         self._second = 0
         self._lines_by_event: collections.Counter[int] = collections.Counter()
         #: The rest of a line that the pipe took only a part of.
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: typing.Any) -> None:
@@ -65,10 +65,10 @@
 
     def _write(self, data: bytes) -> None:
         reported = 0
-        if self.dropped and not self._rest:
+        if self.dropped and not self._unwritten:
             reported = self.dropped
             data = _notice(reported) + data
-        pending = self._rest + data if self._rest else data
+        pending = self._unwritten + data if self._unwritten else data
         try:
             written = os.write(self.descriptor, pending)
         except OSError:
@@ -78,7 +78,7 @@
             return
         self.dropped -= reported
         # A line that was cut is finished first; nothing comes in between.
-        self._rest = pending[written:]
+        self._unwritten = pending[written:]
 
 
 def _notice(lines: int) -> bytes:
