--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -17,7 +17,7 @@
 #: route's target.
 TYPICAL_SHARE_OF_TARGET = 0.35
 #: The same where a route has no target, and of a service as a whole, in seconds.
-TYPICAL_UNKNOWN_S = 0.1
+DEFAULT_TYPICAL_S = 0.1
 #: Most waiting requests of a service.
 QUEUE_LIMIT = 2000
 #: Largest share of a service's upstreams that may be ejected.
@@ -41,7 +41,7 @@
 def typical_latency_s(route: routing.Route) -> float:
     """Return the assumed latency of a route's requests, in seconds."""
     if route.target_s is None:
-        return TYPICAL_UNKNOWN_S
+        return DEFAULT_TYPICAL_S
     return TYPICAL_SHARE_OF_TARGET * route.target_s
 
 
@@ -71,7 +71,7 @@
         name=spec.name,
         zones=zones,
         slots=DEFAULT_SLOTS,
-        typical_s=TYPICAL_UNKNOWN_S,
+        typical_s=DEFAULT_TYPICAL_S,
         selection=least_latency.NAME,
         extra=extra_budgets.SharedWindow(
             share=EXTRA_MARGIN * config.extra_share,
