--- a/spindlenotch/gateway/services.py
+++ b/spindlenotch/gateway/services.py
@@ -95,7 +95,7 @@
         config: settings.GatewaySettings,
     ) -> None:
         """Put the policy of a service into force where it has changed."""
-        zones = {one.zone for one in listed} | {config.zone}
+        zones = {upstream.zone for upstream in listed} | {config.zone}
         policy = service_defaults.policy(
             spec, tuple(sorted(zones)), config, self.region_size
         )
