--- a/spindlenotch/gateway/state_dump.py
+++ b/spindlenotch/gateway/state_dump.py
@@ -150,7 +150,7 @@
         region: RegionDump(
             heard_s_ago=round(now - heard.made_at, AGE_DIGITS),
             members=heard.summary.member_count,
-            gateways=[one.address for one in heard.summary.gateways],
+            gateways=[member.address for member in heard.summary.gateways],
             used={use.service: use.used for use in heard.summary.services},
         )
         for region, heard in links.heard_by_region.items()
