--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -23,7 +23,7 @@
 METRICS_PATH = "/metrics"
 STATE_PATH = "/state"
 #: Seconds that open requests have when the ports close.
-STOP_LIMIT_S = 0.1
+SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class SidePorts:
@@ -65,7 +65,7 @@
         """Close all ports and connections."""
         for listener in self._listeners:
             listener.close()
-        await self._server.shutdown(STOP_LIMIT_S)
+        await self._server.shutdown(SHUTDOWN_TIMEOUT_S)
 
     async def _handle(
         self, request: web_request.BaseRequest
