--- a/spindlenotch/gateway/wakeups.py
+++ b/spindlenotch/gateway/wakeups.py
@@ -30,8 +30,8 @@
 
     def next_s(self, now_s: float, period_s: float) -> float:
         """Return that instant; at least half a beat from now, both in seconds."""
-        beats = (now_s + period_s - self._first_s) / BEAT_S
-        nearest = math.floor(beats + 0.5)
+        intervals = (now_s + period_s - self._first_s) / BEAT_S
+        nearest = math.floor(intervals + 0.5)
         instant_s = self._first_s + nearest * BEAT_S
         if instant_s - now_s < 0.5 * BEAT_S:
             instant_s += BEAT_S
