--- a/spindlenotch/gateway/wakeups.py
+++ b/spindlenotch/gateway/wakeups.py
@@ -21,7 +21,7 @@
     """The instants, one in ``BEAT_S``, at which the loops of this process wake."""
 
     def __init__(self, rng: random.Random) -> None:
-        self._first_s = rng.uniform(0.0, BEAT_S)
+        self._phase_s = rng.uniform(0.0, BEAT_S)
 
     async def sleep(self, period_s: float) -> None:
         """Sleep until the instant nearest to ``period_s`` seconds from now."""
@@ -30,9 +30,9 @@
 
     def next_s(self, now_s: float, period_s: float) -> float:
         """Return that instant; at least half a beat from now, both in seconds."""
-        intervals = (now_s + period_s - self._first_s) / BEAT_S
+        intervals = (now_s + period_s - self._phase_s) / BEAT_S
         nearest = math.floor(intervals + 0.5)
-        instant_s = self._first_s + nearest * BEAT_S
+        instant_s = self._phase_s + nearest * BEAT_S
         if instant_s - now_s < 0.5 * BEAT_S:
             instant_s += BEAT_S
         return instant_s
