--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -29,12 +29,12 @@
             now_s = 100.0 + rng.uniform(0.0, 0.1)
             woken = 0
             while now_s < 100.0 + PLAYED_S:
-                next_s = shared.next_s(now_s, period_s)
-                assert next_s > now_s
-                if next_s < 100.0 + PLAYED_S:
-                    instants.add(round(1000 * next_s))
+                next_wakeup_s = shared.next_wakeup_s(now_s, period_s)
+                assert next_wakeup_s > now_s
+                if next_wakeup_s < 100.0 + PLAYED_S:
+                    instants.add(round(1000 * next_wakeup_s))
                 # What a loop does takes a little time.
-                now_s = next_s + rng.uniform(0.0, 0.02)
+                now_s = next_wakeup_s + rng.uniform(0.0, 0.02)
                 woken += 1
             assert abs(woken - PLAYED_S / period_s) <= 2, (period_s, woken)
         assert len(instants) <= PLAYED_S / wakeups.BEAT_S + 1, len(instants)
--- a/spindlenotch/gateway/wakeups.py
+++ b/spindlenotch/gateway/wakeups.py
@@ -26,9 +26,9 @@
     async def sleep(self, period_s: float) -> None:
         """Sleep until the instant nearest to ``period_s`` seconds from now."""
         now_s = asyncio.get_running_loop().time()
-        await asyncio.sleep(self.next_s(now_s, period_s) - now_s)
+        await asyncio.sleep(self.next_wakeup_s(now_s, period_s) - now_s)
 
-    def next_s(self, now_s: float, period_s: float) -> float:
+    def next_wakeup_s(self, now_s: float, period_s: float) -> float:
         """Return that instant; at least half a beat from now, both in seconds."""
         intervals = (now_s + period_s - self._phase_s) / BEAT_S
         nearest = math.floor(intervals + 0.5)
