--- a/features/steps/suspended_hosts.py
+++ b/features/steps/suspended_hosts.py
@@ -51,7 +51,7 @@
         try:
             async with kept.until(ids.later(host_clock.now(), SUSPENDED_S)):
                 host_clock.suspended_s = SUSPENDED_S
-                assert kept.check() >= SUSPENDED_S - deadlines.LEAST_S
+                assert kept.check() >= SUSPENDED_S - deadlines.MIN_SUSPENSION_S
                 assert kept.check() == 0.0
                 await asyncio.sleep(SOON_S)
         except TimeoutError:
--- a/spindlenotch/gateway/deadlines.py
+++ b/spindlenotch/gateway/deadlines.py
@@ -15,7 +15,7 @@
 
 #: Seconds by which the clocks part that are no suspension: reading both takes a moment,
 #: in which another process may run.
-LEAST_S = 0.05
+MIN_SUSPENSION_S = 0.05
 
 
 class Deadlines:
@@ -47,7 +47,7 @@
             clock_offset_s if self._clock_offset_s is None else self._clock_offset_s
         )
         self._clock_offset_s = clock_offset_s
-        if clock_offset_s - previous_offset_s < LEAST_S:
+        if clock_offset_s - previous_offset_s < MIN_SUSPENSION_S:
             return 0.0
         for timeout, deadline in self._deadline_by_timeout.items():
             timeout.reschedule(self._loop_time(deadline))
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -73,7 +73,7 @@
         functions=("gateway/deadlines.Deadlines.check",),
         inputs="the host's clock, which counts suspensions, and the event loop's.",
         reason="Timers run on the loop's clock and would end late by the suspension.",
-        constants=("gateway/deadlines.LEAST_S",),
+        constants=("gateway/deadlines.MIN_SUSPENSION_S",),
         events=("HOST_SUSPENDED",),
         tests=(
             Scenario(
