--- a/features/steps/gateway_allowed.py
+++ b/features/steps/gateway_allowed.py
@@ -144,7 +144,7 @@
     service = routing.ServiceSpec(ids.ServiceName("s"), health_path="/", connections=9)
     one = state.services._new_balancer(service, state.config)
     state.balancer_by_service[service.name] = one
-    expected = 300.0 / (service_defaults.RESERVE_PARTS_EACH * 3 * 50)
+    expected = 300.0 / (service_defaults.RESERVE_PARTS_PER_GATEWAY * 3 * 50)
     assert one.extra.retries.reserve == expected
     state.tick()
     assert one.extra.retries.reserve == expected
--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -27,7 +27,7 @@
 #: Parts of the reserve of retries and hedges for each gateway of the fleet: its own,
 #: and that of the process or host that follows on it, which knows nothing of what
 #: was used before it.
-RESERVE_PARTS_EACH = 2
+RESERVE_PARTS_PER_GATEWAY = 2
 #: Parts where the fleet is small: a gateway that sees few others may be one of more.
 LEAST_RESERVE_PARTS = 24
 #: Gateways that the fleet may have as far as one knows that starts, or is cut off from
@@ -56,7 +56,7 @@
     """
     largest = UNKNOWN_FLEET if size.is_alone else size.largest
     regions = max(1, len(set(config.region_by_zone.values())))
-    parts = max(LEAST_RESERVE_PARTS, RESERVE_PARTS_EACH * regions * largest)
+    parts = max(LEAST_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)
     return config.extra_reserve / parts
 
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -329,7 +329,7 @@
         " its traffic, named by the bundle.",
         constants=(
             "gateway/service_defaults.EXTRA_MARGIN",
-            "gateway/service_defaults.RESERVE_PARTS_EACH",
+            "gateway/service_defaults.RESERVE_PARTS_PER_GATEWAY",
             "gateway/service_defaults.LEAST_RESERVE_PARTS",
             "gateway/service_defaults.UNKNOWN_FLEET",
             "gateway/cluster/fleet_size.MEMORY_S",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -220,22 +220,22 @@
     Mutant(
         "the reserve of retries is not divided by the size of the fleet",
         "gateway/service_defaults",
-        "max(LEAST_RESERVE_PARTS, RESERVE_PARTS_EACH * regions * largest)",
+        "max(LEAST_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)",
         "LEAST_RESERVE_PARTS",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
         "a process that starts anew has the reserve of the one before it",
         "gateway/service_defaults",
-        "RESERVE_PARTS_EACH * regions * largest",
+        "RESERVE_PARTS_PER_GATEWAY * regions * largest",
         "regions * largest",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
         "each region has the whole reserve of retries",
         "gateway/service_defaults",
-        "RESERVE_PARTS_EACH * regions * largest",
-        "RESERVE_PARTS_EACH * largest",
+        "RESERVE_PARTS_PER_GATEWAY * regions * largest",
+        "RESERVE_PARTS_PER_GATEWAY * largest",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
