--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -29,7 +29,7 @@
 #: was used before it.
 RESERVE_PARTS_PER_GATEWAY = 2
 #: Parts where the fleet is small: a gateway that sees few others may be one of more.
-LEAST_RESERVE_PARTS = 24
+MIN_RESERVE_PARTS = 24
 #: Gateways that the fleet may have as far as one knows that starts, or is cut off from
 #: all others: the largest that is planned for, so that many such use little.
 UNKNOWN_FLEET = 300
@@ -56,7 +56,7 @@
     """
     largest = UNKNOWN_FLEET if size.is_alone else size.largest
     regions = max(1, len(set(config.region_by_zone.values())))
-    parts = max(LEAST_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)
+    parts = max(MIN_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)
     return config.extra_reserve / parts
 
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -330,7 +330,7 @@
         constants=(
             "gateway/service_defaults.EXTRA_MARGIN",
             "gateway/service_defaults.RESERVE_PARTS_PER_GATEWAY",
-            "gateway/service_defaults.LEAST_RESERVE_PARTS",
+            "gateway/service_defaults.MIN_RESERVE_PARTS",
             "gateway/service_defaults.UNKNOWN_FLEET",
             "gateway/cluster/fleet_size.MEMORY_S",
             "kernel/budgets.DECAY_SHARE_OF_WINDOW",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -220,8 +220,8 @@
     Mutant(
         "the reserve of retries is not divided by the size of the fleet",
         "gateway/service_defaults",
-        "max(LEAST_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)",
-        "LEAST_RESERVE_PARTS",
+        "max(MIN_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)",
+        "MIN_RESERVE_PARTS",
         "a fleet's retries keep to what all may send together",
     ),
     Mutant(
