--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -32,7 +32,7 @@
 MIN_RESERVE_PARTS = 24
 #: Gateways that the fleet may have as far as one knows that starts, or is cut off from
 #: all others: the largest that is planned for, so that many such use little.
-UNKNOWN_FLEET = 300
+ASSUMED_FLEET_SIZE = 300
 #: Slots of an upstream that is listed without a number. The source always gives
 #: one today.
 DEFAULT_SLOTS = 1
@@ -54,7 +54,7 @@
     ``size`` is that of the own region. Each region has an equal part, so that the sum
     holds while they have lost each other.
     """
-    largest = UNKNOWN_FLEET if size.is_alone else size.largest
+    largest = ASSUMED_FLEET_SIZE if size.is_alone else size.largest
     regions = max(1, len(set(config.region_by_zone.values())))
     parts = max(MIN_RESERVE_PARTS, RESERVE_PARTS_PER_GATEWAY * regions * largest)
     return config.extra_reserve / parts
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -331,7 +331,7 @@
             "gateway/service_defaults.EXTRA_MARGIN",
             "gateway/service_defaults.RESERVE_PARTS_PER_GATEWAY",
             "gateway/service_defaults.MIN_RESERVE_PARTS",
-            "gateway/service_defaults.UNKNOWN_FLEET",
+            "gateway/service_defaults.ASSUMED_FLEET_SIZE",
             "gateway/cluster/fleet_size.MEMORY_S",
             "kernel/budgets.DECAY_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -241,7 +241,7 @@
     Mutant(
         "a gateway without others in view takes itself for a small fleet",
         "gateway/service_defaults",
-        "UNKNOWN_FLEET if size.is_alone else size.largest",
+        "ASSUMED_FLEET_SIZE if size.is_alone else size.largest",
         "size.largest",
         "a fleet's retries keep to what all may send together",
     ),
