--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -388,7 +388,7 @@
         reason="Ready with both documents. When stopping it serves on while callers"
         " may keep its address, then refuses, and ends when what it took has ended.",
         constants=(
-            "gateway/lifecycle.KEPT_FACTOR",
+            "gateway/lifecycle.ADDRESS_CACHE_FACTOR",
             "gateway/lifecycle.LAST_ARRIVALS_S",
             "gateway/lifecycle.CLOSING_S",
             "gateway/lifecycle.MARGIN_S",
