--- a/spindlenotch/gateway/lifecycle.py
+++ b/spindlenotch/gateway/lifecycle.py
@@ -13,7 +13,7 @@
 #: Callers may keep an answer this many times as long as they were told.
 ADDRESS_CACHE_FACTOR = 3.0
 #: Added to that time, for requests on their way.
-LAST_ARRIVALS_S = 0.5
+IN_TRANSIT_S = 0.5
 #: End of the longest planned stop in which nothing more is taken, so that what was
 #: taken comes to its end.
 CLOSING_S = 3.0
@@ -55,7 +55,7 @@
     ``hand_out_s`` is how long callers are told to keep an address,
     ``stop_limit_s`` the longest planned stop, both in seconds.
     """
-    cached_s = ADDRESS_CACHE_FACTOR * hand_out_s + LAST_ARRIVALS_S
+    cached_s = ADDRESS_CACHE_FACTOR * hand_out_s + IN_TRANSIT_S
     return StopSchedule(
         listen_s=min(cached_s, stop_limit_s - CLOSING_S),
         end_s=stop_limit_s - MARGIN_S,
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -389,7 +389,7 @@
         " may keep its address, then refuses, and ends when what it took has ended.",
         constants=(
             "gateway/lifecycle.ADDRESS_CACHE_FACTOR",
-            "gateway/lifecycle.LAST_ARRIVALS_S",
+            "gateway/lifecycle.IN_TRANSIT_S",
             "gateway/lifecycle.CLOSING_S",
             "gateway/lifecycle.MARGIN_S",
         ),
