--- a/spindlenotch/gateway/lifecycle.py
+++ b/spindlenotch/gateway/lifecycle.py
@@ -16,7 +16,7 @@
 IN_TRANSIT_S = 0.5
 #: End of the longest planned stop in which nothing more is taken, so that what was
 #: taken comes to its end.
-CLOSING_S = 3.0
+FINAL_DRAIN_S = 3.0
 #: Left of the longest planned stop when the process ends whatever is in flight.
 MARGIN_S = 0.4
 
@@ -57,6 +57,6 @@
     """
     cached_s = ADDRESS_CACHE_FACTOR * hand_out_s + IN_TRANSIT_S
     return StopSchedule(
-        listen_s=min(cached_s, stop_limit_s - CLOSING_S),
+        listen_s=min(cached_s, stop_limit_s - FINAL_DRAIN_S),
         end_s=stop_limit_s - MARGIN_S,
     )
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -390,7 +390,7 @@
         constants=(
             "gateway/lifecycle.ADDRESS_CACHE_FACTOR",
             "gateway/lifecycle.IN_TRANSIT_S",
-            "gateway/lifecycle.CLOSING_S",
+            "gateway/lifecycle.FINAL_DRAIN_S",
             "gateway/lifecycle.MARGIN_S",
         ),
         events=("READY", "LEAVING", "STOP_FORCED", "STOPPED"),
