--- a/spindlenotch/gateway/lifecycle.py
+++ b/spindlenotch/gateway/lifecycle.py
@@ -18,7 +18,7 @@
 #: taken comes to its end.
 FINAL_DRAIN_S = 3.0
 #: Left of the longest planned stop when the process ends whatever is in flight.
-MARGIN_S = 0.4
+FORCED_STOP_MARGIN_S = 0.4
 
 
 class Phase(enum.Enum):
@@ -58,5 +58,5 @@
     cached_s = ADDRESS_CACHE_FACTOR * hand_out_s + IN_TRANSIT_S
     return StopSchedule(
         listen_s=min(cached_s, stop_limit_s - FINAL_DRAIN_S),
-        end_s=stop_limit_s - MARGIN_S,
+        end_s=stop_limit_s - FORCED_STOP_MARGIN_S,
     )
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -391,7 +391,7 @@
             "gateway/lifecycle.ADDRESS_CACHE_FACTOR",
             "gateway/lifecycle.IN_TRANSIT_S",
             "gateway/lifecycle.FINAL_DRAIN_S",
-            "gateway/lifecycle.MARGIN_S",
+            "gateway/lifecycle.FORCED_STOP_MARGIN_S",
         ),
         events=("READY", "LEAVING", "STOP_FORCED", "STOPPED"),
         tests=(
