--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -87,7 +87,7 @@
         """Hold a request while this gateway starts; return for how many seconds."""
         arrived_at = self.state.clock.now()
         hold_until = start_limit.hold_until(self.state.started_at)
-        await self.state.until_can_serve(hold_until)
+        await self.state.wait_until_can_serve(hold_until)
         return self.state.clock.now() - arrived_at
 
     async def _forward(
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -125,7 +125,7 @@
         """Tell whether routes and upstreams are known."""
         return self.table is not None and self.has_listing
 
-    async def until_can_serve(self, limit: ids.Instant) -> None:
+    async def wait_until_can_serve(self, limit: ids.Instant) -> None:
         """Wait until routes and upstreams are known, until ``limit`` at most."""
         try:
             async with asyncio.timeout(max(0.0, limit - self.clock.now())):
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -142,7 +142,7 @@
         question="What a gateway that has just started does with requests",
         functions=(
             "decisions/start_limit.hold_until",
-            "gateway/state.GatewayState.until_can_serve",
+            "gateway/state.GatewayState.wait_until_can_serve",
         ),
         inputs="when the process started (instant), whether routes and upstreams are"
         " known.",
