--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -360,9 +360,9 @@
         """Bring the splits of calls between versions in step with the orders."""
         self.rollouts.reconcile(self.balancer_by_service)
         self.services.report_changes()
-        self._end_upstreams()
+        self._notify_ended()
 
-    def _end_upstreams(self) -> None:
+    def _notify_ended(self) -> None:
         """Tell which upstreams are gone for good, and log those that started again."""
         for ended in self.listing.take_ended():
             for listener in self._end_listeners:
