--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -212,8 +212,8 @@
         now = self.clock.now()
         self.listing.set_position(revision, era, now)
         before = self.listing.evacuated_zones
-        plain = self.rollouts.orders.apply_marks(listed, now)
-        self.listing.replace_by_peer(plain, now)
+        unmarked = self.rollouts.orders.apply_marks(listed, now)
+        self.listing.replace_by_peer(unmarked, now)
         source_events.report_evacuations(before, self.listing.evacuated_zones)
         self._listing_changed(FROM_PEER)
 
