--- a/features/steps/gateway_reading.py
+++ b/features/steps/gateway_reading.py
@@ -28,7 +28,7 @@
 
 @kernel.PROPERTIES.register("one that starts slowly, or is answered, waits for longer")
 def waits_longer() -> None:
-    state, slow = started_gateway.gateway(started_gateway.SEED, start_took_s=0.7)
+    state, slow = started_gateway.gateway(started_gateway.SEED, startup_s=0.7)
     _, quick = started_gateway.gateway(started_gateway.SEED)
     times = slow.first_peer_wait_s / quick.first_peer_wait_s
     assert abs(times - 0.7 / reader_duty.FIRST_PEER_WAIT_S) < 1e-6
--- a/features/support/started_gateway.py
+++ b/features/support/started_gateway.py
@@ -14,7 +14,7 @@
 
 
 def gateway(
-    seeds: str, start_took_s: float = 0.0
+    seeds: str, startup_s: float = 0.0
 ) -> tuple[states.GatewayState, relay.Relay]:
     """Return a gateway that has just started, and its relay."""
     given = {
@@ -32,7 +32,7 @@
     state = states.GatewayState(config, clock.ManualClock())
     fleet = fleets.Fleet(state)
     return state, relay.Relay(
-        state, fleet, membership.Membership(state).link, start_took_s
+        state, fleet, membership.Membership(state).link, startup_s
     )
 
 
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -56,7 +56,7 @@
         source: sources.Source,
         port: ports.UpstreamPort,
         gateway_dialect: dialect.Dialect,
-        start_took_s: float = 0.0,
+        startup_s: float = 0.0,
     ) -> None:
         self.state = gateway_state
         self.source = source
@@ -80,7 +80,7 @@
         )
         self.membership = membership.Membership(gateway_state)
         link = self.membership.link
-        self.relay = relay.Relay(gateway_state, self.fleet, link, start_took_s)
+        self.relay = relay.Relay(gateway_state, self.fleet, link, startup_s)
         self.source_reader = source_reader.SourceReader(
             gateway_state, source, self.relay
         )
@@ -182,11 +182,11 @@
             events.emit(events.Event.HOST_SUSPENDED, seconds=round(suspended_s, 3))
 
 
-def create(config: settings.GatewaySettings, start_took_s: float = 0.0) -> Gateway:
+def create(config: settings.GatewaySettings, startup_s: float = 0.0) -> Gateway:
     """
     Build a gateway from settings with the drivers that they name.
 
-    ``start_took_s`` is how long the process has taken until now, in seconds.
+    ``startup_s`` is how long the process has taken until now, in seconds.
     """
     gateway_dialect = dialect.DIALECTS.get(config.dialect)()
     gateway_state = state.GatewayState(config, clock.CLOCKS.get("boottime")())
@@ -195,5 +195,5 @@
         sources.SOURCES.get(config.source_driver)(config.source),
         upstream_http.HttpUpstreamPort(gateway_dialect.upstream),
         gateway_dialect,
-        start_took_s,
+        startup_s,
     )
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -44,7 +44,7 @@
 STRENGTH_POWER = 2
 
 
-def first_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
+def first_wait_s(local_host: ids.HostId, startup_s: float, cores: float) -> float:
     """
     Return for how long a gateway that starts waits for a peer that has read.
 
@@ -52,11 +52,11 @@
     settings may come up last, and until then nobody can be asked. The waits are
     spread from none to twice the mean, in the order in which gateways become active,
     so that those come first that callers will be sent to. The mean is what the own
-    start took, ``start_took_s``, since peers of the same strength come up around the
+    start took, ``startup_s``, since peers of the same strength come up around the
     same time; shorter on a host of more than one core, ``cores``, which is up before
     the weaker ones and sooner among the active.
     """
-    mean_s = max(FIRST_PEER_WAIT_S, start_took_s) / max(1.0, cores) ** STRENGTH_POWER
+    mean_s = max(FIRST_PEER_WAIT_S, startup_s) / max(1.0, cores) ** STRENGTH_POWER
     return 2.0 * mean_s * active_set.precedence(local_host)
 
 
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -52,7 +52,7 @@
         gateway_state: state.GatewayState,
         gateway_fleet: fleet.Fleet,
         link: peer_link.PeerLink,
-        start_took_s: float = 0.0,
+        startup_s: float = 0.0,
     ) -> None:
         self.state = gateway_state
         self.fleet = gateway_fleet
@@ -64,7 +64,7 @@
         )
         self.started_at = gateway_state.started_at
         self.first_peer_wait_s = reader_duty.first_wait_s(
-            gateway_state.config.host, start_took_s, gateway_state.config.cores
+            gateway_state.config.host, startup_s, gateway_state.config.cores
         )
         self._announce_rounds = 0
         self._is_announcing = False
