--- a/features/steps/gateway_wakeups.py
+++ b/features/steps/gateway_wakeups.py
@@ -37,4 +37,4 @@
                 now_s = next_wakeup_s + rng.uniform(0.0, 0.02)
                 woken += 1
             assert abs(woken - PLAYED_S / period_s) <= 2, (period_s, woken)
-        assert len(instants) <= PLAYED_S / wakeups.BEAT_S + 1, len(instants)
+        assert len(instants) <= PLAYED_S / wakeups.WAKEUP_INTERVAL_S + 1, len(instants)
--- a/spindlenotch/gateway/wakeups.py
+++ b/spindlenotch/gateway/wakeups.py
@@ -14,14 +14,14 @@
 
 #: Time between two instants at which loops wake, in seconds. That of the shortest
 #: period of a loop that waits for them (``gateway.TICK_S``).
-BEAT_S = 0.2
+WAKEUP_INTERVAL_S = 0.2
 
 
 class Wakeups:
-    """The instants, one in ``BEAT_S``, at which the loops of this process wake."""
+    """The instants at which the loops of this process wake."""
 
     def __init__(self, rng: random.Random) -> None:
-        self._phase_s = rng.uniform(0.0, BEAT_S)
+        self._phase_s = rng.uniform(0.0, WAKEUP_INTERVAL_S)
 
     async def sleep(self, period_s: float) -> None:
         """Sleep until the instant nearest to ``period_s`` seconds from now."""
@@ -30,9 +30,9 @@
 
     def next_wakeup_s(self, now_s: float, period_s: float) -> float:
         """Return that instant; at least half a beat from now, both in seconds."""
-        intervals = (now_s + period_s - self._phase_s) / BEAT_S
+        intervals = (now_s + period_s - self._phase_s) / WAKEUP_INTERVAL_S
         nearest = math.floor(intervals + 0.5)
-        instant_s = self._phase_s + nearest * BEAT_S
-        if instant_s - now_s < 0.5 * BEAT_S:
-            instant_s += BEAT_S
+        instant_s = self._phase_s + nearest * WAKEUP_INTERVAL_S
+        if instant_s - now_s < 0.5 * WAKEUP_INTERVAL_S:
+            instant_s += WAKEUP_INTERVAL_S
         return instant_s
