--- a/spindlenotch/gateway/service_defaults.py
+++ b/spindlenotch/gateway/service_defaults.py
@@ -1,9 +1,9 @@
 """
-What the kernel is told of a gateway's services.
+The balancing policies of a gateway's services.
 
-The configuration of routes names services but not how to balance them, so the
-policy of each comes from here and from the settings. Relies on
-``kernel.service_policy`` for the form; owns no state.
+The route configuration names services but not how to balance them, so their policies
+are built from the defaults here and the settings. The type of a policy is defined by
+``kernel.service_policy``. Holds no state.
 """
 
 from spindlenotch import ids
@@ -13,33 +13,36 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import extra_budgets, regions, service_policy
 
-#: Typical latency of a route's requests before any has ended, as a share of the
-#: route's target.
+#: Assumed typical latency of a route's requests until one has completed, as a share of
+#: the route's latency target.
 TYPICAL_SHARE_OF_TARGET = 0.35
-#: The same where a route has no target, and of a service as a whole, in seconds.
+#: Assumed typical latency of a service, and of a route without a latency target, in
+#: seconds.
 DEFAULT_TYPICAL_S = 0.1
-#: Most waiting requests of a service.
+#: Maximum number of queued requests per service.
 QUEUE_LIMIT = 2000
-#: Largest share of a service's upstreams that may be ejected.
+#: Maximum share of a service's upstreams that may be ejected.
 EJECT_SHARE = 0.5
-#: Share of the allowed retries and hedges that the fleet uses at most.
+#: Share of the allowed retries and hedges that the fleet uses at most, as a margin.
 EXTRA_MARGIN = 0.9
-#: Parts of the reserve of retries and hedges for each gateway of the fleet: its own,
-#: and that of the process or host that follows on it, which knows nothing of what
-#: was used before it.
+#: Parts of the fleet's reserve of retries and hedges per gateway: one for itself, and
+#: one for the process or host that replaces it, which does not know how much its
+#: predecessor used.
 RESERVE_PARTS_PER_GATEWAY = 2
-#: Parts where the fleet is small: a gateway that sees few others may be one of more.
+#: Minimum number of parts, for small fleets: a gateway that sees few others may belong
+#: to a larger fleet.
 MIN_RESERVE_PARTS = 24
-#: Gateways that the fleet may have as far as one knows that starts, or is cut off from
-#: all others: the largest that is planned for, so that many such use little.
+#: Number of gateways assumed by a gateway that is starting or partitioned from all
+#: others: the largest fleet planned for, so that many such gateways together stay
+#: within the reserve.
 ASSUMED_FLEET_SIZE = 300
-#: Slots of an upstream that is listed without a number. The source always gives
-#: one today.
+#: Concurrency slots of an upstream that is listed without a number. The source always
+#: gives one today.
 DEFAULT_SLOTS = 1
 
 
 def typical_latency_s(route: routing.Route) -> float:
-    """Return the assumed latency of a route's requests, in seconds."""
+    """Return the assumed typical latency of a route's requests, in seconds."""
     if route.target_s is None:
         return DEFAULT_TYPICAL_S
     return TYPICAL_SHARE_OF_TARGET * route.target_s
@@ -51,8 +54,8 @@
     """
     Return this gateway's part of the fleet's reserve of retries and hedges.
 
-    ``size`` is that of the own region. Each region has an equal part, so that the sum
-    holds while they have lost each other.
+    ``size`` is the number of gateways in the own region. Each region has an equal part,
+    so that the fleet stays within the reserve while regions are partitioned.
     """
     largest = ASSUMED_FLEET_SIZE if size.is_alone else size.largest
     regions = max(1, len(set(config.region_by_zone.values())))
@@ -66,7 +69,7 @@
     config: settings.GatewaySettings,
     size: fleet_size.FleetSize,
 ) -> service_policy.ServicePolicy:
-    """Return how a service with upstreams in ``zones`` is balanced."""
+    """Return the policy of a service with upstreams in ``zones``."""
     return service_policy.ServicePolicy(
         name=spec.name,
         zones=zones,
--- a/spindlenotch/gateway/services.py
+++ b/spindlenotch/gateway/services.py
@@ -1,8 +1,8 @@
 """
-The balancers of the services, in step with the configuration and the upstreams.
+The balancers of all services, kept in sync with the configuration and the upstreams.
 
-Owns one balancer for each service that any configuration has named. What is decided
-about calls lies in ``decisions``, the policy of a service in ``service_defaults``.
+Owns one balancer for each service that any configuration has named. Decisions about
+requests are made in ``decisions``; a service's policy is built by ``service_defaults``.
 """
 
 import random
@@ -16,7 +16,7 @@
 from spindlenotch.gateway.source import routing
 from spindlenotch.kernel import ownership, upstreams
 
-#: The upstreams that may get work, by service.
+#: The upstreams that may receive requests, by service.
 SpecsByService = abc.Mapping[ids.ServiceName, abc.Sequence[upstreams.UpstreamSpec]]
 
 
@@ -24,7 +24,8 @@
     """
     The services of one gateway.
 
-    ``region_size`` tells how many gateways share what the fleet may send again.
+    ``region_size`` is the number of gateways in the region, by which the fleet's
+    reserve of retries and hedges is divided.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
     def configure(
         self, configuration: routing.Configuration, config: settings.GatewaySettings
     ) -> None:
-        """Begin the services that are new, and learn what routes promise."""
+        """Create balancers for new services and track the latencies of all routes."""
         for name, spec in configuration.service_by_name.items():
             if name not in self.balancer_by_service:
                 self.balancer_by_service[name] = self._new_balancer(spec, config)
@@ -58,7 +59,7 @@
         config: settings.GatewaySettings,
         now: ids.Instant,
     ) -> None:
-        """Take in the upstreams of all services."""
+        """Set the listed upstreams of all services and update their policies."""
         for name, service in self.balancer_by_service.items():
             specs = specs_by_service.get(name, ())
             spec = None
@@ -69,7 +70,7 @@
             service.pool.set_listed(specs, now)
 
     def tick(self, config: settings.GatewaySettings, now: ids.Instant) -> None:
-        """Let ejections end, and budgets follow the size of the fleet."""
+        """End expired ejections and adapt the budgets to the size of the fleet."""
         reserve = service_defaults.extra_reserve(config, self.region_size)
         for service in self.balancer_by_service.values():
             service.pool.tick(now)
@@ -78,12 +79,12 @@
     def leave(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Give an upstream no new work; tell whether that is a change."""
+        """Stop sending new requests to an upstream; return whether that is a change."""
         pool = self.balancer_by_service[service].pool
         return pool.leave(spec.id, spec.generation, reason)
 
     def report_changes(self) -> None:
-        """Log which upstreams have changed their state."""
+        """Log the state changes of upstreams."""
         for name, service in self.balancer_by_service.items():
             upstream_events.report_changes(name, service.pool)
 
@@ -94,7 +95,7 @@
         listed: abc.Iterable[upstreams.UpstreamSpec],
         config: settings.GatewaySettings,
     ) -> None:
-        """Put the policy of a service into force where it has changed."""
+        """Apply the policy of a service if it has changed."""
         zones = {upstream.zone for upstream in listed} | {config.zone}
         policy = service_defaults.policy(
             spec, tuple(sorted(zones)), config, self.region_size
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -1,11 +1,10 @@
 """
-The state of one gateway: configuration, upstreams, peers and its own phase.
+The state of one gateway: configuration, upstreams, peers and lifecycle phase.
 
-Owns these and the balancers of the services, and keeps them in step with each
-other: what the source or a peer says comes in through the ``apply_`` methods,
-which log what changed. The data path, the ports and the loops read it. What is
-decided about them lies in ``listing``, ``lifecycle``, ``active_set`` and the
-kernel.
+Owns these and the balancers of the services, and keeps them consistent with each
+other. Updates from the source or a peer are applied by the ``apply_`` methods, which
+log the changes. The data path, the ports and the loops read the state. Decisions are
+made in ``listing``, ``lifecycle``, ``active_set`` and the kernel.
 """
 
 import asyncio
@@ -30,7 +29,7 @@
 from spindlenotch.kernel import ownership, regions, upstreams
 from spindlenotch.peers import documents, region_links, regional_gossip, timing
 
-#: Callers fail over by themselves within a second; peers are dropped a bit later.
+#: Callers fail over on their own within a second; peers are dropped slightly later.
 GOSSIP_TIMING = timing.Timing(
     period_s=0.4,
     reply_s=0.25,
@@ -39,20 +38,20 @@
     asks_while_learning=True,
 )
 
-#: Where a list of upstreams came from: values of the log field ``learned_from``.
+#: The origin of an upstream list: values of the log field ``learned_from``.
 FROM_SOURCE = "source"
 FROM_PEER = "peer"
 
-#: Called with each upstream that is gone for good.
+#: Called with each upstream that has ended permanently.
 EndListener = abc.Callable[[sources.ListedUpstream], None]
 
 
 class GatewayState:
     """
-    What one process knows and believes.
+    The state of one gateway process.
 
-    Invariants: the version of the configuration in force never falls; a
-    gateway is ready only with a configuration and a list of upstreams.
+    Invariants: the version of the configuration in force never decreases; a
+    gateway becomes ready only with a configuration and a list of upstreams.
     """
 
     def __init__(
@@ -92,37 +91,37 @@
 
     @property
     def unready_reason(self) -> str:
-        """Say why callers may not be sent here; empty where they may."""
+        """Return why this gateway is not ready for callers; empty if it is."""
         if self.ready:
             return ""
         if self.phase is lifecycle.Phase.LEAVING:
-            return "a planned stop"
+            return "planned stop in progress"
         if self.table is not None:
             return "no upstreams are known"
         return self._source_events.bad_items.account() or "no configuration is known"
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether the directory may list this gateway to callers."""
         return self.phase is lifecycle.Phase.SERVING
 
     @property
     def region(self) -> ids.RegionName:
-        """Return the region in which this gateway lies."""
+        """Return the region of this gateway."""
         return self.regions.region(self.config.zone)
 
     def is_far(self, zone: ids.ZoneName) -> bool:
-        """Tell whether a zone lies in another region."""
+        """Return whether a zone is in another region."""
         return self.regions.region(zone) != self.region
 
     @property
     def links(self) -> region_links.RegionLinks | None:
-        """Return what is known of other regions; None where there are none."""
+        """Return the links to other regions; None if there is a single region."""
         return regional_gossip.links_of(self.gossip)
 
     @property
     def can_serve(self) -> bool:
-        """Tell whether routes and upstreams are known."""
+        """Return whether routes and upstreams are known."""
         return self.table is not None and self.has_listing
 
     async def wait_until_can_serve(self, limit: ids.Instant) -> None:
@@ -131,12 +130,12 @@
             async with asyncio.timeout(max(0.0, limit - self.clock.now())):
                 await self._can_serve.wait()
         except TimeoutError:
-            # The caller looks at ``can_serve`` and refuses the request.
+            # The calling function checks ``can_serve`` and rejects the request.
             return
 
     @property
     def reads_source(self) -> bool:
-        """Tell whether this gateway reads the source itself at the moment."""
+        """Return whether this gateway currently reads the source itself."""
         return self.gossip.reads_source
 
     @reads_source.setter
@@ -145,11 +144,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force; zero where there is none."""
+        """Return the configuration version in force; zero if there is none."""
         return 0 if self.table is None else self.table.configuration.version
 
     def apply_configuration(self, configuration: routing.Configuration) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
+        """Apply a configuration if it is newer; return whether it was."""
         if self.table is not None and configuration.version <= self.version:
             return False
         self.table = routing.RouteTable(configuration)
@@ -168,21 +167,22 @@
         return True
 
     def add_end_listener(self, listener: EndListener) -> None:
-        """Call ``listener`` with each upstream that is gone for good from now on."""
+        """Call ``listener`` with each upstream that ends permanently from now on."""
         self._end_listeners.append(listener)
 
     def apply_snapshot(
         self, snapshot: sources.Snapshot, *, is_stale: bool = False
     ) -> None:
         """
-        Put everything that the source holds in force.
+        Apply the full contents of the source.
 
-        Where it ``is_stale``, a peer's newer list came while it was read, and its
-        upstreams stay: an older list would bring back those that have ended.
+        ``is_stale`` means that a newer list arrived from a peer while the snapshot was
+        read. That list is then kept, since the older one would bring back upstreams
+        that have ended.
         """
         self._source_events.report_bad(snapshot.bad, self.clock.now())
         self._update_era(snapshot)
-        # Records lost in a restore must not stay known, or nobody rewrites them.
+        # Records lost in a restore must be forgotten, or no gateway rewrites them.
         self.discovery_record_by_zone.clear()
         self._store_discovery_records(snapshot.discovery_records)
         if snapshot.configuration is not None:
@@ -192,7 +192,7 @@
         self.quarantines.replace(snapshot)
         before = self.listing.evacuated_zones
         if is_stale:
-            # What of it was taken back since then comes as a change.
+            # Evacuations cancelled since the snapshot arrive as changes.
             self.listing.evacuate(before | snapshot.evacuated_zones, now)
         else:
             self.listing.set_position(snapshot.revision, snapshot.era, now)
@@ -208,7 +208,7 @@
         revision: int = 0,
         era: int | None = None,
     ) -> None:
-        """Put the whole list that a peer read at ``revision`` in force."""
+        """Apply the full list that a peer read at ``revision``."""
         now = self.clock.now()
         self.listing.set_position(revision, era, now)
         before = self.listing.evacuated_zones
@@ -218,7 +218,7 @@
         self._listing_changed(FROM_PEER)
 
     def apply_changes(self, changes: sources.Changes) -> bool:
-        """Put what has changed in the source in force; tell whether anything had."""
+        """Apply changes in the source; return whether anything changed."""
         self._source_events.report_bad(changes.bad, self.clock.now())
         self._store_discovery_records(changes.discovery_records)
         if changes.configuration is not None:
@@ -232,10 +232,11 @@
 
     def _apply_listing_changes(self, changes: sources.Changes) -> bool:
         """
-        Put what has changed in the list in force; tell whether anything had.
+        Apply changes of the upstream list; return whether anything changed.
 
-        Upstreams that changed before the list in force, which came from a peer then,
-        are in it as they are now; older entries would bring back what has ended.
+        If the list in force came from a peer and is newer than the changes, it already
+        includes them. Their entries are then ignored, since they would bring back
+        upstreams that have ended.
         """
         now = self.clock.now()
         if self.listing.is_newer_than(changes.revision, changes.era):
@@ -248,7 +249,7 @@
         is_evacuation_changed = self.listing.update_evacuated_zones(
             changes.evacuated_zones, changes.restored_zones, now
         )
-        # An entry that can't be used is written again and again: no news but once.
+        # An unusable entry is rewritten repeatedly; only the first time is a change.
         is_dropped = self.listing.discard(changes.unusable, now)
         if not (changes.listed or changes.gone or is_dropped or is_evacuation_changed):
             return False
@@ -259,30 +260,30 @@
         return True
 
     def listed_for_peers(self) -> tuple[sources.ListedUpstream, ...]:
-        """Return the list of upstreams, with orders, as peers are to know it."""
+        """Return the upstreams, marked with the rollout orders, to send to peers."""
         now = self.clock.now()
         return self.rollouts.orders.with_marks(self.listing.listed(now), now)
 
     def apply_rollout_status(self, status: sources.RolloutStatus) -> None:
-        """Take in a status that this gateway has written into the source."""
+        """Apply a rollout status that this gateway has written to the source."""
         self.rollouts.orders.written(status)
         self._reconcile_rollouts()
 
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Give an upstream no new work; tell whether that is a change."""
+        """Stop sending new requests to an upstream; return whether that is a change."""
         changed = self.services.leave(service, spec, reason)
         self.services.report_changes()
         return changed
 
     def tick(self) -> bool:
         """
-        Let ejections and expired leases end; called a few times a second.
+        End expired ejections and leases, and adapt budgets to the size of the fleet.
 
-        Budgets follow the size of the fleet.
-        Tell whether a lease has expired, or upstreams withheld after a restore of the
-        source have been released, which peers have to know.
+        Must be called a few times a second. Returns whether a lease has expired, or
+        upstreams withheld after a restore of the source have been released; peers must
+        be notified of either.
         """
         now = self.clock.now()
         expired = self.listing.drop_expired(now)
@@ -300,7 +301,7 @@
         return expired or is_released
 
     def apply_settings(self, config: settings.GatewaySettings) -> None:
-        """Take in the settings that may change without a restart."""
+        """Apply the settings that may change without a restart."""
         self.config = reloading.reloaded(self.config, config)
 
     def leave(self) -> None:
@@ -309,7 +310,7 @@
         self.publish_status()
 
     def publish_status(self) -> None:
-        """Put this gateway's phase and version into its record for peers."""
+        """Update the phase and the version in this gateway's gossip record."""
         status = own_record.STATUS_BY_PHASE[self.phase]
         self.gossip.set_status(status, self.version)
 
@@ -357,13 +358,13 @@
         self._reconcile_rollouts()
 
     def _reconcile_rollouts(self) -> None:
-        """Bring the splits of calls between versions in step with the orders."""
+        """Update the traffic splits between versions to match the rollout orders."""
         self.rollouts.reconcile(self.balancer_by_service)
         self.services.report_changes()
         self._notify_ended()
 
     def _notify_ended(self) -> None:
-        """Tell which upstreams are gone for good, and log those that started again."""
+        """Notify listeners of upstreams that have ended, and log restarted ones."""
         for ended in self.listing.take_ended():
             for listener in self._end_listeners:
                 listener(ended.listed)
--- a/spindlenotch/gateway/state_dump.py
+++ b/spindlenotch/gateway/state_dump.py
@@ -1,10 +1,9 @@
 """
-The operators' ``/state`` page: what a gateway holds, and how old it is.
+The operators' ``/state`` page: the state of a gateway, and how old it is.
 
-The types here are the page's form. Operators' tools read its keys, so they stay
-as they are; where a key is not today's name, the field has that name and
-``msgspec`` writes the key. All ages are seconds. Relies on the gateway's state
-and the fleet; changes nothing.
+The types here define the page's format. Operators' tools read its keys, so the keys
+must not change; where a field's name differs from its key, ``rename=`` maps it.
+All ages are in seconds. Reads the gateway's state and the fleet; changes nothing.
 """
 
 import msgspec
@@ -23,7 +22,7 @@
 
 
 class PeerDump(msgspec.Struct, rename={"last_heartbeat_s_ago": "heard_s_ago"}):
-    """Another gateway; ``missed`` counts the heartbeats it has not answered."""
+    """Another gateway; ``missed`` counts its unanswered heartbeats."""
 
     status: str
     last_heartbeat_s_ago: float
@@ -32,9 +31,9 @@
 
 class RegionDump(msgspec.Struct):
     """
-    Another region as it was last heard of.
+    The last known state of another region.
 
-    ``used`` is the share of their slots that its upstreams have in use, by service.
+    ``used`` is the share of its upstreams' slots that are in use, by service.
     """
 
     heard_s_ago: float
@@ -52,13 +51,13 @@
     },
 ):
     """
-    An upstream as the balancer sees it.
+    The balancer's view of an upstream.
 
-    ``slowdown`` is how many times as long as usual work takes there now, by its
-    load reports; ``latency_ratio`` the same by the answers that this gateway had.
-    ``limit_per_s`` is what it says it takes from all gateways in a second, None where
-    it names none, ``part_per_s`` this gateway's part of that; ``rests_s`` for how much
-    longer it wants nothing from this one.
+    ``slowdown`` is the upstream's current latency relative to its usual one, from its
+    load reports; ``latency_ratio`` the same, from responses to this gateway.
+    ``limit_per_s`` is the advertised limit of requests per second from all gateways,
+    None without one; ``part_per_s`` is this gateway's part of it. ``rests_s`` is the
+    remaining time in which the upstream wants no requests from this gateway.
     """
 
     id: ids.UpstreamId
@@ -74,7 +73,7 @@
 
 
 class ServiceDump(msgspec.Struct, rename={"retry_budget": "extra_left"}):
-    """A service; ``retry_budget`` counts the retries and hedges left."""
+    """A service; ``retry_budget`` is the number of retries and hedges left."""
 
     waiting: int
     retry_budget: float
@@ -82,7 +81,7 @@
 
 
 class QuarantineDump(msgspec.Struct):
-    """A request that is not sent any more; ``ended`` are upstreams that it ended."""
+    """A quarantined request; ``ended`` are the upstreams that it crashed."""
 
     ended: list[ids.UpstreamId]
     left_s: float
@@ -92,11 +91,10 @@
     """
     A gateway; ``version`` is that of the configuration in force.
 
-    ``refused_routes`` says why routes are not served, by host and prefix;
-    ``not_ready`` why callers may not be sent here, empty where they may; ``regions``
-    holds what is known of the others. ``rollouts`` are the services that change their
-    version, ``quarantined`` the requests that end the upstreams that run them, by
-    fingerprint.
+    ``refused_routes`` holds the reasons why routes are not served, by host and prefix;
+    ``not_ready`` the reason why the gateway is not ready, empty if it is; ``regions``
+    the last known state of the other regions; ``rollouts`` the services with a rollout;
+    ``quarantined`` the requests that crash upstreams, by fingerprint.
     """
 
     host: ids.HostId
@@ -116,7 +114,7 @@
 def create(
     gateway_state: state.GatewayState, gateway_fleet: fleet.Fleet
 ) -> GatewayDump:
-    """Return what this gateway holds now."""
+    """Return the current state of this gateway."""
     now = gateway_state.clock.now()
     return GatewayDump(
         host=gateway_state.config.host,
