--- a/spindlenotch/gateway/daemon.py
+++ b/spindlenotch/gateway/daemon.py
@@ -1,8 +1,9 @@
 """
 Run a gateway as a process on a uvloop loop.
 
-Owns the process: signals and the settings file. ``aiomisc`` is left out, because
-each gateway's memory counts and loop, signals and stop are a few lines.
+Owns the process: signals and reloads of the settings file. ``aiomisc`` is not used:
+it adds memory to every gateway, and the event loop, signal handlers and shutdown
+take only a few lines.
 """
 
 import asyncio
@@ -17,41 +18,41 @@
 from spindlenotch.gateway import gateway, log_sink, settings
 from spindlenotch.settings import schema
 
-#: Seconds between looks at the settings file; it may change without a signal.
+#: Seconds between checks of the settings file, which may change without a SIGHUP.
 SETTINGS_CHECK_S = 1.0
-#: Exit code where the settings can't be used.
+#: Exit code when the settings are invalid.
 EXIT_SETTINGS = 2
 
 
 class SettingsSource(msgspec.Struct, frozen=True):
     """
-    Where settings come from.
+    The source of the process's settings.
 
-    ``read`` returns them, or all their faults; ``path`` is the file behind them,
-    None where there is none.
+    ``read`` returns the settings, or all faults in them; ``path`` is the settings
+    file, None without one.
     """
 
     read: abc.Callable[[], "settings.GatewaySettings | list[schema.Fault]"]
     path: str | None
 
     def modified_at_ns(self) -> int | None:
-        """Return when the file was modified, in ns; None without one to read."""
+        """Return the file's modification time in ns; None without a readable file."""
         if self.path is None:
             return None
         try:
             return os.stat(self.path).st_mtime_ns
         except OSError:
-            # While the file is replaced it may be absent for a moment; the
-            # settings in force stay, and the next look finds the new file.
+            # The file may be absent for a moment while it is being replaced. The
+            # settings in force are kept, and the next check finds the new file.
             return None
 
 
 def run(source: SettingsSource, begun_at: ids.Instant | None = None) -> int:
     """
-    Run until SIGTERM or SIGINT, then stop as planned; return the exit code.
+    Run until SIGTERM or SIGINT, then stop gracefully; return the exit code.
 
-    ``begun_at`` is when the process began its imports, by the clock that gateways
-    use; None where that is not known.
+    ``begun_at`` is when the process began its imports, on the clock that gateways
+    use; None if unknown.
     """
     log_sink.install()
     config = source.read()
@@ -88,7 +89,7 @@
 
 
 async def _watch_file(running: gateway.Gateway, source: SettingsSource) -> None:
-    """Read the settings again when their file has changed."""
+    """Reload the settings whenever their file has been modified."""
     seen_ns = source.modified_at_ns()
     while True:
         await running.state.wakeups.sleep(SETTINGS_CHECK_S)
@@ -99,7 +100,7 @@
 
 
 def _reload(running: gateway.Gateway, source: SettingsSource) -> None:
-    """Put changed settings into force; where one is at fault, none is."""
+    """Apply changed settings, or none of them if any is invalid."""
     config = source.read()
     if isinstance(config, list):
         _log_faults(config)
--- a/spindlenotch/gateway/deadlines.py
+++ b/spindlenotch/gateway/deadlines.py
@@ -1,10 +1,10 @@
 """
-Deadlines that hold on a host that may be suspended.
+Timeouts that stay correct when the host is suspended.
 
-Deadlines are instants of the host's clock, which counts the time for which the host was
-suspended; the event loop's clock, by which its timers end, does not. So timers that
-were begun before a suspension would end late by as much. Here they are kept, and
-moved when the two clocks have parted.
+Deadlines are instants of the host's clock, which keeps counting while the host is
+suspended. The event loop's clock, which drives its timers, does not, so timers started
+before a suspension would fire late by its duration. The timers are therefore tracked
+here and rescheduled when the two clocks diverge.
 """
 
 import asyncio
@@ -13,13 +13,14 @@
 
 from spindlenotch import clock, ids
 
-#: Seconds by which the clocks part that are no suspension: reading both takes a moment,
-#: in which another process may run.
+#: Smallest divergence of the clocks that counts as a suspension, in seconds. Smaller
+#: ones occur because the two clocks are read one after the other, and another process
+#: may run in between.
 MIN_SUSPENSION_S = 0.05
 
 
 class Deadlines:
-    """The timers of one process that end at instants of the host's clock."""
+    """The timers of one process that expire at instants of the host's clock."""
 
     def __init__(self, host_clock: clock.Clock) -> None:
         self.clock = host_clock
@@ -28,7 +29,7 @@
 
     @contextlib.asynccontextmanager
     async def until(self, deadline: ids.Instant) -> abc.AsyncIterator[None]:
-        """Cancel the body at ``deadline``; raise ``TimeoutError`` then."""
+        """Cancel the body at ``deadline`` and raise ``TimeoutError``."""
         async with asyncio.timeout_at(self._loop_time(deadline)) as timeout:
             self._deadline_by_timeout[timeout] = deadline
             try:
@@ -38,9 +39,10 @@
 
     def check(self) -> float:
         """
-        Move the timers if the host was suspended; called a few times a second.
+        Reschedule the timers if the host was suspended.
 
-        Return for how many seconds it was, zero where it was not.
+        Must be called a few times a second. Returns the duration of the suspension
+        since the last call, in seconds; zero if there was none.
         """
         clock_offset_s = self.clock.now() - asyncio.get_running_loop().time()
         previous_offset_s = (
@@ -54,5 +56,5 @@
         return clock_offset_s - previous_offset_s
 
     def _loop_time(self, instant: ids.Instant) -> float:
-        """Turn an instant of the host's clock into one of the event loop's."""
+        """Convert an instant of the host's clock to one of the event loop's."""
         return asyncio.get_running_loop().time() + (instant - self.clock.now())
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -1,9 +1,9 @@
 """
-One gateway: its state, loops and ports put together.
+The gateway as a whole: assembles its state, background loops and ports.
 
-Owns the order of starting and stopping, and the tasks of the loops. ``create``
-builds a gateway from settings with the drivers that they name; what the parts
-decide lies in their modules.
+Owns the order of startup and shutdown, and the tasks of the loops. ``create``
+builds a gateway from settings with the drivers that they name; decisions are made
+in the modules of the parts.
 """
 
 import asyncio
@@ -34,20 +34,20 @@
 from spindlenotch.gateway.source import discovery, relay, source_reader, sources
 from spindlenotch.peers import background
 
-#: Time between two ticks of the state: idle loops take processor time.
+#: Seconds between ticks of the state. Not shorter, since even idle loops use CPU time.
 TICK_S = 0.2
-#: Time between two looks at the requests in flight of a planned stop.
+#: Seconds between checks for requests in flight during a planned stop.
 DRAIN_CHECK_S = 0.02
-#: Least time that connections get to close.
+#: Minimum time for connections to close, in seconds.
 MIN_CLOSE_S = 0.05
 
 
 class Gateway:
     """
-    The parts of one gateway and their order of starting and stopping.
+    The parts of one gateway and their order of startup and shutdown.
 
-    Invariant: all ports are open before it can become ready, and that for
-    callers closes last.
+    Invariant: all ports are open before the gateway can become ready, and the port
+    for callers closes last.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Open all ports and start the loops."""
+        """Open all ports and start the background loops."""
         await self.ingress.start()
         await self.side_ports.start()
         await self.membership.start()
@@ -131,10 +131,11 @@
 
     async def stop(self) -> None:
         """
-        Stop as planned: nothing that is in flight is cut off.
+        Stop gracefully, without aborting requests in flight.
 
-        Callers are no longer sent here at once, but served until the answers
-        that named this gateway are no longer kept.
+        The directory stops listing this gateway at once, but requests are accepted
+        until callers' cached directory responses that list it have expired. Requests
+        still in flight at the stop limit are aborted.
         """
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
@@ -153,7 +154,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close everything now."""
+        """Cancel the loops and close all ports immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -186,7 +187,7 @@
     """
     Build a gateway from settings with the drivers that they name.
 
-    ``startup_s`` is how long the process has taken until now, in seconds.
+    ``startup_s`` is the time since the process started, in seconds.
     """
     gateway_dialect = dialect.DIALECTS.get(config.dialect)()
     gateway_state = state.GatewayState(config, clock.CLOCKS.get("boottime")())
--- a/spindlenotch/gateway/jitter.py
+++ b/spindlenotch/gateway/jitter.py
@@ -1,16 +1,16 @@
 """
-Periods that vary a little, so that gateways do not fall into step.
+Jittered periods, which keep gateways from synchronizing with each other.
 
-Pure; the loops that ask peers, the source or upstreams sleep for them.
+Pure. Used by the loops that poll peers, the source or upstreams.
 """
 
 import random
 
-#: A jittered period lies within these shares of the period.
+#: Bounds of a jittered period, as factors of the nominal period.
 MIN_FACTOR = 0.9
 MAX_FACTOR = 1.1
 
 
 def jittered(period_s: float, rng: random.Random) -> float:
-    """Return a period near ``period_s``, in seconds; one draw of ``rng``."""
+    """Return ``period_s`` with jitter, in seconds; draws once from ``rng``."""
     return period_s * rng.uniform(MIN_FACTOR, MAX_FACTOR)
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -1,9 +1,9 @@
 """
-The gateway's ports beside the callers': readiness, directory, metrics, state.
+The gateway's HTTP ports other than the callers': readiness, directory, metrics, state.
 
-Owns their listening sockets; the paths differ, so all addresses share a server.
-Relies on the gateway's state and the fleet, which it only reads, and on
-``state_dump`` for the form of ``/state``.
+Owns their listening sockets. The paths are distinct, so one server handles all
+addresses. Reads the gateway's state and the fleet without changing them;
+``state_dump`` defines the format of ``/state``.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 
 METRICS_PATH = "/metrics"
 STATE_PATH = "/state"
-#: Seconds that open requests have when the ports close.
+#: Seconds for open requests to complete when the ports close.
 SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class SidePorts:
-    """Answers readiness checks, callers' directory requests and operators."""
+    """Serves readiness checks, directory queries, metrics and the state page."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         }
 
     async def start(self) -> None:
-        """Listen on all side addresses; raises ``OSError`` where one is taken."""
+        """Listen on all addresses; raise ``OSError`` if one is already in use."""
         config = self.state.config
         loop = asyncio.get_running_loop()
         addresses = {
@@ -85,7 +85,7 @@
     def _directory(
         self, origin: dialect.Origin = dialect.UNKNOWN_ORIGIN
     ) -> web_response.Response:
-        """Name the gateways that callers should use, for ``hand_out_s`` seconds."""
+        """List the gateways that callers may use for ``hand_out_s`` seconds."""
         addresses = self.fleet.addresses_for(
             self._region_of(origin), self._allowed_regions(origin)
         )
@@ -100,7 +100,7 @@
         )
 
     def _region_of(self, origin: dialect.Origin) -> ids.RegionName:
-        """Return the caller's region; where it says nothing of it, this one."""
+        """Return the caller's region; the gateway's own if the query gives none."""
         if origin.region is not None:
             return origin.region
         if origin.zone is not None:
@@ -110,7 +110,7 @@
     def _allowed_regions(
         self, origin: dialect.Origin
     ) -> frozenset[ids.RegionName] | None:
-        """Return where requests to the caller's host may be served; None: anywhere."""
+        """Return the regions that may serve the requested host; None: all regions."""
         table = self.state.table
         if table is None or origin.host is None:
             return None
--- a/spindlenotch/gateway/wakeups.py
+++ b/spindlenotch/gateway/wakeups.py
@@ -1,19 +1,19 @@
 """
-Lets the loops of one process wake together, so that it wakes seldom.
+Coalesces the wake-ups of a process's loops, so that it wakes less often.
 
-A standby gateway has eight loops that look after something a few times a second.
-Each on its own beat, they woke the process 26 times a second; on one beat it is
-five times. In a fleet of hundreds on shared processors most of what a standby
-costs is waking: its caches are cold each time. The beat of each process begins
-at a random instant, so that gateways do not act in step.
+A standby gateway has eight loops that run a few times a second. With independent
+timers they woke the process 26 times a second; with common instants it wakes five
+times. In a fleet of hundreds on shared processors, wake-ups are most of the cost of a
+standby gateway, because its CPU caches are cold each time. Each process starts its
+intervals at a random phase, so that gateways do not act in sync.
 """
 
 import asyncio
 import math
 import random
 
-#: Time between two instants at which loops wake, in seconds. That of the shortest
-#: period of a loop that waits for them (``gateway.TICK_S``).
+#: Seconds between the instants at which loops wake; equal to the shortest period of
+#: the loops that use them (``gateway.TICK_S``).
 WAKEUP_INTERVAL_S = 0.2
 
 
@@ -24,12 +24,12 @@
         self._phase_s = rng.uniform(0.0, WAKEUP_INTERVAL_S)
 
     async def sleep(self, period_s: float) -> None:
-        """Sleep until the instant nearest to ``period_s`` seconds from now."""
+        """Sleep until the wake-up instant nearest to ``period_s`` seconds from now."""
         now_s = asyncio.get_running_loop().time()
         await asyncio.sleep(self.next_wakeup_s(now_s, period_s) - now_s)
 
     def next_wakeup_s(self, now_s: float, period_s: float) -> float:
-        """Return that instant; at least half a beat from now, both in seconds."""
+        """Return that instant, at least half an interval from now, in seconds."""
         intervals = (now_s + period_s - self._phase_s) / WAKEUP_INTERVAL_S
         nearest = math.floor(intervals + 0.5)
         instant_s = self._phase_s + nearest * WAKEUP_INTERVAL_S
