--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -1,9 +1,9 @@
 """
-Header names, paths and answer forms of the protocols that a gateway can use.
+Header names, paths and response formats of the protocols that a gateway supports.
 
-The native dialect is the product's own; others register a factory in
-``DIALECTS``, and a setting names the one in use. Only names and forms vary; what
-they mean is fixed here. Holds no state.
+The native dialect is the product's own; others register a factory in ``DIALECTS``,
+and the ``dialect`` setting selects one. Dialects differ only in names and formats;
+the semantics are defined here. Holds no state.
 """
 
 from collections import abc
@@ -15,7 +15,7 @@
 
 
 class Directory(msgspec.Struct, frozen=True):
-    """The addresses that callers may use, and for how many seconds."""
+    """The addresses that callers may use, and their validity in seconds."""
 
     addresses: tuple[ids.Address, ...]
     valid_for_s: float
@@ -23,9 +23,9 @@
 
 class Origin(msgspec.Struct, frozen=True):
     """
-    Who asks the directory: the host it wants to reach and where it is itself.
+    The host that a directory query wants to reach, and the caller's zone and region.
 
-    None where it does not say.
+    Fields that the query leaves out are None.
     """
 
     host: str | None = None
@@ -33,23 +33,23 @@
     region: ids.RegionName | None = None
 
 
-#: The origin of a query that says nothing.
+#: The origin of a query without any of these fields.
 UNKNOWN_ORIGIN = Origin()
 
 
 class Dialect(msgspec.Struct, frozen=True):
     """
-    The names and forms of one protocol with callers and upstreams.
-
-    ``upstream``: how answers of upstreams are read.
-    ``request_id``: header with the caller's id of a request.
-    ``deadline_ms``: header with the milliseconds that are left for a request.
-    ``expect_upstream``: header with the id of the upstream that a request is for;
-    None where the protocol has none.
-    ``replaced``: lower-case names of the headers that are set anew for upstreams.
-    ``directory_path``, ``ready_path``: paths of the gateway's side ports.
-    ``render_directory``: returns the body of the directory's answer.
-    ``read_origin``: reads who asks the directory from the query's fields.
+    The names and formats of one protocol with callers and upstreams.
+
+    ``upstream``: how responses of upstreams are interpreted.
+    ``request_id``: header with the caller's request id.
+    ``deadline_ms``: header with the time left for a request, in milliseconds.
+    ``expect_upstream``: header with the id of the upstream that a request is meant
+    for; None if the protocol has none.
+    ``replaced``: lower-case names of request headers that the gateway overwrites.
+    ``directory_path``, ``ready_path``: paths on the gateway's side ports.
+    ``render_directory``: returns the body of a directory response.
+    ``read_origin``: parses the origin from the fields of a directory query.
     """
 
     upstream: upstream_dialect.UpstreamDialect
@@ -83,7 +83,7 @@
 
 
 def read_origin(fields: abc.Mapping[str, str], host_field: str = "host") -> Origin:
-    """Return what a query says of who asks; ``host_field`` names the host's field."""
+    """Parse the origin of a directory query; ``host_field`` names the host's field."""
     zone, region = fields.get("zone"), fields.get("region")
     return Origin(
         host=fields.get(host_field),
--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -1,8 +1,8 @@
 """
-Tells what this gateway sends to upstreams that name a limit.
+Logs how many requests this gateway sends to upstreams that advertise a rate limit.
 
-One line for each such upstream and window, so that the lines of all gateways add up
-to what the upstream got. Holds what was told last.
+One line per such upstream and window, so that the lines of all gateways add up to
+the requests that the upstream received. Holds the counts reported last.
 """
 
 from collections import abc
@@ -16,14 +16,14 @@
 
 
 class _Reported(msgspec.Struct):
-    """How many requests were told of, and when the next line is due."""
+    """The request count reported last, and when the next line is due."""
 
     sent: int
     window_until: ids.Instant
 
 
 class LimitReport:
-    """Reports on the upstreams of one process that name a limit."""
+    """Reports on the rate-limited upstreams of one process."""
 
     def __init__(self) -> None:
         self._reported_by_id: dict[ids.UpstreamId, _Reported] = {}
@@ -31,7 +31,7 @@
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
     ) -> None:
-        """Tell what is due."""
+        """Log the reports that are due."""
         limited: set[ids.UpstreamId] = set()
         for service in services:
             for upstream in service.pool.usable_order:
--- a/spindlenotch/gateway/log_sink.py
+++ b/spindlenotch/gateway/log_sink.py
@@ -1,9 +1,9 @@
 """
 Writes log lines to standard output without ever blocking the event loop.
 
-A full pipe drops lines; the next line that fits is preceded by a notice of how
-many were dropped. Each event has a limit of lines a second, so that one kind
-can't crowd out the others. Owns the descriptor's non-blocking mode.
+When the pipe is full, lines are dropped; the next line that fits is preceded by a
+line with the number of dropped lines. Lines are rate-limited per event, so that one
+event can't crowd out the others. Owns the descriptor's non-blocking mode.
 """
 
 import collections
@@ -16,19 +16,19 @@
 
 from spindlenotch import events
 
-#: Number of the standard output, by POSIX.
+#: File descriptor of standard output, defined by POSIX.
 STDOUT_DESCRIPTOR = 1
-#: Lines of one event in one second.
+#: Maximum log lines per event and second.
 MAX_LINES_PER_EVENT = 50
-#: Decimal places of a line's time, in seconds since the epoch.
+#: Decimal places of a line's timestamp, which is in seconds since the epoch.
 TIME_DIGITS = 3
 
 
 class LogSink:
     """
-    Takes loguru's messages and writes one JSON line for each.
+    A loguru sink that writes each message as a JSON line.
 
-    ``dropped`` counts the lines that were dropped and not yet reported.
+    ``dropped`` counts the dropped lines that have not been reported yet.
     """
 
     def __init__(self, descriptor: int = STDOUT_DESCRIPTOR) -> None:
@@ -36,7 +36,7 @@
         self.dropped = 0
         self._second = 0
         self._lines_by_event: collections.Counter[int] = collections.Counter()
-        #: The rest of a line that the pipe took only a part of.
+        #: The remainder of a line that was written only in part.
         self._unwritten = b""
         os.set_blocking(descriptor, False)
 
@@ -72,17 +72,17 @@
         try:
             written = os.write(self.descriptor, pending)
         except OSError:
-            # A full or closed pipe: there is nowhere to log it. The next line
-            # that can be written reports it.
+            # The pipe is full or closed, so the failure can't be logged here. The
+            # next line that can be written reports it.
             self.dropped += 1
             return
         self.dropped -= reported
-        # A line that was cut is finished first; nothing comes in between.
+        # The remainder of a partly written line precedes any other output.
         self._unwritten = pending[written:]
 
 
 def _notice(lines: int) -> bytes:
-    """Return the line that reports how many lines were dropped."""
+    """Return the log line that reports the number of dropped lines."""
     entry = events.Event.LINES_DROPPED.value
     line = {"event": entry.number, "level": entry.level, "lines": lines}
     return msgspec.json.encode(line) + b"\n"
--- a/spindlenotch/gateway/reloading.py
+++ b/spindlenotch/gateway/reloading.py
@@ -1,8 +1,8 @@
 """
-Which settings of a running gateway may change without a restart.
+The settings of a running gateway that can change without a restart.
 
-Pure. Addresses, the host's name and whatever shaped objects at start stay as
-they were.
+Pure. Addresses, the host's name and settings that are only read at startup keep
+their values.
 """
 
 import msgspec
@@ -21,7 +21,7 @@
 def reloaded(
     running: settings.GatewaySettings, read: settings.GatewaySettings
 ) -> settings.GatewaySettings:
-    """Return the running settings with the reloadable ones of those just read."""
+    """Return the running settings with the reloadable ones taken from ``read``."""
     return msgspec.structs.replace(
         running, **{name: getattr(read, name) for name in RELOADABLE}
     )
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -1,8 +1,9 @@
 """
-Tells what this gateway's retries and hedges come to, so that a fleet's sum can be read.
+Reports this gateway's retries and hedges, so that they can be summed fleet-wide.
 
-One line a service for each window in which there were any, and one for each upstream
-that has read copies late; the same as metrics. Holds what was told last.
+One line per service for each window with retries or hedges, and one per upstream that
+has read copies of a request late; the metrics show the same. Holds the counts reported
+last.
 """
 
 import collections
@@ -14,12 +15,12 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.kernel import budgets
 
-#: Digits behind the point of seconds that are told.
+#: Decimal places of reported seconds.
 AGE_DIGITS = 3
 
 
 class _Reported(msgspec.Struct):
-    """What of a service's budget was told, and when its next window ends."""
+    """The budget counts of a service reported last, and the end of its window."""
 
     window_until: ids.Instant
     earned: int = 0
@@ -30,7 +31,7 @@
 
 
 class RetryBudgetReport:
-    """Reports on the budgets of one process."""
+    """Reports on the retry and hedge budgets of one process."""
 
     def __init__(self, process_metrics: metrics.Metrics) -> None:
         self.metrics = process_metrics
@@ -39,7 +40,7 @@
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
     ) -> None:
-        """Tell what is new."""
+        """Update the metrics and log the reports that are due."""
         for service in services:
             service.copies.settle_read(now)
             self._report_late_reads(service)
--- a/spindlenotch/gateway/settings.py
+++ b/spindlenotch/gateway/settings.py
@@ -1,8 +1,8 @@
 """
 Settings of the gateway daemon.
 
-Owns the table of rows and the typed values read from it. Parsing, checks and
-the reference in the operators' page are in ``spindlenotch.settings``.
+Defines the table of settings and the type of their values. Parsing, validation and
+the reference in the operators' documentation are in ``spindlenotch.settings``.
 """
 
 import os
@@ -35,35 +35,46 @@
     ),
     schema.Setting("source", kinds.URL, None, "where configuration and upstreams are"),
     schema.Setting("source_driver", kinds.NAME, None, "driver of the source"),
-    schema.Setting("dialect", kinds.NAME, "native", "how callers and upstreams speak"),
-    schema.Setting("peers", kinds.ADDRESSES, "", "peer addresses to start from"),
+    schema.Setting(
+        "dialect", kinds.NAME, "native", "protocol used with callers and upstreams"
+    ),
+    schema.Setting("peers", kinds.ADDRESSES, "", "initial peer addresses"),
     schema.Setting("peer_keys", kinds.SECRETS, None, "keys that authenticate peers"),
     schema.Setting(
-        "stop_limit_s", kinds.number(1, 3600), "6", "longest planned stop, seconds"
+        "stop_limit_s",
+        kinds.number(1, 3600),
+        "6",
+        "time limit of a planned stop, seconds",
     ),
     schema.Setting(
-        "hand_out_s", kinds.number(0.1, 60), "1", "how long callers keep an answer"
+        "hand_out_s",
+        kinds.number(0.1, 60),
+        "1",
+        "how long callers may cache a directory response, seconds",
     ),
     schema.Setting(
         "extra_share",
         kinds.number(0, 1),
         "0.1",
-        "retries and hedges of the whole fleet, as a share of requests",
+        "fleet-wide limit of retries and hedges, as a share of requests",
     ),
     schema.Setting(
         "extra_reserve",
         kinds.number(0, 100_000),
         "0",
-        "retries and hedges of the whole fleet beyond the share, in a window",
+        "fleet-wide retries and hedges per window in addition to the share",
     ),
     schema.Setting(
-        "extra_window_s", kinds.number(0.1, 3600), "10", "that window, in seconds"
+        "extra_window_s",
+        kinds.number(0.1, 3600),
+        "10",
+        "window of the limits on retries and hedges, seconds",
     ),
     schema.Setting(
         "probes_per_s",
         kinds.number(0, 1000),
         "20",
-        "most probes of an upstream by the whole fleet, a second",
+        "fleet-wide limit of probes per upstream and second",
     ),
     schema.Setting(
         "evacuate_s",
@@ -81,25 +92,25 @@
         "exposure_share",
         kinds.number(0, 1),
         "0.1",
-        "requests of a service that a new version gets before it is trusted, a share",
+        "maximum share of a service's requests for a version that is not yet trusted",
     ),
     schema.Setting(
         "exposure_reserve",
         kinds.number(0, 100_000),
         "0",
-        "requests of the whole fleet that it gets beyond that share",
+        "fleet-wide requests for such a version in addition to that share",
     ),
     schema.Setting(
         "rollback_s",
         kinds.number(0.1, 3600),
         "5",
-        "time within which a version that fails must get no more requests, seconds",
+        "time within which a failing version must get no more requests, seconds",
     ),
     schema.Setting(
         "entries_per_zone",
         kinds.whole(1, 64),
         "1",
-        "gateways in each zone that callers are sent to, more under load",
+        "gateways per zone that the directory lists, more under load",
     ),
     schema.Setting(
         "cores", kinds.number(0.01, 1000), "1", "processor cores of this host"
@@ -108,7 +119,7 @@
         "link_mbps",
         kinds.number(0.01, 1e6),
         "1000",
-        "this host's link, in Mbit/s one way",
+        "network capacity of this host per direction, Mbit/s",
     ),
     schema.Setting(
         "seed", kinds.whole(0, 2**53), "0", "random seed; 0: from the system"
@@ -117,7 +128,7 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
-    """The checked settings of one gateway, one attribute per row above."""
+    """The validated settings of one gateway, one attribute per setting above."""
 
     host: ids.HostId
     zone: ids.ZoneName
@@ -161,5 +172,5 @@
 
 
 def read_file(path: str) -> dict[str, str] | list[schema.Fault]:
-    """Return the texts in a settings file by name, or every fault in it."""
+    """Return the values in a settings file by name, or all faults in it."""
     return toml_file.read(path, SETTINGS)
