--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -15,7 +15,7 @@
     dialect,
     lifecycle,
     limit_report,
-    repeat_report,
+    retry_budget_report,
     settings,
     side_ports,
     state,
@@ -73,7 +73,9 @@
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
         self.region_loads = region_loads.RegionLoads(gateway_state)
-        self.repeat_report = repeat_report.RetryBudgetReport(gateway_state.metrics)
+        self.repeat_report = retry_budget_report.RetryBudgetReport(
+            gateway_state.metrics
+        )
         self.limit_report = limit_report.LimitReport()
         self.side_ports = side_ports.SidePorts(
             gateway_state, self.fleet, gateway_dialect
