--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -73,7 +73,7 @@
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
         self.region_loads = region_loads.RegionLoads(gateway_state)
-        self.repeat_report = retry_budget_report.RetryBudgetReport(
+        self.retry_budget_report = retry_budget_report.RetryBudgetReport(
             gateway_state.metrics
         )
         self.limit_report = limit_report.LimitReport()
@@ -175,7 +175,7 @@
             self.rate_sharers.update()
             self.region_loads.update()
             services = self.state.balancer_by_service.values()
-            self.repeat_report.update(services, self.state.clock.now())
+            self.retry_budget_report.update(services, self.state.clock.now())
             self.limit_report.update(services, self.state.clock.now())
             await self.state.wakeups.sleep(TICK_S)
 
