--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -133,11 +133,11 @@
 
     async def stop(self) -> None:
         """
-        Stop gracefully, without aborting requests in flight.
+        Stop gracefully: requests in flight complete, within the limit of a stop.
 
         The directory stops listing this gateway at once, but requests are accepted
         until callers' cached directory responses that list it have expired. Requests
-        still in flight at the stop limit are aborted.
+        still in flight shortly before the limit are aborted.
         """
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
