--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -1,9 +1,9 @@
 """
-One gateway: its state, loops and ports put together.
+The gateway as a whole: assembles its state, background loops and ports.
 
-Owns the order of starting and stopping, and the tasks of the loops. ``create``
-builds a gateway from settings with the drivers that they name; what the parts
-decide lies in their modules.
+Owns the order of startup and shutdown, and the tasks of the loops. ``create``
+builds a gateway from settings with the drivers that they name; decisions are made
+in the modules of the parts.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
     dialect,
     lifecycle,
     limit_report,
-    repeat_report,
+    retry_budget_report,
     settings,
     side_ports,
     state,
@@ -34,20 +34,20 @@
 from spindlenotch.gateway.source import discovery, relay, source_reader, sources
 from spindlenotch.peers import background
 
-#: Time between two ticks of the state: idle loops take processor time.
+#: Seconds between ticks of the state. Not shorter, since even idle loops use CPU time.
 TICK_S = 0.2
-#: Time between two looks at the requests in flight of a planned stop.
+#: Seconds between checks for requests in flight during a planned stop.
 DRAIN_CHECK_S = 0.02
-#: Least time that connections get to close.
-LEAST_CLOSE_S = 0.05
+#: Minimum time for connections to close, in seconds.
+MIN_CLOSE_S = 0.05
 
 
 class Gateway:
     """
-    The parts of one gateway and their order of starting and stopping.
+    The parts of one gateway and their order of startup and shutdown.
 
-    Invariant: all ports are open before it can become ready, and that for
-    callers closes last.
+    Invariant: all ports are open before the gateway can become ready, and the port
+    for callers closes last.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         source: sources.Source,
         port: ports.UpstreamPort,
         gateway_dialect: dialect.Dialect,
-        start_took_s: float = 0.0,
+        startup_s: float = 0.0,
     ) -> None:
         self.state = gateway_state
         self.source = source
@@ -75,14 +75,16 @@
         self.fleet = fleet.Fleet(gateway_state)
         self.rate_sharers = rate_sharers.RateSharers(gateway_state, self.fleet)
         self.region_loads = region_loads.RegionLoads(gateway_state)
-        self.repeat_report = repeat_report.RepeatReport(gateway_state.metrics)
+        self.retry_budget_report = retry_budget_report.RetryBudgetReport(
+            gateway_state.metrics
+        )
         self.limit_report = limit_report.LimitReport()
         self.side_ports = side_ports.SidePorts(
             gateway_state, self.fleet, gateway_dialect
         )
         self.membership = membership.Membership(gateway_state)
         link = self.membership.link
-        self.relay = relay.Relay(gateway_state, self.fleet, link, start_took_s)
+        self.relay = relay.Relay(gateway_state, self.fleet, link, startup_s)
         self.source_reader = source_reader.SourceReader(
             gateway_state, source, self.relay
         )
@@ -107,7 +109,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Open all ports and start the loops."""
+        """Open all ports and start the background loops."""
         await self.ingress.start()
         await self.side_ports.start()
         await self.membership.start()
@@ -133,10 +135,11 @@
 
     async def stop(self) -> None:
         """
-        Stop as planned: nothing that is in flight is cut off.
+        Stop gracefully: requests in flight complete, within the limit of a stop.
 
-        Callers are no longer sent here at once, but served until the answers
-        that named this gateway are no longer kept.
+        The directory stops listing this gateway at once, but requests are accepted
+        until callers' cached directory responses that list it have expired. Requests
+        still in flight shortly before the limit are aborted.
         """
         config = self.state.config
         events.emit(events.Event.LEAVING, host=config.host)
@@ -151,11 +154,11 @@
             await asyncio.sleep(DRAIN_CHECK_S)
         if self.ingress.in_flight:
             events.emit(events.Event.STOP_FORCED, in_flight=self.ingress.in_flight)
-        await self.ingress.stop(max(LEAST_CLOSE_S, end - now()))
+        await self.ingress.stop(max(MIN_CLOSE_S, end - now()))
         await self.close()
 
     async def close(self) -> None:
-        """Close everything now."""
+        """Cancel the loops and close all ports immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -167,28 +170,28 @@
 
     async def _tick(self) -> None:
         while True:
-            self._note_suspension()
+            self._log_suspension()
             self.fleet.update_size()
             if self.state.tick() and self.state.reads_source:
                 self.relay.publish_expiry()
             self.rate_sharers.update()
             self.region_loads.update()
             services = self.state.balancer_by_service.values()
-            self.repeat_report.update(services, self.state.clock.now())
+            self.retry_budget_report.update(services, self.state.clock.now())
             self.limit_report.update(services, self.state.clock.now())
             await self.state.wakeups.sleep(TICK_S)
 
-    def _note_suspension(self) -> None:
+    def _log_suspension(self) -> None:
         suspended_s = self.state.deadlines.check()
         if suspended_s:
             events.emit(events.Event.HOST_SUSPENDED, seconds=round(suspended_s, 3))
 
 
-def create(config: settings.GatewaySettings, start_took_s: float = 0.0) -> Gateway:
+def create(config: settings.GatewaySettings, startup_s: float = 0.0) -> Gateway:
     """
     Build a gateway from settings with the drivers that they name.
 
-    ``start_took_s`` is how long the process has taken until now, in seconds.
+    ``startup_s`` is the time since the process started, in seconds.
     """
     gateway_dialect = dialect.DIALECTS.get(config.dialect)()
     gateway_state = state.GatewayState(config, clock.CLOCKS.get("boottime")())
@@ -197,5 +200,5 @@
         sources.SOURCES.get(config.source_driver)(config.source),
         upstream_http.HttpUpstreamPort(gateway_dialect.upstream),
         gateway_dialect,
-        start_took_s,
+        startup_s,
     )
--- a/spindlenotch/gateway/limit_report.py
+++ b/spindlenotch/gateway/limit_report.py
@@ -1,8 +1,8 @@
 """
-Tells what this gateway sends to upstreams that name a limit.
+Logs how many requests this gateway sends to upstreams that advertise a rate limit.
 
-One line for each such upstream and window, so that the lines of all gateways add up
-to what the upstream got. Holds what was told last.
+One line per such upstream and window, so that the lines of all gateways add up to
+the requests that the upstream received. Holds the counts reported last.
 """
 
 from collections import abc
@@ -15,51 +15,51 @@
 from spindlenotch.kernel import named_limit, upstreams
 
 
-class _Told(msgspec.Struct):
-    """How many requests were told of, and when the next line is due."""
+class _Reported(msgspec.Struct):
+    """The request count reported last, and when the next line is due."""
 
     sent: int
     window_until: ids.Instant
 
 
 class LimitReport:
-    """Reports on the upstreams of one process that name a limit."""
+    """Reports on the rate-limited upstreams of one process."""
 
     def __init__(self) -> None:
-        self._told_by_id: dict[ids.UpstreamId, _Told] = {}
+        self._reported_by_id: dict[ids.UpstreamId, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
     ) -> None:
-        """Tell what is due."""
+        """Log the reports that are due."""
         limited: set[ids.UpstreamId] = set()
         for service in services:
             for upstream in service.pool.usable_order:
                 if upstream.backpressure.limit.per_s is not None:
                     limited.add(upstream.spec.id)
-                    self._tell(service.service.name, upstream, now)
-        for upstream_id in self._told_by_id.keys() - limited:
-            del self._told_by_id[upstream_id]
+                    self._report(service.service.name, upstream, now)
+        for upstream_id in self._reported_by_id.keys() - limited:
+            del self._reported_by_id[upstream_id]
 
-    def _tell(
+    def _report(
         self, service: ids.ServiceName, upstream: upstreams.Upstream, now: ids.Instant
     ) -> None:
         limit = upstream.backpressure.limit
-        told = self._told_by_id.get(upstream.spec.id)
-        if told is None:
+        reported = self._reported_by_id.get(upstream.spec.id)
+        if reported is None:
             until = ids.later(now, named_limit.WINDOW.seconds)
-            self._told_by_id[upstream.spec.id] = _Told(limit.sent, until)
+            self._reported_by_id[upstream.spec.id] = _Reported(limit.sent, until)
             return
-        if now < told.window_until:
+        if now < reported.window_until:
             return
-        if limit.sent > told.sent:
+        if limit.sent > reported.sent:
             events.emit(
                 events.Event.SENT_TO_LIMITED,
                 service=service,
                 upstream=upstream.spec.id,
-                count=limit.sent - told.sent,
+                count=limit.sent - reported.sent,
                 limit_per_s=round(limit.per_s or 0.0, backpressure_events.RATE_DIGITS),
                 window_s=named_limit.WINDOW.seconds,
             )
-        told.sent = limit.sent
-        told.window_until = ids.later(now, named_limit.WINDOW.seconds)
+        reported.sent = limit.sent
+        reported.window_until = ids.later(now, named_limit.WINDOW.seconds)
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/retry_budget_report.py
@@ -1,8 +1,9 @@
 """
-Tells what this gateway's retries and hedges come to, so that a fleet's sum can be read.
+Reports this gateway's retries and hedges, so that they can be summed fleet-wide.
 
-One line a service for each window in which there were any, and one for each upstream
-that has read copies late; the same as metrics. Holds what was told last.
+One line per service for each window with retries or hedges, and one per upstream that
+has read copies of a request late; the metrics show the same. Holds the counts reported
+last.
 """
 
 import collections
@@ -14,12 +15,12 @@
 from spindlenotch.decisions import balancer
 from spindlenotch.kernel import budgets
 
-#: Digits behind the point of seconds that are told.
+#: Decimal places of reported seconds.
 AGE_DIGITS = 3
 
 
-class _Told(msgspec.Struct):
-    """What of a service's budget was told, and when its next window ends."""
+class _Reported(msgspec.Struct):
+    """The budget counts of a service reported last, and the end of its window."""
 
     window_until: ids.Instant
     earned: int = 0
@@ -29,24 +30,24 @@
     )
 
 
-class RepeatReport:
-    """Reports on the budgets of one process."""
+class RetryBudgetReport:
+    """Reports on the retry and hedge budgets of one process."""
 
     def __init__(self, process_metrics: metrics.Metrics) -> None:
         self.metrics = process_metrics
-        self._told_by_service: dict[ids.ServiceName, _Told] = {}
+        self._reported_by_service: dict[ids.ServiceName, _Reported] = {}
 
     def update(
         self, services: abc.Iterable[balancer.Balancer], now: ids.Instant
     ) -> None:
-        """Tell what is new."""
+        """Update the metrics and log the reports that are due."""
         for service in services:
             service.copies.settle_read(now)
-            self._tell_late(service)
+            self._report_late_reads(service)
             for budget in service.extra.sliding_budgets():
-                self._tell_budget(service, budget, now)
+                self._report_budget(service, budget, now)
 
-    def _tell_late(self, service: balancer.Balancer) -> None:
+    def _report_late_reads(self, service: balancer.Balancer) -> None:
         name = service.service.name
         for late in service.copies.take_late_reads():
             self.metrics.read_late.labels(name).inc(late.count)
@@ -58,37 +59,37 @@
                 after_s=round(late.after_s, AGE_DIGITS),
             )
 
-    def _tell_budget(
+    def _report_budget(
         self,
         service: balancer.Balancer,
         budget: budgets.SlidingShareBudget,
         now: ids.Instant,
     ) -> None:
         name = service.service.name
-        told = self._told_by_service.get(name)
-        if told is None:
-            told = _Told(ids.later(now, budget.window_s))
-            self._told_by_service[name] = told
-        earned = budget.earned_count - told.metric_earned
+        reported = self._reported_by_service.get(name)
+        if reported is None:
+            reported = _Reported(ids.later(now, budget.window_s))
+            self._reported_by_service[name] = reported
+        earned = budget.earned_count - reported.metric_earned
         if earned:
             self.metrics.extra_earning.labels(name).inc(earned)
-            told.metric_earned = budget.earned_count
+            reported.metric_earned = budget.earned_count
         if budget.taken_by_part:
             self.metrics.extra_unread.labels(name).set(budget.unsettled)
-        if now >= told.window_until:
-            self._tell_window(name, budget, told)
-            told.window_until = ids.later(now, budget.window_s)
+        if now >= reported.window_until:
+            self._report_window(name, budget, reported)
+            reported.window_until = ids.later(now, budget.window_s)
 
-    def _tell_window(
+    def _report_window(
         self,
         name: ids.ServiceName,
         budget: budgets.SlidingShareBudget,
-        told: _Told,
+        reported: _Reported,
     ) -> None:
-        taken = budget.taken_by_part - told.taken_by_part
-        requests = budget.earned_count - told.earned
-        told.taken_by_part = budget.taken_by_part.copy()
-        told.earned = budget.earned_count
+        taken = budget.taken_by_part - reported.taken_by_part
+        requests = budget.earned_count - reported.earned
+        reported.taken_by_part = budget.taken_by_part.copy()
+        reported.earned = budget.earned_count
         if not taken and not budget.unsettled:
             return
         events.emit(
--- a/spindlenotch/gateway/source/reader_duty.py
+++ b/spindlenotch/gateway/source/reader_duty.py
@@ -45,21 +45,19 @@
 CORES_EXPONENT = 2
 
 
-def start_wait_s(local_host: ids.HostId, start_took_s: float, cores: float) -> float:
+def start_wait_s(local_host: ids.HostId, startup_s: float, cores: float) -> float:
     """
     Return how many seconds a starting gateway waits for a peer that has read.
 
     When all hosts of a fleet lose power and restart together, the seeds of the settings
     may come up last, and until then there is no peer to poll. The waits are spread from
     zero to twice the mean in the order in which gateways become active, so that the
-    gateways to which callers will be sent read first. The mean is ``start_took_s``, the
+    gateways to which callers will be sent read first. The mean is ``startup_s``, the
     seconds that this gateway's own start took, since peers with as many cores come up
     at about the same time. It is shorter on a host with more than one core (``cores``),
     which comes up before the weaker hosts and becomes active sooner.
     """
-    mean_s = (
-        max(MIN_MEAN_START_WAIT_S, start_took_s) / max(1.0, cores) ** CORES_EXPONENT
-    )
+    mean_s = max(MIN_MEAN_START_WAIT_S, startup_s) / max(1.0, cores) ** CORES_EXPONENT
     return 2.0 * mean_s * active_set.precedence(local_host)
 
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -142,7 +142,7 @@
         question="What a gateway that has just started does with requests",
         functions=(
             "decisions/start_limit.hold_until",
-            "gateway/state.GatewayState.until_can_serve",
+            "gateway/state.GatewayState.wait_until_can_serve",
         ),
         inputs="when the process started (instant), whether routes and upstreams are"
         " known.",
@@ -329,9 +329,9 @@
         " its traffic, named by the bundle.",
         constants=(
             "gateway/service_defaults.EXTRA_MARGIN",
-            "gateway/service_defaults.RESERVE_PARTS_EACH",
-            "gateway/service_defaults.LEAST_RESERVE_PARTS",
-            "gateway/service_defaults.UNKNOWN_FLEET",
+            "gateway/service_defaults.RESERVE_PARTS_PER_GATEWAY",
+            "gateway/service_defaults.MIN_RESERVE_PARTS",
+            "gateway/service_defaults.ASSUMED_FLEET_SIZE",
             "gateway/cluster/fleet_size.RETENTION_S",
             "kernel/budgets.DECAY_SHARE_OF_WINDOW",
             "kernel/budgets.UNSETTLED_SHARE",
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -73,7 +73,7 @@
         functions=("gateway/deadlines.Deadlines.check",),
         inputs="the host's clock, which counts suspensions, and the event loop's.",
         reason="Timers run on the loop's clock and would end late by the suspension.",
-        constants=("gateway/deadlines.LEAST_S",),
+        constants=("gateway/deadlines.MIN_SUSPENSION_S",),
         events=("HOST_SUSPENDED",),
         tests=(
             Scenario(
@@ -388,10 +388,10 @@
         reason="Ready with both documents. When stopping it serves on while callers"
         " may keep its address, then refuses, and ends when what it took has ended.",
         constants=(
-            "gateway/lifecycle.KEPT_FACTOR",
-            "gateway/lifecycle.LAST_ARRIVALS_S",
-            "gateway/lifecycle.CLOSING_S",
-            "gateway/lifecycle.MARGIN_S",
+            "gateway/lifecycle.ADDRESS_CACHE_FACTOR",
+            "gateway/lifecycle.IN_TRANSIT_S",
+            "gateway/lifecycle.FINAL_DRAIN_S",
+            "gateway/lifecycle.FORCED_STOP_MARGIN_S",
         ),
         events=("READY", "LEAVING", "STOP_FORCED", "STOPPED"),
         tests=(
