--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -95,7 +95,7 @@
         if self.ready:
             return ""
         if self.phase is lifecycle.Phase.LEAVING:
-            return "planned stop in progress"
+            return "a planned stop"
         if self.table is not None:
             return "no upstreams are known"
         return self._source_events.bad_items.summary() or "no configuration is known"
