--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -79,7 +79,7 @@
         fields = response.headers
         self.not_run = dialect.is_not_run(response.status, fields)
         self.draining = dialect.is_draining(response.status, fields)
-        self.retry_after_s = _seconds(fields.get("Retry-After"))
+        self.retry_after_s = _parse_retry_after(fields.get("Retry-After"))
         self.report = dialect.read_load(fields)
         self.signals = dialect.read_signals(response.status, fields)
 
@@ -278,7 +278,7 @@
         raise _TooLateError
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_retry_after(text: str | None) -> float | None:
     """Read ``Retry-After`` in seconds; its form as a date counts as absent."""
     try:
         seconds = 0.0 if text is None else float(text)
