--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -246,7 +246,7 @@
         "a header of an upstream's answers means nothing and is ignored",
         "mend the upstream; the line is written once for each upstream and header",
     )
-    UPSTREAM_RESTS = CatalogueRow(
+    UPSTREAM_BACKOFF = CatalogueRow(
         412,
         "WARNING",
         "an upstream turned a request away and asked this process for rest",
--- a/spindlenotch/forwarding/backpressure_events.py
+++ b/spindlenotch/forwarding/backpressure_events.py
@@ -36,7 +36,7 @@
                 )
             case backpressure.Change.BACKOFF:
                 events.emit(
-                    events.Event.UPSTREAM_RESTS,
+                    events.Event.UPSTREAM_BACKOFF,
                     service=service,
                     upstream=upstream,
                     rest_s=round(one.backoff_s, RATE_DIGITS),
--- a/tools/limit_decision_table.py
+++ b/tools/limit_decision_table.py
@@ -63,7 +63,7 @@
         " may send there. A caller is told to come back when any upstream may be"
         " used.",
         constants=("kernel/said.RETENTION_S",),
-        events=("UPSTREAM_LEAVING", "UPSTREAM_RESTS", "SIGNAL_UNREADABLE"),
+        events=("UPSTREAM_LEAVING", "UPSTREAM_BACKOFF", "SIGNAL_UNREADABLE"),
         tests=(
             Scenario(
                 "gateway", "an upstream that rests gets nothing until its rest is over"
