--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -314,7 +314,7 @@
         "retries and hedges of a service that this process sent in the last window",
         "add the lines of all processes to compare them with what the fleet may send",
     )
-    READ_LATE = CatalogueRow(
+    LATE_COPIES_READ = CatalogueRow(
         612,
         "INFO",
         "an upstream reads on: copies of requests that were sent long ago arrived now",
--- a/spindlenotch/gateway/repeat_report.py
+++ b/spindlenotch/gateway/repeat_report.py
@@ -51,7 +51,7 @@
         for late in service.copies.take_late_reads():
             self.metrics.read_late.labels(name).inc(late.count)
             events.emit(
-                events.Event.READ_LATE,
+                events.Event.LATE_COPIES_READ,
                 service=name,
                 upstream=late.upstream,
                 count=late.count,
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -340,7 +340,7 @@
             "kernel/budgets.MAX_BALANCE",
             "kernel/budgets.INITIAL_RESERVE",
         ),
-        events=("REQUEST_SENT_AGAIN", "EXTRA_SENDS_IN_WINDOW", "READ_LATE"),
+        events=("REQUEST_SENT_AGAIN", "EXTRA_SENDS_IN_WINDOW", "LATE_COPIES_READ"),
         tests=(
             Scenario("gateway", "the fleet's extra sends keep to share and reserve"),
             Scenario("gateway", "a fleet's retries keep to what all may send together"),
