--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -101,7 +101,7 @@
         "the changed settings are invalid; those in force stay",
         "correct the setting named in the line",
     )
-    INTRODUCED = CatalogueRow(
+    PEER_ADDRESS_REGISTERED = CatalogueRow(
         213, "INFO", "a gateway registered its peer address in the source", "none"
     )
     ZONE_EVACUATED = CatalogueRow(
--- a/spindlenotch/gateway/source/discovery.py
+++ b/spindlenotch/gateway/source/discovery.py
@@ -72,7 +72,7 @@
         self.state.metrics.store_calls.labels("introduce").inc()
         fault = await self.source.write_discovery_record(record)
         events.emit(
-            events.Event.INTRODUCED,
+            events.Event.PEER_ADDRESS_REGISTERED,
             zone=config.zone,
             revision=record.revision,
             outcome="written" if fault is None else fault.value,
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -237,7 +237,7 @@
             "gateway/source/discovery.SETTLE_S",
             "gateway/source/discovery.REWRITE_S",
         ),
-        events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
+        events=("STORE_LOST", "STORE_BACK", "PEER_ADDRESS_REGISTERED"),
         tests=(
             Scenario("gateway", "those read first that callers will be sent to"),
             Scenario(
