--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -158,7 +158,7 @@
         "the status of an order could not be written; it is tried again",
         "see the store's own alarms; a conflict means that another gateway wrote it",
     )
-    ROLLOUT_HINDERED = CatalogueRow(
+    ROLLOUT_BLOCKED = CatalogueRow(
         225,
         "WARNING",
         "an order to change a version can't be promoted or completed yet",
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -214,7 +214,7 @@
         self._reported_blockers.add(blocker)
         progress = self._drain_progress()
         events.emit(
-            events.Event.ROLLOUT_HINDERED,
+            events.Event.ROLLOUT_BLOCKED,
             service=self.run.order.service,
             target=self.run.order.target,
             phase=self.run.phase.name,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -126,7 +126,7 @@
             "ROLLOUT_PROMOTING",
             "ROLLOUT_STATUS_WRITTEN",
             "ROLLOUT_STATUS_FAILED",
-            "ROLLOUT_HINDERED",
+            "ROLLOUT_BLOCKED",
             "ROLLOUT_ENDED",
             "ROLLOUT_UNTESTED",
             "ROLLOUT_DECIDER",
