--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -254,7 +254,7 @@
 
 def _new_session(*, force_close: bool) -> aiohttp.ClientSession:
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(_check_last_moment)
+    trace.on_connection_create_end.append(_recheck_may_send)
     return http_client.new_session(
         connections=0,
         caches_addresses=False,
@@ -268,7 +268,7 @@
     )
 
 
-async def _check_last_moment(
+async def _recheck_may_send(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: typing.Any,
