--- a/features/steps/mended_faults.py
+++ b/features/steps/mended_faults.py
@@ -189,7 +189,7 @@
 def stands_still(context: typing.Any) -> None:
     async def run() -> None:
         limits = mock.patch.multiple(
-            upstream_http, CONNECT_TIMEOUT_S=CONNECT_S, LATE_TIMER_S=LATE_S
+            upstream_http, CONNECT_TIMEOUT_S=CONNECT_S, TIMER_DELAY_TOLERANCE_S=LATE_S
         )
         with limits:
             port = upstream_http.HttpUpstreamPort(http_dialect.platform().upstream)
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -26,7 +26,7 @@
 #: How much later than due the end of that time may be noticed, in seconds: more than
 #: a host under a quota of processor time is kept waiting. Later, this process stood
 #: still, and the connection may have come up meanwhile.
-LATE_TIMER_S = 0.15
+TIMER_DELAY_TOLERANCE_S = 0.15
 #: Most bytes of a body that are handed on at a time.
 CHUNK_BYTES = 64 * 1024
 OK = 200
@@ -171,7 +171,10 @@
                 continue
             except aiohttp.ConnectionTimeoutError:
                 # Nothing was sent here, either.
-                if loop.time() <= due + LATE_TIMER_S or not request.may_send():
+                if (
+                    loop.time() <= due + TIMER_DELAY_TOLERANCE_S
+                    or not request.may_send()
+                ):
                     raise
 
     async def probe(
