--- a/features/support/recorded_words.py
+++ b/features/support/recorded_words.py
@@ -87,7 +87,7 @@
             if name.isupper() and isinstance(value, str)
         ),
         "hop by hop": sorted(headers.HOP_BY_HOP),
-        "own": sorted(headers.OWN),
+        "own": sorted(headers.SET_PER_HOP),
     }
 
 
--- a/spindlenotch/entry/front.py
+++ b/spindlenotch/entry/front.py
@@ -139,7 +139,7 @@
             call=call,
             method=incoming.method,
             target=admitted.target,
-            headers=headers.end_to_end(incoming.pairs, headers.OWN),
+            headers=headers.end_to_end(incoming.pairs, headers.SET_PER_HOP),
             body=body,
             needs_new_connection=not can_resend,
             hop_count=admitted.hops + 1,
--- a/spindlenotch/gateway/dialect.py
+++ b/spindlenotch/gateway/dialect.py
@@ -74,7 +74,7 @@
         request_id=headers.REQUEST_ID,
         deadline_ms=headers.TIMEOUT_MS,
         expect_upstream=headers.UPSTREAM,
-        replaced=headers.OWN | {headers.UPSTREAM.lower()},
+        replaced=headers.SET_PER_HOP | {headers.UPSTREAM.lower()},
         directory_path="/v1/entries",
         ready_path="/ready",
         render_directory=_render,
--- a/spindlenotch/headers.py
+++ b/spindlenotch/headers.py
@@ -45,7 +45,7 @@
 )
 
 #: Headers of requests that are set anew on each hop (lower case).
-OWN = frozenset(
+SET_PER_HOP = frozenset(
     name.lower()
     for name in (TIMEOUT_MS, KEY, TICKET, FORWARDED, HOPS, NO_RETRY, REQUEST_ID)
 )
