--- a/spindlenotch/drivers/http_client.py
+++ b/spindlenotch/drivers/http_client.py
@@ -22,7 +22,7 @@
     caches_addresses: bool = True,
     closes_connections: bool = False,
     resends: bool = True,
-    unpacks: bool = True,
+    decompresses: bool = True,
     timeout: aiohttp.ClientTimeout | None = None,
     request_class: type[aiohttp.ClientRequest] = aiohttp.ClientRequest,
     traces: abc.Sequence[aiohttp.TraceConfig] = (),
@@ -34,7 +34,7 @@
     ``caches_addresses`` a name is looked up for each new connection, and with
     ``closes_connections`` none is used twice. With ``resends`` aiohttp itself
     repeats idempotent methods, PUT among them, where a kept connection drops.
-    ``unpacks`` decodes compressed bodies. ``timeout`` None is aiohttp's
+    ``decompresses`` decodes compressed bodies. ``timeout`` None is aiohttp's
     default, for sessions whose calls all bring their own.
     """
     session = aiohttp.ClientSession(
@@ -44,7 +44,7 @@
             force_close=closes_connections,
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
-        auto_decompress=unpacks,
+        auto_decompress=decompresses,
         timeout=timeout,
         request_class=request_class,
         trace_configs=list(traces),
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -264,7 +264,7 @@
         closes_connections=force_close,
         # Every resend must come from the retry budget.
         resends=False,
-        unpacks=False,
+        decompresses=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         request_class=_CheckedRequest,
         traces=[trace],
