--- a/spindlenotch/client.py
+++ b/spindlenotch/client.py
@@ -131,7 +131,7 @@
             answer = await self._send(entry, request, ticket, attempt, left_s)
             if isinstance(answer, Answer):
                 return answer
-            result = _less_certain(result, answer)
+            result = _combine_results(result, answer)
             failed.add(entry)
             self.resends += 1
             if ticket is not None and result.outcome is outcomes.Outcome.NOT_RUN:
@@ -221,7 +221,7 @@
     )
 
 
-def _less_certain(before: NoAnswer, after: NoAnswer) -> NoAnswer:
+def _combine_results(before: NoAnswer, after: NoAnswer) -> NoAnswer:
     """Return what is known of two tries: once unknown, an outcome stays so."""
     if before.outcome is outcomes.Outcome.UNKNOWN:
         return before
