--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -15,7 +15,7 @@
 from spindlenotch import api, clock, ids
 
 #: Tickets that are asked for when one is needed.
-TICKETS_ASKED = 8
+TICKET_BATCH_SIZE = 8
 #: How long one entry may take to say which entries to use, in seconds.
 ASK_TIMEOUT_S = 2.0
 #: A ticket is used at the most this long after it arrived, in seconds: half of the time
@@ -61,14 +61,14 @@
         now = self.clock.now()
         self._tickets = [t for t in self._tickets if t.use_by > now]
         if not self._tickets:
-            await self._ask(TICKETS_ASKED)
+            await self._ask(TICKET_BATCH_SIZE)
         return self._tickets.pop() if self._tickets else None
 
     async def ticket_of_another(self, failed: ids.Address) -> Ticket | None:
         """Take a ticket of another entry; drop those of the one that failed."""
         self._tickets = [t for t in self._tickets if t.entry != failed]
         if not self._tickets:
-            await self._ask(TICKETS_ASKED, skip=failed)
+            await self._ask(TICKET_BATCH_SIZE, skip=failed)
         return self._tickets.pop() if self._tickets else None
 
     async def pick(
