--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -72,7 +72,7 @@
         dialect: upstream_dialect.UpstreamDialect,
     ) -> None:
         self._response = response
-        self._closing = _watch_closing(response)
+        self._closing = _close_delimited_end(response)
         self.status = response.status
         self.headers = [(k, v) for k, v in response.headers.items()]
         self.length = response.content_length
@@ -234,7 +234,7 @@
         return (self._single_use if new_connection else self._reusing).get()
 
 
-def _watch_closing(
+def _close_delimited_end(
     response: aiohttp.ClientResponse,
 ) -> "asyncio.Future[None] | None":
     """
