--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -182,7 +182,7 @@
     ROLLOUT_DECIDER = CatalogueRow(
         229, "INFO", "this gateway decides on an order, or no longer", "none"
     )
-    ROLLOUT_COUNTED = CatalogueRow(
+    ROLLOUT_PROMOTION_COUNTS = CatalogueRow(
         230, "INFO", "what was counted of a version when it was promoted", "none"
     )
     PEER_GONE = CatalogueRow(
--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -237,7 +237,7 @@
         )
         counts = self._target_counts()
         events.emit(
-            events.Event.ROLLOUT_COUNTED,
+            events.Event.ROLLOUT_PROMOTION_COUNTS,
             service=order.service,
             target=order.target,
             judged=counts.judged,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -130,7 +130,7 @@
             "ROLLOUT_ENDED",
             "ROLLOUT_UNTESTED",
             "ROLLOUT_DECIDER",
-            "ROLLOUT_COUNTED",
+            "ROLLOUT_PROMOTION_COUNTS",
         ),
         tests=(
             Scenario(
