--- a/spindlenotch/events.py
+++ b/spindlenotch/events.py
@@ -137,7 +137,7 @@
         "the source was restored from a backup; its revisions may have decreased",
         "see the store's own alarms",
     )
-    ROLLOUT_BEGUN = CatalogueRow(
+    ROLLOUT_STARTED = CatalogueRow(
         220, "INFO", "a service changes its version by an order", "none"
     )
     ROLLOUT_PROMOTING = CatalogueRow(
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -134,7 +134,7 @@
 
     def _report_begin(self, run: runs.Run) -> None:
         events.emit(
-            events.Event.ROLLOUT_BEGUN,
+            events.Event.ROLLOUT_STARTED,
             service=run.order.service,
             target=run.order.target,
             by_s=run.order.by_s,
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -31,7 +31,7 @@
             "decisions/traffic_split.EVEN_SHARE",
             "decisions/traffic_split.ROUTE_SLACK",
         ),
-        events=("ROLLOUT_BEGUN", "ROLLOUT_WITHDRAWN"),
+        events=("ROLLOUT_STARTED", "ROLLOUT_WITHDRAWN"),
         tests=(
             Scenario(
                 "rollout_rules",
