--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -61,14 +61,14 @@
         now = self.clock.now()
         self._tickets = [t for t in self._tickets if t.use_by > now]
         if not self._tickets:
-            await self._ask(TICKET_BATCH_SIZE)
+            await self._query(TICKET_BATCH_SIZE)
         return self._tickets.pop() if self._tickets else None
 
     async def ticket_of_another(self, failed: ids.Address) -> Ticket | None:
         """Take a ticket of another entry; drop those of the one that failed."""
         self._tickets = [t for t in self._tickets if t.entry != failed]
         if not self._tickets:
-            await self._ask(TICKET_BATCH_SIZE, skip=failed)
+            await self._query(TICKET_BATCH_SIZE, skip=failed)
         return self._tickets.pop() if self._tickets else None
 
     async def pick(
@@ -85,16 +85,16 @@
         if self.clock.now() >= self._deadline:
             async with self._refreshing:
                 if self.clock.now() >= self._deadline:
-                    await self._ask(0)
+                    await self._query(0)
         untried = [e for e in self._entries if e not in failed]
         if not untried:
             # All that were named have failed: others may know of more.
-            await self._ask(0)
+            await self._query(0)
             untried = [e for e in self._entries if e not in failed]
         options = untried or self._entries
         return self.rng.choice(options) if options else None
 
-    async def _ask(self, tickets: int, skip: str = "") -> None:
+    async def _query(self, tickets: int, skip: str = "") -> None:
         """Ask one entry after another, known ones first, until one answers."""
         known = list(self._entries)
         self.rng.shuffle(known)
