--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -103,12 +103,12 @@
         for source in [*known, *seeds]:
             if source == skip:
                 continue
-            answer = await self._ask_one(source, tickets)
+            answer = await self._query_one(source, tickets)
             if answer is not None:
                 self._adopt(source, answer)
                 return
 
-    async def _ask_one(
+    async def _query_one(
         self, source: ids.Address, tickets: int
     ) -> api.EntriesAnswer | None:
         """Ask one entry; None where it gives no answer that can be used."""
