--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -17,7 +17,7 @@
 #: Tickets that are asked for when one is needed.
 TICKET_BATCH_SIZE = 8
 #: How long one entry may take to say which entries to use, in seconds.
-ASK_TIMEOUT_S = 2.0
+QUERY_TIMEOUT_S = 2.0
 #: A ticket is used at the most this long after it arrived, in seconds: half of the time
 #: for which its entry takes it.
 TICKET_USE_S = 60.0
@@ -116,7 +116,7 @@
             async with self._open_session().get(
                 f"http://{source}/v1/entries",
                 params={"tickets": str(tickets)},
-                timeout=aiohttp.ClientTimeout(total=ASK_TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=QUERY_TIMEOUT_S),
                 allow_redirects=False,
             ) as response:
                 body = await response.read()
