--- a/spindlenotch/client.py
+++ b/spindlenotch/client.py
@@ -16,7 +16,7 @@
 from spindlenotch.kernel import outcomes
 
 #: How many entries one request is sent to at the most.
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 #: How long a connection to an entry may take to be made, in seconds.
 CONNECT_TIMEOUT_S = 1.0
 #: How long after its deadline an answer is still waited for, in seconds: the entry's
@@ -123,7 +123,7 @@
                 return NoAnswer(outcomes.Outcome.NOT_RUN, "no entry gave a ticket")
         result = NoAnswer(outcomes.Outcome.NOT_RUN, "no entry could be reached")
         failed: set[ids.Address] = set()
-        for attempt in range(1, MAX_TRIES + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             entry = await self._directory.pick(ticket, failed)
             left_s = deadline - self.clock.now()
             if entry is None or left_s <= 0:
