--- a/spindlenotch/drivers/hostlist_http.py
+++ b/spindlenotch/drivers/hostlist_http.py
@@ -25,12 +25,14 @@
         self.base_url = base_url.rstrip("/")
         self.session = http_client.LazySession(http_client.new_session)
 
-    async def fetch(self, known: int) -> ports.HostListing | ports.HostListFault | None:
-        """Return the list, or None where its revision is still ``known``."""
+    async def fetch(
+        self, known_revision: int
+    ) -> ports.HostListing | ports.HostListFault | None:
+        """Return the list, or None where its revision is still ``known_revision``."""
         try:
             async with self.session.get().get(
                 f"{self.base_url}/hosts",
-                headers={"If-None-Match": f'"{known}"'},
+                headers={"If-None-Match": f'"{known_revision}"'},
                 timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
                 allow_redirects=False,
             ) as response:
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -92,8 +92,8 @@
 class HostList(typing.Protocol):
     """The platform's list of hosts; changes appear in it with a delay."""
 
-    async def fetch(self, known: int) -> HostListing | HostListFault | None:
-        """Return the list, or None where its revision is still ``known``."""
+    async def fetch(self, known_revision: int) -> HostListing | HostListFault | None:
+        """Return the list, or None where its revision is still ``known_revision``."""
 
     async def close(self) -> None:
         """Drop all connections."""
