--- a/features/support/fake_platform.py
+++ b/features/support/fake_platform.py
@@ -60,7 +60,7 @@
             return ports.Stored(0, b"")
         return ports.Stored(value.revision, value.data)
 
-    def swap(
+    def compare_and_swap(
         self, key: str, data: bytes, expected: int, lease_s: float | None
     ) -> ports.Stored | ports.Conflict:
         """Compare and swap now."""
@@ -97,7 +97,7 @@
             lambda resolve: resolve(self.state.read(key), fake_network.DELIVERY_S)
         )
 
-    async def swap(
+    async def compare_and_swap(
         self, key: str, value: bytes, expected: int, lease_s: float | None = None
     ) -> ports.Stored | ports.Conflict | ports.StoreFault:
         """Compare and swap, with the faults of the moment."""
@@ -108,10 +108,12 @@
                 state.late_writes -= 1
                 state.world.after(
                     LATE_WRITE_S,
-                    lambda: state.swap(key, value, expected, lease_s) and None,
+                    lambda: (
+                        state.compare_and_swap(key, value, expected, lease_s) and None
+                    ),
                 )
                 return
-            result = state.swap(key, value, expected, lease_s)
+            result = state.compare_and_swap(key, value, expected, lease_s)
             if isinstance(result, ports.Stored) and state.lose_answers > 0:
                 state.lose_answers -= 1
                 return
--- a/spindlenotch/cli/publishing.py
+++ b/spindlenotch/cli/publishing.py
@@ -130,7 +130,7 @@
     """
     data = bundle_seal.encode(envelope)
     for _ in range(MAX_WRITES):
-        result = await store.swap(KEY, data, before.revision)
+        result = await store.compare_and_swap(KEY, data, before.revision)
         if isinstance(result, ports.Stored):
             return Published(Verdict.ACCEPTED, envelope.log[-1], envelope)
         if result is ports.StoreFault.TOO_LARGE:
--- a/spindlenotch/drivers/store_http.py
+++ b/spindlenotch/drivers/store_http.py
@@ -44,10 +44,10 @@
         """Read ``key``; an absent one has revision zero."""
         return await self._read(f"/kv/{key}", {}, CALL_TIMEOUT_S)
 
-    async def swap(
+    async def compare_and_swap(
         self, key: str, value: bytes, expected: int, lease_s: float | None = None
     ) -> ports.Stored | ports.Conflict | ports.StoreFault:
-        """Compare and swap; see ``ports.Store.swap``."""
+        """Compare and swap; see ``ports.Store.compare_and_swap``."""
         params = {"expected": str(expected)}
         if lease_s is not None:
             params["lease_s"] = str(lease_s)
--- a/spindlenotch/entry/claims.py
+++ b/spindlenotch/entry/claims.py
@@ -92,7 +92,7 @@
         bundle = self.state.bundle
         assert bundle is not None
         self.state.metrics.store_calls.labels("claim").inc()
-        return await self.store.swap(
+        return await self.store.compare_and_swap(
             _store_key(key),
             msgspec.json.encode(own_home),
             expected=0,
--- a/spindlenotch/entry/probe_lease.py
+++ b/spindlenotch/entry/probe_lease.py
@@ -90,7 +90,9 @@
         revision = lease.revision if lease else 0
         self.state.metrics.store_calls.labels("measure").inc()
         holder = self.state.incarnation.encode()
-        result = await self.store.swap(_key(service), holder, revision, LEASE_S)
+        result = await self.store.compare_and_swap(
+            _key(service), holder, revision, LEASE_S
+        )
         if isinstance(result, ports.Stored):
             self._acquired(service, result.revision, asked_at)
         elif isinstance(result, ports.Conflict):
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -48,7 +48,7 @@
     async def get(self, key: str) -> Stored | StoreFault:
         """Read ``key``."""
 
-    async def swap(
+    async def compare_and_swap(
         self, key: str, value: bytes, expected: int, lease_s: float | None = None
     ) -> Stored | Conflict | StoreFault:
         """
