--- a/spindlenotch/drivers/hostlist_http.py
+++ b/spindlenotch/drivers/hostlist_http.py
@@ -1,7 +1,7 @@
 """
 Driver for the platform's host list over HTTP.
 
-Protocol: ``GET /hosts`` with ``If-None-Match: "REVISION"``; 304 where it is
+Protocol: ``GET /hosts`` with ``If-None-Match: "REVISION"``; 304 if the list is
 unchanged, else JSON as in ``hostlist.HostTable``. Owns one HTTP session.
 """
 
@@ -11,7 +11,7 @@
 from spindlenotch.drivers import http_client
 from spindlenotch.kernel import hostlist
 
-#: Longest time of one call, in seconds.
+#: Timeout of one call, in seconds.
 CALL_TIMEOUT_S = 1.5
 UNCHANGED = 304
 OK = 200
@@ -28,7 +28,7 @@
     async def fetch(
         self, known_revision: int
     ) -> ports.HostListing | ports.HostListFault | None:
-        """Return the list, or None where its revision is still ``known_revision``."""
+        """Return the list, or None if it is unchanged since ``known_revision``."""
         try:
             async with self.session.get().get(
                 f"{self.base_url}/hosts",
@@ -38,7 +38,7 @@
             ) as response:
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # Callers act alike on each cause: they keep the list they have.
+            # Callers treat every cause alike: they keep the list they have.
             return ports.HostListFault.UNAVAILABLE
         if response.status == UNCHANGED:
             return None
@@ -48,5 +48,5 @@
         return ports.HostListing(table.revision, body)
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         await self.session.close()
--- a/spindlenotch/drivers/http_client.py
+++ b/spindlenotch/drivers/http_client.py
@@ -1,9 +1,9 @@
 """
-The one place where HTTP sessions of the drivers are set up.
+Creates the HTTP sessions of the drivers.
 
-Owns what all of them share, and the switches in which they differ on purpose.
-A session takes no cookies: they would carry one caller's state to the next.
-Relies on aiohttp; limits of single calls are set where the calls are made.
+Owns their common settings, and the options in which they differ on purpose. A
+session stores no cookies: they would leak one caller's state to the next. Relies on
+aiohttp; the timeouts of single calls are set where the calls are made.
 """
 
 from collections import abc
@@ -12,7 +12,7 @@
 
 from spindlenotch import ids
 
-#: aiohttp's own limit of connections.
+#: aiohttp's own default limit of connections per session.
 DEFAULT_CONNECTIONS = 100
 
 
@@ -28,14 +28,15 @@
     traces: abc.Sequence[aiohttp.TraceConfig] = (),
 ) -> aiohttp.ClientSession:
     """
-    Return a session of the running loop.
+    Return a session of the running event loop.
 
-    ``connections`` bounds those open at once; 0: no limit. Without
-    ``caches_addresses`` a name is looked up for each new connection, and with
-    ``closes_connections`` none is used twice. With ``resends`` aiohttp itself
-    repeats idempotent methods, PUT among them, where a kept connection drops.
+    ``connections`` limits the connections open at once; 0: no limit. Without
+    ``caches_addresses`` a name is resolved for each new connection, and with
+    ``closes_connections`` no connection is reused. With ``resends``
+    aiohttp itself retries idempotent methods, PUT among them, if a keep-alive
+    connection drops.
     ``decompresses`` decodes compressed bodies. ``timeout`` None is aiohttp's
-    default, for sessions whose calls all bring their own.
+    default, for sessions whose calls all set their own.
     """
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
@@ -50,13 +51,13 @@
         trace_configs=list(traces),
     )
     if not resends:
-        # There is no public switch for this.
+        # aiohttp has no public option for this.
         session._retry_connection = False
     return session
 
 
 class LazySession:
-    """Opens its session at the first use, since it belongs to the running loop."""
+    """Opens its session at first use, as a session belongs to the running loop."""
 
     def __init__(self, open_session: abc.Callable[[], aiohttp.ClientSession]) -> None:
         self._open_session = open_session
@@ -69,17 +70,17 @@
         return self._session
 
     def close_idle(self, address: ids.Address) -> None:
-        """Close the connections that are kept to ``address`` and not in use."""
+        """Close the idle keep-alive connections to ``address``."""
         connector = None if self._session is None else self._session.connector
         if connector is None:
             return
-        # There is no public way to these; aiohttp itself drops those that are closed.
+        # aiohttp has no public access to these; it discards closed ones itself.
         for key, kept in connector._conns.items():
             if f"{key.host}:{key.port}" == address:
                 for protocol, _ in kept:
                     protocol.close()
 
     async def close(self) -> None:
-        """Drop all connections; the session can't be used afterwards."""
+        """Close all connections; the session cannot be used afterwards."""
         if self._session is not None:
             await self._session.close()
--- a/spindlenotch/drivers/store_http.py
+++ b/spindlenotch/drivers/store_http.py
@@ -11,11 +11,11 @@
 from spindlenotch import ports
 from spindlenotch.drivers import http_client
 
-#: Longest time of a read or write, in seconds.
+#: Timeout of a read or write, in seconds.
 CALL_TIMEOUT_S = 1.5
-#: What a watch may take beyond the wait it asked for.
+#: Time that a watch may take beyond the requested wait, in seconds.
 WATCH_GRACE_S = 2.0
-#: Connections open at once, waiting watches included.
+#: Limit of connections open at once, waiting watches included.
 CONNECTIONS = 64
 REVISION = "X-Revision"
 OK = 200
@@ -31,7 +31,7 @@
 @ports.STORES.register("http")
 class HttpStore:
     """
-    Talks to the store at ``base_url``.
+    Client of the store at ``base_url``.
 
     Invariant: every call ends within its timeout, with a value or a fault.
     """
@@ -41,7 +41,7 @@
         self.session = http_client.LazySession(_new_session)
 
     async def get(self, key: str) -> ports.Stored | ports.StoreFault:
-        """Read ``key``; an absent one has revision zero."""
+        """Read ``key``; an absent key has revision zero."""
         return await self._read(f"/kv/{key}", {}, CALL_TIMEOUT_S)
 
     async def compare_and_swap(
@@ -78,7 +78,7 @@
         return await self._read(f"/watch/{key}", params, wait_s + WATCH_GRACE_S)
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         await self.session.close()
 
     async def _read(
@@ -94,7 +94,7 @@
                 body = await response.read()
                 revision = int(response.headers.get(REVISION, "0"))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-            # Callers act alike on each cause: they keep what they have.
+            # Callers treat every cause alike: they keep the value they have.
             return ports.StoreFault.UNAVAILABLE
         if response.status == OK:
             return ports.Stored(revision, body)
@@ -104,9 +104,9 @@
 
 
 def _new_session() -> aiohttp.ClientSession:
-    # aiohttp may repeat a write where a kept connection drops. The expected
-    # revision keeps it from taking effect twice, but the repeat of a write that
-    # did take effect is answered as a conflict with itself.
+    # aiohttp may retry a write if a keep-alive connection drops. The expected
+    # revision prevents it from taking effect twice, but the retry of a write that
+    # did take effect is rejected as a conflict with the write itself.
     return http_client.new_session(connections=CONNECTIONS, caches_addresses=False)
 
 
--- a/spindlenotch/drivers/upstream_dialect.py
+++ b/spindlenotch/drivers/upstream_dialect.py
@@ -1,9 +1,10 @@
 """
-How upstreams say what the product needs to know: names and judgements.
+Dialects: the header names and rules by which upstream responses are interpreted.
 
-The rules by which an answer counts as an upstream's own, as not run, or as a
-drain notice stand in one function each per dialect. ``NATIVE`` is the
-product's own; an adapter brings another (see ``gateway.dialect``). Pure.
+For each dialect one function decides whether a response was made by an upstream, one
+whether it says that the request was not executed, and one whether it is a drain
+notice. ``NATIVE`` is the product's own dialect; an adapter provides another (see
+``gateway.dialect``). Pure.
 """
 
 from collections import abc
@@ -13,31 +14,30 @@
 from spindlenotch import headers
 from spindlenotch.kernel import backpressure, upstreams
 
-#: Header values by name; looked up without regard to case.
+#: Header values by name; the lookup ignores case.
 Fields = abc.Mapping[str, str]
 
 PROBE_PATH = "/-/load"
 NOT_RUN = "not-run"
 DRAINING = "draining"
-#: Longest load header that is read, in characters.
+#: Length above which a load header is ignored, in characters.
 MAX_LOAD_CHARACTERS = 64
-#: Largest count that is believed in a load header.
+#: Count above which a load header is ignored as implausible.
 MAX_LOAD_COUNT = 1_000_000
 
 
 class UpstreamDialect(msgspec.Struct, frozen=True):
     """
-    The names and judgements of one way to speak with upstreams.
-
-    ``request_id`` names the header that an upstream echoes. ``read_load`` gets
-    the headers of an answer and returns None where they hold no load that can
-    be read. ``read_cold_s`` gets those of a health answer and returns for how many
-    seconds more the upstream is cold, None where it does not say. The others get its
-    status and headers: ``read_signals`` returns what the answer says of how much the
-    upstream will take, ``is_genuine`` tells
-    whether an upstream made the answer, ``is_not_run`` whether it says that
-    the request has not run and never will, ``is_draining`` whether the
-    upstream that was meant gets no more work.
+    The header names and rules of one protocol between this product and upstreams.
+
+    ``request_id`` names the header that an upstream echoes. ``read_load`` takes the
+    headers of a response and returns None if they hold no valid load. ``read_cold_s``
+    takes those of a health response and returns for how many more seconds the
+    upstream is cold, None if it does not say. The others take the status and headers
+    of a response: ``read_signals`` returns its backpressure signals, ``is_genuine``
+    tells whether it was made by an upstream, ``is_not_run`` whether it says that the
+    request was not executed and never will be, ``is_draining`` whether the upstream
+    addressed accepts no more requests.
     """
 
     request_id: str
@@ -51,14 +51,14 @@
 
 
 def read_load(text: str | None) -> upstreams.LoadReport | None:
-    """Read ``running=4,queued=1``; None where it is absent or malformed."""
+    """Parse ``running=4,queued=1``; return None if it is absent or malformed."""
     if text is None or len(text) > MAX_LOAD_CHARACTERS:
         return None
     try:
         count_by_name = dict(item.split("=", 1) for item in text.split(","))
         running, queued = int(count_by_name["running"]), int(count_by_name["queued"])
     except (ValueError, KeyError):
-        # As good as no report; upstreams send one with nearly every answer.
+        # Treated as no report; upstreams send one with nearly every response.
         return None
     if not (0 <= running <= MAX_LOAD_COUNT and 0 <= queued <= MAX_LOAD_COUNT):
         return None
@@ -66,7 +66,7 @@
 
 
 def _is_genuine(status: int, fields: Fields) -> bool:
-    """Native upstreams sign nothing; the echoed request id is the only proof."""
+    """Return True: native upstreams sign nothing and only echo the request id."""
     return True
 
 
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -1,11 +1,11 @@
 """
-Driver that talks HTTP/1.1 to upstreams through aiohttp.
+Driver that sends HTTP/1.1 requests to upstreams through aiohttp.
 
-Every default of aiohttp that could break a promise is set here: no silent
-resend on a dropped connection, no redirects, no decompression, no cookies, no
-total timeout. A request that may not be repeated goes over a new connection,
-so that a failure before the first byte is known for what it is. What answers
-mean is the job of ``upstream_dialect``.
+Overrides every default of aiohttp that could violate a guarantee: no automatic retry
+on a dropped connection, no redirects, no decompression, no cookies, no total timeout.
+A request that may not be repeated is sent over a new connection, so that a failure
+before the first byte is recognized as such. ``upstream_dialect`` interprets the
+responses.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 from spindlenotch.drivers import http_client, upstream_dialect
 from spindlenotch.kernel import upstreams
 
-#: Longest time of connecting, in seconds.
+#: Timeout for connecting, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: How much later than due the end of that time may be noticed, in seconds: more than
-#: a host under a quota of processor time is kept waiting. Later, this process stood
-#: still, and the connection may have come up meanwhile.
+#: Delay of the connect timeout's timer above which this process is taken to have been
+#: paused, in seconds: then the connection may have been established meanwhile. Above
+#: the delays that a CPU quota of the host causes.
 TIMER_DELAY_TOLERANCE_S = 0.15
-#: Most bytes of a body that are handed on at a time.
+#: Upper bound of a chunk of a body, in bytes.
 CHUNK_BYTES = 64 * 1024
 OK = 200
-#: Headers that aiohttp would add to a caller's own.
+#: Headers that aiohttp would add to those of the caller.
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
@@ -39,19 +39,19 @@
 
 
 class _StaleConnectionError(Exception):
-    """Raised before the first byte where a kept connection can't be used."""
+    """Raised before the first byte if a keep-alive connection is unusable."""
 
 
 class _CheckedRequest(aiohttp.ClientRequest):
     """
-    A request that is sent only over a connection on which nothing lies unread.
+    A request that is sent only over a connection without unread data.
 
-    What came while a connection was idle belongs to no request; read as the
-    next answer, it would be a foreign one.
+    Data that arrived while a connection was idle belongs to no request; it would be
+    read as the response to the next one.
     """
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
-        """Send the request, or raise where the connection can't be used."""
+        """Send the request, or raise if the connection is unusable."""
         if conn.protocol is None or conn.protocol.should_close:
             raise _StaleConnectionError
         return await super().send(conn)
@@ -59,11 +59,11 @@
 
 class HttpAnswer:
     """
-    An answer whose head has come.
+    A response whose header section has arrived.
 
-    Invariant: ``chunk`` returns an empty piece only where the body ended as
-    its framing says. An answer that is not read to that end is abandoned,
-    and its connection closed.
+    Invariant: ``chunk`` returns an empty chunk only if the body ended as its framing
+    requires. A response that is not read to that end is abandoned, and its
+    connection closed.
     """
 
     def __init__(
@@ -84,11 +84,11 @@
         self.signals = dialect.read_signals(response.status, fields)
 
     async def chunk(self) -> bytes | ports.UpstreamFault:
-        """Return the next piece of the body; empty at its true end."""
+        """Return the next chunk of the body; empty only at the end of a whole body."""
         try:
             piece = await self._response.content.read(CHUNK_BYTES)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # Whatever the cause, the body is not whole.
+            # Whatever the cause, the body is truncated.
             self.abandon()
             return ports.UpstreamFault.CONNECTION_LOST
         if not piece and _was_reset(self._closing):
@@ -103,9 +103,9 @@
 @ports.UPSTREAM_PORTS.register("http")
 class HttpUpstreamPort:
     """
-    Sends requests over two sessions: one reuses connections, one never does.
+    Sends requests over two sessions: one reuses connections, the other never does.
 
-    See ``ports.UpstreamPort``; ``dialect`` None is the product's own.
+    See ``ports.UpstreamPort``; ``dialect`` None selects the product's own.
     """
 
     def __init__(self, dialect: upstream_dialect.UpstreamDialect | None = None) -> None:
@@ -126,10 +126,10 @@
         except _TooLateError:
             return ports.UpstreamFault.TOO_LATE
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            # The only causes before anything was sent.
+            # The only failures that occur before anything was sent.
             return ports.UpstreamFault.CONNECT_FAILED
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
-            # Whatever the cause, the request may have run.
+            # Whatever the cause, the request may have been executed.
             return ports.UpstreamFault.CONNECTION_LOST
         if not self._is_answer_to(request, response):
             response.close()
@@ -139,7 +139,7 @@
     def _is_answer_to(
         self, request: ports.UpstreamRequest, response: aiohttp.ClientResponse
     ) -> bool:
-        """Tell whether an upstream made this answer, and for this request."""
+        """Tell whether an upstream made this response, and to this request."""
         fields = response.headers
         if fields.get(self.dialect.request_id) != request.request_id:
             return False
@@ -147,10 +147,10 @@
 
     async def _respond(self, request: ports.UpstreamRequest) -> aiohttp.ClientResponse:
         """
-        Send over the first idle connection that can be used, or a new one.
+        Send over the first usable idle connection, or a new one.
 
-        Where this process stood still while it connected, it connects anew: blamed
-        for that, sound upstreams are ejected by a process that wakes up.
+        If this process was paused while it connected, it connects again: otherwise a
+        process that resumes would blame healthy upstreams and eject them.
         """
         session = self._session(new_connection=request.needs_new_connection)
         loop = asyncio.get_running_loop()
@@ -167,10 +167,10 @@
                     trace_request_ctx=types.SimpleNamespace(may_send=request.may_send),
                 )
             except _StaleConnectionError:
-                # aiohttp has closed it, and nothing was sent.
+                # aiohttp has closed the connection, and nothing was sent.
                 continue
             except aiohttp.ConnectionTimeoutError:
-                # Nothing was sent here, either.
+                # Nothing was sent in this case either.
                 if (
                     loop.time() <= due + TIMER_DELAY_TOLERANCE_S
                     or not request.may_send()
@@ -180,7 +180,7 @@
     async def probe(
         self, address: ids.Address, timeout_s: float, path: str | None = None
     ) -> upstreams.LoadReport | ports.UpstreamFault:
-        """Ask an upstream for its load; see ``ports.UpstreamPort.probe``."""
+        """Query the load of an upstream; see ``ports.UpstreamPort.probe``."""
         session = self._session(new_connection=False)
         target = path or self.dialect.probe_path
         try:
@@ -193,7 +193,7 @@
             ) as response:
                 await response.read()
         except (_StaleConnectionError, aiohttp.ClientError, OSError, TimeoutError):
-            # Whoever probes counts each cause as a failed probe.
+            # Callers count every cause as a failed probe.
             return ports.UpstreamFault.CONNECTION_LOST
         if self.dialect.is_draining(response.status, response.headers):
             return ports.UpstreamFault.DRAINING
@@ -204,7 +204,7 @@
         return msgspec.structs.replace(report, cold_s=cold_s)
 
     async def liveness(self, address: ids.Address, timeout_s: float) -> ports.Liveness:
-        """Ask whether an upstream is there; see ``ports.UpstreamPort.liveness``."""
+        """Check whether an upstream is alive; see ``ports.UpstreamPort.liveness``."""
         session = self._session(new_connection=True)
         try:
             async with session.get(
@@ -218,15 +218,15 @@
         except TimeoutError:
             return ports.Liveness.SILENT
         except (_StaleConnectionError, aiohttp.ClientError, OSError):
-            # Refused, reset or closed: nobody is there to answer.
+            # Refused, reset or closed: no process is there to respond.
             return ports.Liveness.GONE
 
     def close_idle(self, address: ids.Address) -> None:
-        """Close the connections that are kept to ``address`` and not in use."""
+        """Close the idle keep-alive connections to ``address``."""
         self._reusing.close_idle(address)
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         for session in (self._reusing, self._single_use):
             await session.close()
 
@@ -238,10 +238,11 @@
     response: aiohttp.ClientResponse,
 ) -> "asyncio.Future[None] | None":
     """
-    Return the future of the connection's end where the body ends with it.
+    Return the future of the connection's closing if it delimits the body.
 
-    Such a body has neither a length nor chunks. aiohttp takes any end of the
-    connection for the body's end, also a reset that may have cut it short.
+    Such a body has neither a Content-Length nor chunked coding (RFC 9112, section
+    6.3). aiohttp takes every end of the connection for the end of the body, also a
+    reset that may have truncated it. Return None for other bodies.
     """
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     connection = response.connection
@@ -262,7 +263,7 @@
         connections=0,
         caches_addresses=False,
         closes_connections=force_close,
-        # Every resend must come from the retry budget.
+        # Every retry must be taken from the retry budget.
         resends=False,
         decompresses=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
@@ -276,13 +277,13 @@
     context: types.SimpleNamespace,
     params: typing.Any,
 ) -> None:
-    """Ask again after connecting, during which the process may have paused."""
+    """Check ``may_send`` again: the process may have paused while it connected."""
     if not context.trace_request_ctx.may_send():
         raise _TooLateError
 
 
 def _parse_retry_after(text: str | None) -> float | None:
-    """Read ``Retry-After`` in seconds; its form as a date counts as absent."""
+    """Parse ``Retry-After`` in seconds; its date form counts as absent."""
     try:
         seconds = 0.0 if text is None else float(text)
     except ValueError:
--- a/spindlenotch/ports.py
+++ b/spindlenotch/ports.py
@@ -1,9 +1,9 @@
 """
-Ports to the outside: what the product needs of it, as protocols and messages.
+Ports to external systems, as protocols and message types.
 
-Owns the registries in which drivers register a factory under the name that
-settings choose. A call that fails returns a fault, never raises: each layer
-has its own faults and turns those from below into them. Times are in seconds.
+Owns the registries in which drivers register a factory under the name used in
+settings. A call that fails returns a fault and never raises: each layer has its own
+faults and maps those of the layer below to them. Times are in seconds.
 """
 
 import enum
@@ -17,11 +17,11 @@
 
 
 class StoreFault(enum.Enum):
-    """Why the store gave no answer that can be used."""
+    """Why the store gave no usable response."""
 
-    #: No answer in time, or one that can't be read; a write may still happen.
+    #: No response in time, or an invalid one; a write may still take effect.
     UNAVAILABLE = "unavailable"
-    #: The value is larger than the store takes; nothing was written.
+    #: The value is larger than the store accepts; nothing was written.
     TOO_LARGE = "too-large"
     #: More calls per second than the store allows; nothing was done.
     OVER_LIMIT = "over-limit"
@@ -37,13 +37,13 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """A compare-and-swap that lost; ``revision`` is the store's, zero: absent."""
+    """A failed compare-and-swap; ``revision`` is the current one, zero: absent."""
 
     revision: int
 
 
 class Store(typing.Protocol):
-    """The platform's key-value service; revisions of a key only grow."""
+    """The platform's key-value service; revisions of a key only increase."""
 
     async def get(self, key: str) -> Stored | StoreFault:
         """Read ``key``."""
@@ -54,7 +54,7 @@
         """
         Write ``key`` if its revision is ``expected`` (zero: absent).
 
-        With ``lease_s`` the value vanishes that many seconds later. After
+        With ``lease_s`` the value expires that many seconds later. After the fault
         ``UNAVAILABLE`` the write may still take effect.
         """
 
@@ -62,27 +62,27 @@
         """
         Return ``key`` as soon as its revision exceeds ``after``.
 
-        After ``wait_s`` seconds without such a change it is returned as it is.
+        After ``wait_s`` seconds without such a change, return its current value.
         """
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 class HostListFault(enum.Enum):
-    """Why the host list gave no answer that can be used."""
+    """Why the host list gave no usable response."""
 
-    #: No answer in time.
+    #: No response in time.
     UNAVAILABLE = "unavailable"
-    #: An answer that is no host list.
+    #: The response is not a valid host list.
     GARBLED = "garbled"
 
 
 class HostListing(msgspec.Struct, frozen=True):
     """
-    The host list as it was sent, with its revision.
+    The host list as it was received, with its revision.
 
-    Peers pass the bytes on unchanged, so they are kept beside the revision.
+    Peers forward the bytes unchanged, so they are kept beside the revision.
     """
 
     revision: int
@@ -90,53 +90,54 @@
 
 
 class HostList(typing.Protocol):
-    """The platform's list of hosts; changes appear in it with a delay."""
+    """The platform's list of hosts; it reflects changes with a delay."""
 
     async def fetch(self, known_revision: int) -> HostListing | HostListFault | None:
-        """Return the list, or None where its revision is still ``known_revision``."""
+        """Return the list, or None if it is unchanged since ``known_revision``."""
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 class UpstreamFault(enum.Enum):
-    """Why an upstream gave no whole answer."""
+    """Why an upstream gave no complete response."""
 
-    #: No connection came about; nothing was sent.
+    #: No connection was established; nothing was sent.
     CONNECT_FAILED = "connect-failed"
-    #: ``may_send`` said no, as the deadline has passed; nothing was sent.
+    #: ``may_send`` was false because the deadline has passed; nothing was sent.
     TOO_LATE = "too-late"
-    #: ``may_send`` said no, as the upstream wants nothing now; nothing was sent.
+    #: ``may_send`` was false because the upstream accepts no requests at present;
+    #: nothing was sent.
     WITHDRAWN = "withdrawn"
-    #: The connection broke or the answer can't be read; the request may have run.
+    #: The connection broke or the response is invalid; the request may have been
+    #: executed.
     CONNECTION_LOST = "connection-lost"
-    #: The answer belongs to another request or was not made by an upstream; the
-    #: request may have run. Of a probe: the answer holds no load.
+    #: The response belongs to another request or was not made by an upstream; the
+    #: request may have been executed. For a probe: the response contains no load.
     FOREIGN_ANSWER = "foreign-answer"
-    #: Of a probe only: the upstream gets no more work.
+    #: For a probe only: the upstream accepts no more requests.
     DRAINING = "draining"
 
 
 class Liveness(enum.Enum):
-    """What a new connection to an upstream tells of its process."""
+    """What a new connection to an upstream shows of its process."""
 
-    #: It answered, whatever it said.
+    #: It responded, whatever the response.
     ALIVE = "alive"
-    #: No connection came about, or it was closed without an answer.
+    #: No connection was established, or it was closed without a response.
     GONE = "gone"
-    #: Nothing came in time.
+    #: Nothing was received in time.
     SILENT = "silent"
 
 
 class UpstreamRequest(msgspec.Struct):
     """
-    What goes to an upstream.
+    A request to an upstream.
 
-    ``target`` is the request target as it is sent, path and query. ``headers``
-    include all that are to be sent, ``request_id`` the one that the answer
-    must echo. With ``needs_new_connection`` no idle connection is used.
-    ``may_send`` is asked first, and again when a new connection is up, before
-    the first byte.
+    ``target`` is the request target as sent, path and query. ``headers`` are all that
+    are sent; ``request_id`` is the id that the response must echo. With
+    ``needs_new_connection`` no idle connection is used. ``may_send`` is called first,
+    and again when a new connection is established, before the first byte.
     """
 
     address: ids.Address
@@ -151,13 +152,13 @@
 
 class UpstreamAnswer(typing.Protocol):
     """
-    The head of an answer, and the way to its body.
+    The status and headers of a response, with access to its body.
 
-    ``length`` is the body's in bytes, None where the head does not tell it.
-    ``not_run`` says that the request has not run and never will, ``draining``
-    that the upstream gets no more work. ``retry_after_s`` and ``report``, the
-    upstream's load, are None where they are absent or can't be read. ``signals`` is
-    what it says of how much it will take.
+    ``length`` is that of the body in bytes, None if the headers do not give it.
+    ``not_run`` says that the request was not executed and never will be, ``draining``
+    that the upstream accepts no more requests. ``retry_after_s``, in seconds, and
+    ``report``, the load of the upstream, are None if they are absent or invalid.
+    ``signals`` are its backpressure signals.
     """
 
     status: int
@@ -170,7 +171,7 @@
     signals: backpressure.Signals
 
     async def chunk(self) -> bytes | UpstreamFault:
-        """Return the next piece of the body; empty only where the body is whole."""
+        """Return the next chunk of the body; empty only at the end of a whole body."""
 
     def abandon(self) -> None:
         """Close the connection; it is never used again."""
@@ -181,28 +182,28 @@
 
     async def send(self, request: UpstreamRequest) -> UpstreamAnswer | UpstreamFault:
         """
-        Send a request once and wait for the head of its answer.
+        Send a request once and wait for the headers of the response.
 
-        There is no limit of time but that of connecting; callers cancel.
+        Only connecting has a timeout; callers cancel.
         """
 
     async def probe(
         self, address: ids.Address, timeout_s: float, path: str | None = None
     ) -> upstreams.LoadReport | UpstreamFault:
         """
-        Ask an upstream for its load, for at most ``timeout_s`` seconds.
+        Query the load of an upstream, for at most ``timeout_s`` seconds.
 
-        ``path`` is the service's own where it has one; None: the dialect's.
+        ``path`` is the probe path of the service if it has one; None: the dialect's.
         """
 
     async def liveness(self, address: ids.Address, timeout_s: float) -> Liveness:
-        """Ask an upstream over a new connection if it is there."""
+        """Check over a new connection, for ``timeout_s``, if an upstream is alive."""
 
     def close_idle(self, address: ids.Address) -> None:
-        """Close the connections that are kept to ``address`` and not in use."""
+        """Close the idle keep-alive connections to ``address``."""
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 STORES: registry.Registry[abc.Callable[[str], Store]] = registry.Registry("store")
