--- a/spindlenotch/api.py
+++ b/spindlenotch/api.py
@@ -1,7 +1,7 @@
 """
-Bodies that entries and callers exchange, as JSON.
+JSON bodies that entries send to callers.
 
-Shared by the caller port and the caller library; imports nothing of either.
+Shared by the caller port and the caller library; imports neither of them.
 """
 
 import msgspec
@@ -16,10 +16,10 @@
 
 class EntriesAnswer(msgspec.Struct, frozen=True):
     """
-    Which entries to use, and tickets for requests that may not be repeated.
+    The entries to use, and tickets for requests that may not be repeated.
 
-    ``valid_for_ms`` counts from the arrival of the answer, since clocks
-    differ; the caller stores the deadline that follows.
+    ``valid_for_ms`` counts from the arrival of the response, because the clocks of
+    caller and entry differ; the caller stores the resulting deadline.
     """
 
     entries: tuple[NamedEntry, ...]
@@ -31,8 +31,8 @@
     """
     The body of a refusal.
 
-    ``retry_after_ms`` counts from the arrival of the answer; None where the
-    same request would be refused again.
+    ``retry_after_ms`` counts from the arrival of the response; None if the same
+    request would be refused again.
     """
 
     outcome: str
--- a/spindlenotch/client.py
+++ b/spindlenotch/client.py
@@ -1,9 +1,9 @@
 """
-The library that callers embed.
+Client library that callers embed.
 
-Sends a request to one of the entries that ``entry_directory`` knows, goes to
-another when one fails, and carries tickets for requests that may not be
-repeated. It never turns an unknown outcome into a resend under a new id.
+Sends a request to one of the entries that ``entry_directory`` knows, fails over to
+another entry, and attaches tickets to requests that may not be repeated. A request
+whose outcome is unknown is never resent under a new id.
 """
 
 import random
@@ -15,20 +15,20 @@
 from spindlenotch import clock, entry_directory, headers, ids
 from spindlenotch.kernel import outcomes
 
-#: How many entries one request is sent to at the most.
+#: Upper bound of the attempts at one request, each at one entry.
 MAX_ATTEMPTS = 4
-#: How long a connection to an entry may take to be made, in seconds.
+#: Timeout for connecting to an entry, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: How long after its deadline an answer is still waited for, in seconds: the entry's
-#: own answer that the deadline passed comes in this time.
+#: Seconds for which the client waits beyond the deadline of a request: the entry's own
+#: response that the deadline has passed arrives within them.
 ANSWER_MARGIN_S = 0.05
 
 
 class Request(msgspec.Struct, frozen=True):
     """
-    What a caller wants; ``repeatable`` must agree with the bundle.
+    A request of a caller; ``repeatable`` must agree with the bundle.
 
-    ``timeout_s`` is the time within which the answer is wanted, in seconds.
+    ``timeout_s`` is the time within which a response is needed, in seconds.
     ``chosen_id`` is the caller's own Idempotency-Key; without one, a request
     that may not be repeated gets a ticket.
     """
@@ -46,10 +46,10 @@
 
 class Answer(msgspec.Struct, frozen=True):
     """
-    A whole answer, with what became of the request.
+    A complete response, with the outcome of the request.
 
-    ``upstream`` and ``entry`` say who gave it; ``retry_after_s`` is set where
-    asking again later makes sense.
+    ``upstream`` and ``entry`` say which of them sent it; ``retry_after_s``, in seconds,
+    is set if a later retry makes sense.
     """
 
     status: int
@@ -64,7 +64,7 @@
 
 
 class NoAnswer(msgspec.Struct, frozen=True):
-    """No entry gave an answer; ``outcome`` says what is known nevertheless."""
+    """No entry responded; ``outcome`` says what is known of the request."""
 
     outcome: outcomes.Outcome
     reason: str
@@ -72,14 +72,14 @@
 
 class Client:
     """
-    One caller's way into the system.
+    Sends the requests of one caller.
 
-    ``seeds`` are addresses, ``IP:port``, of entries to ask first; ``caller``
+    ``seeds`` are the addresses, ``IP:port``, of entries to query first; ``caller``
     and ``key`` are those of its client account, if any.
 
-    Invariants: a connection is made only to a seed (to ask) or to an entry
-    named in an answer that has not expired; a request that may not be
-    repeated is sent under one id from first to last.
+    Invariants: a connection is made only to a seed (to query it) or to an entry
+    listed in a response that has not expired; a request that may not be repeated is
+    sent under one id only.
     """
 
     def __init__(
@@ -103,16 +103,16 @@
         )
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
     async def call(self, request: Request) -> Answer | NoAnswer:
         """
-        Send a request and return its whole answer.
+        Send a request and return its complete response.
 
-        A repeatable one is sent again through another entry when a connection
-        breaks. One that is not is sent again under the same id, and an answer
+        If a connection breaks, a repeatable request is retried through another
+        entry; any other is retried under the same id. A response with the outcome
         "unknown" is final.
         """
         deadline = ids.later(self.clock.now(), request.timeout_s)
@@ -135,8 +135,8 @@
             failed.add(entry)
             self.resends += 1
             if ticket is not None and result.outcome is outcomes.Outcome.NOT_RUN:
-                # Nothing was ever sent under this ticket, and its home is
-                # gone: start again with a ticket of another entry.
+                # Nothing was sent under this ticket, and its entry is unreachable:
+                # start over with a ticket of another entry.
                 ticket = await self._directory.ticket_of_another(entry)
                 if ticket is None:
                     break
@@ -197,8 +197,8 @@
                 auto_decompress=False,
                 connector=aiohttp.TCPConnector(limit=0, use_dns_cache=False),
             )
-            # aiohttp would send some requests again by itself; every resend is
-            # decided here.
+            # aiohttp would retry some requests by itself; all retries are decided
+            # in this class.
             self._session._retry_connection = False
         return self._session
 
@@ -222,7 +222,7 @@
 
 
 def _combine_results(before: NoAnswer, after: NoAnswer) -> NoAnswer:
-    """Return what is known of two tries: once unknown, an outcome stays so."""
+    """Return the result of two attempts: an unknown outcome stays unknown."""
     if before.outcome is outcomes.Outcome.UNKNOWN:
         return before
     return after
--- a/spindlenotch/entry_directory.py
+++ b/spindlenotch/entry_directory.py
@@ -1,8 +1,8 @@
 """
-What the caller library knows of the entries: which to use, until when.
+The entries known to the caller library, with their expiry.
 
-Asks entries it knows, then the seeds, and keeps the answer until its deadline,
-together with the tickets in it. Used by ``client`` only.
+Queries the known entries, then the seeds, and caches the response and the tickets in
+it until its deadline. Used by ``client`` only.
 """
 
 import asyncio
@@ -14,17 +14,17 @@
 
 from spindlenotch import api, clock, ids
 
-#: Tickets that are asked for when one is needed.
+#: Tickets requested from an entry when one is needed.
 TICKET_BATCH_SIZE = 8
-#: How long one entry may take to say which entries to use, in seconds.
+#: Timeout for querying one entry, in seconds.
 QUERY_TIMEOUT_S = 2.0
-#: A ticket is used at the most this long after it arrived, in seconds: half of the time
-#: for which its entry takes it.
+#: Longest age at which a ticket is used, in seconds since it arrived: half of the time
+#: for which its entry accepts it.
 TICKET_USE_S = 60.0
 
 
 class Ticket(msgspec.Struct):
-    """A ticket, the entry that minted it, and until when to use it."""
+    """A ticket, the entry that issued it, and the instant until which to use it."""
 
     text: str
     entry: ids.Address
@@ -33,10 +33,10 @@
 
 class EntryDirectory:
     """
-    Entries to use, until a deadline, and unused tickets.
+    The entries to use until a deadline, and unused tickets.
 
-    Invariant: an entry is named only by an answer that has not expired, but
-    for one that a ticket names.
+    Invariant: except for the entry of a ticket, only entries listed in a response
+    that has not expired are used.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._refreshing = asyncio.Lock()
 
     async def ticket(self) -> Ticket | None:
-        """Take an unused ticket, asking for some if there is none."""
+        """Take an unused ticket, requesting some if there is none."""
         now = self.clock.now()
         self._tickets = [t for t in self._tickets if t.use_by > now]
         if not self._tickets:
@@ -65,7 +65,7 @@
         return self._tickets.pop() if self._tickets else None
 
     async def ticket_of_another(self, failed: ids.Address) -> Ticket | None:
-        """Take a ticket of another entry; drop those of the one that failed."""
+        """Take a ticket of another entry; discard those of the one that failed."""
         self._tickets = [t for t in self._tickets if t.entry != failed]
         if not self._tickets:
             await self._query(TICKET_BATCH_SIZE, skip=failed)
@@ -75,10 +75,10 @@
         self, ticket: Ticket | None, failed: abc.Container[ids.Address]
     ) -> ids.Address | None:
         """
-        Choose an entry: the ticket's own first, else any that is named.
+        Choose an entry: that of the ticket first, else any listed one.
 
-        One that failed is chosen only where no other is left; None where no
-        entry is known at all.
+        One that failed is chosen only if no other is left; None if no entry is
+        known.
         """
         if ticket is not None and ticket.entry not in failed:
             return ticket.entry
@@ -88,14 +88,14 @@
                     await self._query(0)
         untried = [e for e in self._entries if e not in failed]
         if not untried:
-            # All that were named have failed: others may know of more.
+            # All listed entries have failed: another source may list more.
             await self._query(0)
             untried = [e for e in self._entries if e not in failed]
         options = untried or self._entries
         return self.rng.choice(options) if options else None
 
     async def _query(self, tickets: int, skip: str = "") -> None:
-        """Ask one entry after another, known ones first, until one answers."""
+        """Query the entries in turn, known ones first, until one responds."""
         known = list(self._entries)
         self.rng.shuffle(known)
         seeds = list(self.seeds)
@@ -111,7 +111,7 @@
     async def _query_one(
         self, source: ids.Address, tickets: int
     ) -> api.EntriesAnswer | None:
-        """Ask one entry; None where it gives no answer that can be used."""
+        """Query one entry; return None if it gives no usable response."""
         try:
             async with self._open_session().get(
                 f"http://{source}/v1/entries",
@@ -124,7 +124,7 @@
                 return None
             return msgspec.json.decode(body, type=api.EntriesAnswer)
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError):
-            # Whatever is wrong with this entry, the next one is asked.
+            # Whatever the fault of this entry, the next one is queried.
             return None
 
     def _adopt(self, source: ids.Address, answer: api.EntriesAnswer) -> None:
