--- a/spindlenotch/clock.py
+++ b/spindlenotch/clock.py
@@ -1,9 +1,9 @@
 """
 The clock port and its drivers.
 
-Only the daemons read a clock; the kernel is given instants. Every clock has a
-steady time for deadlines and the wall-clock time for what people and other
-hosts compare. A driver registers in ``CLOCKS`` when it is imported.
+Only the daemons read a clock; the kernel is passed instants. Every clock has a
+monotonic time for deadlines and a wall-clock time for what people and other hosts
+compare. A driver registers in ``CLOCKS`` when it is imported.
 """
 
 import time
@@ -14,10 +14,10 @@
 
 
 class Clock(typing.Protocol):
-    """A steady clock and a wall clock."""
+    """A monotonic clock and a wall clock."""
 
     def now(self) -> ids.Instant:
-        """Return the steady time in seconds; it never goes back."""
+        """Return the monotonic time in seconds; it never goes back."""
 
     def unix_s(self) -> float:
         """Return the wall-clock time in seconds since 1970; it may be adjusted."""
@@ -31,16 +31,16 @@
     """
     The host's clocks.
 
-    The steady one also counts the time for which the host was suspended, so
-    that a deadline which passed meanwhile counts as passed.
+    The monotonic one also counts the time for which the host was suspended, so that
+    a deadline that falls into it has passed when the host resumes.
     """
 
     def now(self) -> ids.Instant:
-        """Return the seconds since the host was started."""
+        """Return the seconds since the host was booted."""
         return ids.Instant(time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def unix_s(self) -> float:
-        """Return the wall-clock time."""
+        """Return the wall-clock time in seconds since 1970."""
         return time.time()
 
 
@@ -54,14 +54,14 @@
         self.wall = 1_700_000_000.0
 
     def now(self) -> ids.Instant:
-        """Return the steady time, in seconds."""
+        """Return the monotonic time in seconds."""
         return self.instant
 
     def unix_s(self) -> float:
-        """Return the wall-clock time, in seconds since 1970."""
+        """Return the wall-clock time in seconds since 1970."""
         return self.wall
 
     def advance(self, seconds: float) -> None:
-        """Move both times forward."""
+        """Advance both times by ``seconds``."""
         self.instant = ids.later(self.instant, seconds)
         self.wall += seconds
--- a/spindlenotch/headers.py
+++ b/spindlenotch/headers.py
@@ -1,7 +1,7 @@
 """
 Header names of the protocol with callers and upstreams, and hop-by-hop rules.
 
-One place for every name, so that both sides of the entry agree.
+The names are defined here only, so that both sides of the entry agree.
 """
 
 from collections import abc
@@ -24,12 +24,12 @@
 STATE = "Spindlenotch-State"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 
-#: Most hops a chain of calls may have, so that a loop ends; the deepest chain that
-#: docs/CAPACITY.md counts with has 19.
+#: Maximum hops of a chain of calls, which ends forwarding loops; the longest chain that
+#: docs/CAPACITY.md assumes has 19.
 MAX_HOPS = 32
 
-#: Never passed on (lower case): RFC 9110, section 7.6.1, and ``Keep-Alive``,
-#: ``Proxy-Connection`` and the two of proxy authentication, as is customary.
+#: Never forwarded (lower case): the headers of RFC 9110, section 7.6.1, and by
+#: convention ``Keep-Alive``, ``Proxy-Connection`` and the two of proxy authentication.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -44,7 +44,7 @@
     }
 )
 
-#: Headers of requests that are set anew on each hop (lower case).
+#: Request headers that each hop sets anew (lower case).
 SET_PER_HOP = frozenset(
     name.lower()
     for name in (TIMEOUT_MS, KEY, TICKET, FORWARDED, HOPS, NO_RETRY, REQUEST_ID)
@@ -55,10 +55,10 @@
     pairs: abc.Iterable[tuple[str, str]], drop: abc.Container[str] = frozenset()
 ) -> list[tuple[str, str]]:
     """
-    Return the headers that may pass a hop.
+    Return the headers that may be forwarded.
 
-    Leaves out the standard hop-by-hop headers, those that ``Connection``
-    names, and those in ``drop`` (lower case). Order and case stay.
+    Omits the standard hop-by-hop headers, those listed in ``Connection``, and those
+    in ``drop`` (lower case). Preserves order and case.
     """
     all_pairs = list(pairs)
     connection_options: set[str] = set()
--- a/spindlenotch/ids.py
+++ b/spindlenotch/ids.py
@@ -1,9 +1,8 @@
 """
 Types of identifiers and of time.
 
-They let mypy catch, say, a host id that is passed for an upstream id. Owns
-nothing at run time, sits at the bottom of the layers and imports nothing of
-the package.
+They let mypy reject, for example, a host id passed as an upstream id. This is the
+lowest layer: it has no state and imports nothing of the package.
 """
 
 import typing
@@ -14,13 +13,13 @@
 #: Id of an upstream in the host list or the source.
 UpstreamId = typing.NewType("UpstreamId", str)
 
-#: Id of a host of the entry fleet; a gateway's too.
+#: Id of a host of the entry fleet, or of a gateway.
 HostId = typing.NewType("HostId", str)
 
 #: Name of an availability zone.
 ZoneName = typing.NewType("ZoneName", str)
 
-#: Name of a region: availability zones that lie near each other.
+#: Name of a region: a group of availability zones near each other.
 RegionName = typing.NewType("RegionName", str)
 
 #: Version of the software that an upstream runs.
@@ -33,8 +32,7 @@
 #: Id of one request, the same in every process that handles it.
 CallId = typing.NewType("CallId", str)
 
-#: What tells whether two requests are the same one, sent again; see
-#: ``kernel.fingerprints``.
+#: Identifies repetitions of the same request; see ``kernel.fingerprints``.
 Fingerprint = typing.NewType("Fingerprint", str)
 
 #: Random id of one run of a process; each restart gets a new one.
@@ -49,7 +47,7 @@
 #: ``IP:port``.
 Address = typing.NewType("Address", str)
 
-#: A point on the steady clock (``clock.Clock.now``), in seconds. Deadlines are
+#: A reading of the monotonic clock (``clock.Clock.now``), in seconds. Deadlines are
 #: stored as instants, never as durations.
 Instant = typing.NewType("Instant", float)
 
@@ -58,5 +56,5 @@
 
 
 def later(start: Instant, seconds: float) -> Instant:
-    """Return the instant that lies ``seconds`` after ``start``."""
+    """Return the instant ``seconds`` after ``start``."""
     return Instant(start + seconds)
--- a/spindlenotch/metrics.py
+++ b/spindlenotch/metrics.py
@@ -1,16 +1,16 @@
 """
 The Prometheus metrics of one process.
 
-Owns the metrics and the registry that holds them; the demo and tests run
-several entries in one process. Both daemons count into it; their operator
-ports render it. Labels take only names from the bundle and from enumerations,
-which bounds the number of series.
+Owns the metrics and their registry, which is not the global one because the demo and
+tests run several entries in one process. Both daemons update the metrics; their
+operator ports render them. Label values come only from the bundle and from
+enumerations, which bounds the number of time series.
 """
 
 import prometheus_client
 
-#: Upper bounds of the request time's buckets, in seconds. 0.0016 is the limit at
-#: p99 of what an entry adds.
+#: Upper bounds of the histogram buckets of request times, in seconds. 0.0016 is the p99
+#: limit of the latency that an entry adds.
 REQUEST_TIME_BUCKETS_S = (
     0.0005,
     0.001,
--- a/spindlenotch/registry.py
+++ b/spindlenotch/registry.py
@@ -1,9 +1,9 @@
 """
 Registries of factories, filled by decorators.
 
-Selection policies, drivers, dialects and clocks are found by the name that the
-bundle or the settings give. A plug-in module registers its factory when it is
-imported; ``entry.plugins.load`` imports those of the entry daemon.
+Selection policies, drivers, dialects and clocks are looked up by the name in the
+bundle or the settings. A plug-in module registers its factory when it is imported;
+``entry.plugins.load`` imports those of the entry daemon.
 """
 
 import typing
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -1,10 +1,10 @@
 """
-Selection policies: which upstream takes a call, or that the call waits.
+Selection policies: they choose an upstream for a call, or let the call wait.
 
-A policy is registered by name; the bundle names the one a service uses. All
-are pure: pool, call, instant and the pool's seeded random numbers in, a
-decision with its reason out. The policies are in ``decisions``: ``owned_slots``
-(recommended for bundles), ``soonest`` (the gateway's) and ``baselines``.
+A policy is registered by name; the bundle names the one that a service uses. All are
+pure: a decision and its reason depend only on the pool, the call, the instant and the
+pool's seeded random numbers. The policies are in ``decisions``: ``owned_slots``
+(recommended for bundles), ``least_latency`` (the gateway's) and ``baselines``.
 """
 
 import enum
@@ -17,8 +17,8 @@
 from spindlenotch import ids, registry
 from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
-#: Random draws per upstream of a sample: some hit one that is drawn already or that may
-#: not take the call.
+#: Random draws per upstream of a sample: some draw one that is in the sample already or
+#: that may not take the call.
 DRAWS_PER_SAMPLE = 3
 
 
@@ -37,10 +37,10 @@
 
 class Candidate(typing.NamedTuple):
     """
-    One upstream that was compared, and what was estimated of it.
+    One upstream that was compared, with the estimates used.
 
-    ``cost`` is in the unit of the policy that compared; ``load`` is a number of
-    requests, ``report_age_s`` the age of its last load report in seconds.
+    The unit of ``cost`` depends on the policy; ``load`` is a number of requests,
+    ``report_age_s`` the age of the last load report in seconds.
     """
 
     upstream: ids.UpstreamId
@@ -71,12 +71,12 @@
         now: ids.Instant,
         exclude: Exclusion,
     ) -> Choice | None:
-        """Decide on one call."""
+        """Choose an upstream for ``call`` that is not in ``exclude``."""
 
     def reported(
         self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
     ) -> None:
-        """Take in how many requests an upstream reports as queued."""
+        """Record the number of requests that an upstream reports as queued."""
 
 
 POLICIES: registry.Registry[abc.Callable[[], Policy]] = registry.Registry("policy")
