--- a/spindlenotch/drivers/http_client.py
+++ b/spindlenotch/drivers/http_client.py
@@ -21,7 +21,7 @@
     connections: int = DEFAULT_CONNECTIONS,
     caches_addresses: bool = True,
     closes_connections: bool = False,
-    resends: bool = True,
+    retries_idempotent: bool = True,
     decompresses: bool = True,
     timeout: aiohttp.ClientTimeout | None = None,
     request_class: type[aiohttp.ClientRequest] = aiohttp.ClientRequest,
@@ -32,7 +32,7 @@
 
     ``connections`` limits the connections open at once; 0: no limit. Without
     ``caches_addresses`` a name is resolved for each new connection, and with
-    ``closes_connections`` no connection is reused. With ``resends``
+    ``closes_connections`` no connection is reused. With ``retries_idempotent``
     aiohttp itself retries idempotent methods, PUT among them, if a keep-alive
     connection drops.
     ``decompresses`` decodes compressed bodies. ``timeout`` None is aiohttp's
@@ -50,7 +50,7 @@
         request_class=request_class,
         trace_configs=list(traces),
     )
-    if not resends:
+    if not retries_idempotent:
         # aiohttp has no public option for this.
         session._retry_connection = False
     return session
--- a/spindlenotch/drivers/upstream_http.py
+++ b/spindlenotch/drivers/upstream_http.py
@@ -264,7 +264,7 @@
         caches_addresses=False,
         closes_connections=force_close,
         # Every retry must be taken from the retry budget.
-        resends=False,
+        retries_idempotent=False,
         decompresses=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         request_class=_CheckedRequest,
