--- a/spindlenotch/client.py
+++ b/spindlenotch/client.py
@@ -93,7 +93,7 @@
         self.caller = caller
         self.key = key
         self.clock = time or clock.BoottimeClock()
-        self.resends = 0
+        self.retry_count = 0
         self._session: aiohttp.ClientSession | None = None
         self._directory = entry_directory.EntryDirectory(
             seeds=[ids.Address(seed) for seed in seeds],
@@ -133,7 +133,7 @@
                 return answer
             result = _combine_results(result, answer)
             failed.add(entry)
-            self.resends += 1
+            self.retry_count += 1
             if ticket is not None and result.outcome is outcomes.Outcome.NOT_RUN:
                 # Nothing was sent under this ticket, and its entry is unreachable:
                 # start over with a ticket of another entry.
