--- a/spindlenotch/drivers/http_client.py
+++ b/spindlenotch/drivers/http_client.py
@@ -75,9 +75,9 @@
         if connector is None:
             return
         # aiohttp has no public access to these; it discards closed ones itself.
-        for key, kept in connector._conns.items():
+        for key, idle_connections in connector._conns.items():
             if f"{key.host}:{key.port}" == address:
-                for protocol, _ in kept:
+                for protocol, _ in idle_connections:
                     protocol.close()
 
     async def close(self) -> None:
