--- a/spindlenotch/gateway/rollout/decider.py
+++ b/spindlenotch/gateway/rollout/decider.py
@@ -214,7 +214,7 @@
         self._reported_blockers.add(blocker)
         progress = self._drain_progress()
         events.emit(
-            events.Event.ROLLOUT_HINDERED,
+            events.Event.ROLLOUT_BLOCKED,
             service=self.run.order.service,
             target=self.run.order.target,
             phase=self.run.phase.name,
@@ -237,7 +237,7 @@
         )
         counts = self._target_counts()
         events.emit(
-            events.Event.ROLLOUT_COUNTED,
+            events.Event.ROLLOUT_PROMOTION_COUNTS,
             service=order.service,
             target=order.target,
             judged=counts.judged,
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -237,7 +237,7 @@
             "gateway/source/discovery.WRITE_DELAY_S",
             "gateway/source/discovery.MIN_WRITE_INTERVAL_S",
         ),
-        events=("STORE_LOST", "STORE_BACK", "INTRODUCED"),
+        events=("STORE_LOST", "STORE_BACK", "PEER_ADDRESS_REGISTERED"),
         tests=(
             Scenario("gateway", "those read first that callers will be sent to"),
             Scenario(
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -31,7 +31,7 @@
             "decisions/traffic_split.EVEN_SHARE",
             "decisions/traffic_split.ROUTE_SLACK",
         ),
-        events=("ROLLOUT_BEGUN", "ROLLOUT_WITHDRAWN"),
+        events=("ROLLOUT_STARTED", "ROLLOUT_WITHDRAWN"),
         tests=(
             Scenario(
                 "rollout_rules",
@@ -126,11 +126,11 @@
             "ROLLOUT_PROMOTING",
             "ROLLOUT_STATUS_WRITTEN",
             "ROLLOUT_STATUS_FAILED",
-            "ROLLOUT_HINDERED",
+            "ROLLOUT_BLOCKED",
             "ROLLOUT_ENDED",
             "ROLLOUT_UNTESTED",
             "ROLLOUT_DECIDER",
-            "ROLLOUT_COUNTED",
+            "ROLLOUT_PROMOTION_COUNTS",
         ),
         tests=(
             Scenario(
