--- a/spindlenotch/entry/control.py
+++ b/spindlenotch/entry/control.py
@@ -77,7 +77,7 @@
             self.hosts_reader.run,
             self.confirmation.run,
         ):
-            self._tasks.spawn(background.guarded(loop))
+            self._tasks.spawn(background.restart_on_error(loop))
         return address
 
     async def stop(self) -> None:
--- a/spindlenotch/gateway/gateway.py
+++ b/spindlenotch/gateway/gateway.py
@@ -122,7 +122,7 @@
             self._tick,
         )
         for loop in loops:
-            self._tasks.append(asyncio.ensure_future(background.guarded(loop)))
+            self._tasks.append(asyncio.ensure_future(background.restart_on_error(loop)))
         events.emit(
             events.Event.STARTED,
             host=self.state.config.host,
--- a/spindlenotch/peers/background.py
+++ b/spindlenotch/peers/background.py
@@ -40,7 +40,7 @@
         await asyncio.gather(*self.running, return_exceptions=True)
 
 
-async def guarded(loop: abc.Callable[[], abc.Awaitable[None]]) -> None:
+async def restart_on_error(loop: abc.Callable[[], abc.Awaitable[None]]) -> None:
     """
     Run a loop that never ends; log a failure and begin it anew.
 
