--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -122,7 +122,7 @@
 
 async def _send_garbage(address: str, count: int) -> None:
     loop = asyncio.get_running_loop()
-    target = peer_link.split(typing.cast(typing.Any, address))
+    target = peer_link.split_host_port(typing.cast(typing.Any, address))
     transport, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=target
     )
--- a/spindlenotch/entry/entry.py
+++ b/spindlenotch/entry/entry.py
@@ -72,10 +72,10 @@
     async def start(self) -> None:
         """Open all ports and start the loops."""
         config = self.state.config
-        listen = await self.callers.start(*peer_link.split(config.listen))
+        listen = await self.callers.start(*peer_link.split_host_port(config.listen))
         self.state.set_addresses(listen, config.peer_listen)
         self.operator_address = await self.operators.start(
-            *peer_link.split(config.operator_listen)
+            *peer_link.split_host_port(config.operator_listen)
         )
         peer_listen = await self.control.start()
         self.state.set_addresses(listen, peer_listen)
--- a/spindlenotch/gateway/serving/caller_listener.py
+++ b/spindlenotch/gateway/serving/caller_listener.py
@@ -54,7 +54,7 @@
 
     async def start(self, address: ids.Address) -> None:
         """Listen on ``address``; raises ``OSError`` where it can't be bound."""
-        host, port = peer_link.split(address)
+        host, port = peer_link.split_host_port(address)
         loop = asyncio.get_running_loop()
         self._socket = await loop.create_server(
             self._accept, host, port, backlog=BACKLOG
--- a/spindlenotch/gateway/side_ports.py
+++ b/spindlenotch/gateway/side_ports.py
@@ -57,7 +57,7 @@
             config.operator_listen,
         }
         for address in sorted(addresses):
-            host, port = peer_link.split(address)
+            host, port = peer_link.split_host_port(address)
             listener = await loop.create_server(self._server, host, port)
             self._listeners.append(listener)
 
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -76,7 +76,7 @@
 
     async def start(self, address: ids.Address) -> ids.Address:
         """Listen on ``address``; return the one in use (port 0: any free)."""
-        host, port = split(address)
+        host, port = split_host_port(address)
         self._tcp = await asyncio.start_server(self._serve, host, port)
         bound = self._tcp.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
@@ -104,7 +104,7 @@
         for target in targets:
             self._wire.count_sent(len(data))
             self._count_traffic(kind, target, len(data))
-            self._udp.sendto(data, split(target))
+            self._udp.sendto(data, split_host_port(target))
 
     def datagram_received(self, data: bytes, addr: typing.Any) -> None:
         """Take in a datagram."""
@@ -147,7 +147,7 @@
     async def _exchange(
         self, target: ids.Address, request: messages.DocumentFrame
     ) -> messages.DocumentFrame | None:
-        reader, writer = await asyncio.open_connection(*split(target))
+        reader, writer = await asyncio.open_connection(*split_host_port(target))
         try:
             sent = await self._write(writer, request)
             data = await self._read_bytes(reader)
@@ -218,7 +218,7 @@
         return await reader.readexactly(length)
 
 
-def split(address: ids.Address) -> tuple[str, int]:
+def split_host_port(address: ids.Address) -> tuple[str, int]:
     """Return host and port of ``IP:port``."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
