--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -107,7 +107,7 @@
                 assert region in gateway.directory(region)
             links = gateway.state.links
             assert links is not None
-            heard = links.young(made.clock.now(), region_links.LOST_S)
+            heard = links.recent_summaries(made.clock.now(), region_links.LOST_S)
             assert len(heard) == 2, heard
     assert revisions == [g.state.gossip.members_revision for g in made.gateways]
 
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -26,7 +26,9 @@
         links = self.state.links
         if links is None:
             return frozenset()
-        return frozenset(links.young(self.state.clock.now(), region_links.LOST_S))
+        return frozenset(
+            links.recent_summaries(self.state.clock.now(), region_links.LOST_S)
+        )
 
     def required_demand(self, own: workload.Work) -> workload.Work:
         """Return the demand to provision for: ``own`` and what will move here."""
@@ -34,7 +36,7 @@
         if links is None:
             return own
         now = self.state.clock.now()
-        reachable = links.young(now, region_links.LOST_S)
+        reachable = links.recent_summaries(now, region_links.LOST_S)
         known = {
             region: heard.summary.demand
             for region, heard in links.heard_by_region.items()
@@ -95,10 +97,12 @@
         if region not in links.others and own:
             return sorted(own)
         now = self.state.clock.now()
-        recent = _addresses(links.young(now, region_links.DOUBTFUL_S), region)
+        recent = _addresses(
+            links.recent_summaries(now, region_links.DOUBTFUL_S), region
+        )
         if recent:
             return recent
-        reachable = links.young(now, region_links.LOST_S)
+        reachable = links.recent_summaries(now, region_links.LOST_S)
         last_known = _addresses(reachable, region)
         if own or last_known:
             return sorted({*own, *last_known})
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -74,7 +74,7 @@
             if heard is None or made_at > heard.made_at:
                 self.heard_by_region[summary.region] = Heard(summary, made_at)
 
-    def young(
+    def recent_summaries(
         self, now: ids.Instant, most_age_s: float
     ) -> dict[ids.RegionName, messages.RegionSummary]:
         """Return the summaries that are younger than ``most_age_s`` seconds."""
