--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -152,7 +152,7 @@
     made.run(2.0)
     before = len(made.of("north")[0].fleet.active_zones())
     made.dead = {g.number for g in made.of("south")}
-    made.run(region_links.DOUBTFUL_S + 1.5)
+    made.run(region_links.SUMMARY_STALE_S + 1.5)
     for gateway in made.alive():
         # Its last gateways may be gone: others are named beside them.
         assert gateway.region in gateway.directory("south")
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -98,7 +98,7 @@
             return sorted(own)
         now = self.state.clock.now()
         recent = _addresses(
-            links.recent_summaries(now, region_links.DOUBTFUL_S), region
+            links.recent_summaries(now, region_links.SUMMARY_STALE_S), region
         )
         if recent:
             return recent
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -18,7 +18,7 @@
 
 #: Age of a summary, in seconds, from which its gateways may be gone: nearly all
 #: summaries of a region that is there are younger.
-DOUBTFUL_S = 2.5
+SUMMARY_STALE_S = 2.5
 #: Age from which a region counts as lost. Longer than a way that loses 4 in 10 of its
 #: messages keeps a region silent, about as long as callers keep an address.
 LOST_S = 5.0
@@ -149,7 +149,7 @@
         addresses: list[ids.Address] = []
         if heard is not None:
             addresses += [one.peer_address for one in heard.summary.gateways]
-        if heard is None or now - heard.made_at >= DOUBTFUL_S:
+        if heard is None or now - heard.made_at >= SUMMARY_STALE_S:
             addresses += spare_by_region.get(region, ())
         return [self.rng.choice(addresses)] if addresses else []
 
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -131,7 +131,7 @@
         " a region that nobody has asked anything yet. One active gateway a region and"
         " period tells one of another region.",
         constants=(
-            "peers/region_links.DOUBTFUL_S",
+            "peers/region_links.SUMMARY_STALE_S",
             "peers/region_links.LOST_S",
             "peers/region_links.MOST_INTRODUCED",
             "gateway/cluster/failover_demand.EXPECTED_S",
