--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -27,7 +27,7 @@
 #: Seconds after which a fleet that starts knows itself.
 START_S = 8.0
 #: Seconds after which a region counts as lost everywhere, and as there again.
-LOST_WITHIN_S = region_links.LOST_S + 1.5
+LOST_WITHIN_S = region_links.SUMMARY_EXPIRY_S + 1.5
 BACK_WITHIN_S = 2.0
 ALLOWED_PER_S = 4.0
 
@@ -107,7 +107,9 @@
                 assert region in gateway.directory(region)
             links = gateway.state.links
             assert links is not None
-            heard = links.recent_summaries(made.clock.now(), region_links.LOST_S)
+            heard = links.recent_summaries(
+                made.clock.now(), region_links.SUMMARY_EXPIRY_S
+            )
             assert len(heard) == 2, heard
     assert revisions == [g.state.gossip.members_revision for g in made.gateways]
 
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -27,7 +27,9 @@
         if links is None:
             return frozenset()
         return frozenset(
-            links.recent_summaries(self.state.clock.now(), region_links.LOST_S)
+            links.recent_summaries(
+                self.state.clock.now(), region_links.SUMMARY_EXPIRY_S
+            )
         )
 
     def required_demand(self, own: workload.Work) -> workload.Work:
@@ -36,7 +38,7 @@
         if links is None:
             return own
         now = self.state.clock.now()
-        reachable = links.recent_summaries(now, region_links.LOST_S)
+        reachable = links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         known = {
             region: heard.summary.demand
             for region, heard in links.heard_by_region.items()
@@ -102,7 +104,7 @@
         )
         if recent:
             return recent
-        reachable = links.recent_summaries(now, region_links.LOST_S)
+        reachable = links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         last_known = _addresses(reachable, region)
         if own or last_known:
             return sorted({*own, *last_known})
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -27,7 +27,7 @@
         if links is None:
             return
         now = self.state.clock.now()
-        reachable = links.recent_summaries(now, region_links.LOST_S)
+        reachable = links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         services = []
         for name, service in self.state.balancer_by_service.items():
             service.pool.far_used_by_region = _used_by_region(name, reachable)
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -21,7 +21,7 @@
 SUMMARY_STALE_S = 2.5
 #: Age from which a region counts as lost. Longer than a way that loses 4 in 10 of its
 #: messages keeps a region silent, about as long as callers keep an address.
-LOST_S = 5.0
+SUMMARY_EXPIRY_S = 5.0
 #: Members of other regions that are kept to introduce them to each other, while a
 #: fleet starts from seeds that lie in one region.
 MOST_INTRODUCED = 64
@@ -180,5 +180,5 @@
                 heard.summary, age_s=round(now - heard.made_at, AGE_DIGITS)
             )
             for heard in self.heard_by_region.values()
-            if now - heard.made_at < LOST_S
+            if now - heard.made_at < SUMMARY_EXPIRY_S
         )
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -132,7 +132,7 @@
         " period tells one of another region.",
         constants=(
             "peers/region_links.SUMMARY_STALE_S",
-            "peers/region_links.LOST_S",
+            "peers/region_links.SUMMARY_EXPIRY_S",
             "peers/region_links.MOST_INTRODUCED",
             "gateway/cluster/failover_demand.EXPECTED_S",
         ),
