--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -55,7 +55,7 @@
             links = gateway.state.links
             assert links is not None
             elsewhere = count - len(made.of(gateway.region))
-            heard = links.heard_by_region.values()
+            heard = links.received_by_region.values()
             assert sum(one.summary.member_count for one in heard) == elsewhere
 
 
@@ -268,10 +268,10 @@
     links.take((fresh, messages.RegionSummary(north, member_count=3)), kernel.NOW)
     links.take((old, stranger), ids.later(kernel.NOW, 0.5))
     # The third region has not been heard of; the own one tells itself.
-    assert set(links.heard_by_region) == {south}
-    assert links.heard_by_region[south].summary.member_count == 5
+    assert set(links.received_by_region) == {south}
+    assert links.received_by_region[south].summary.member_count == 5
     links.take((msgspec.structs.replace(old, age_s=-5.0),), kernel.NOW)
-    assert links.heard_by_region[south].made_at <= kernel.NOW
+    assert links.received_by_region[south].made_at <= kernel.NOW
 
 
 @kernel.PROPERTIES.register("a fleet of one region speaks and answers as before")
--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -110,7 +110,7 @@
         if targets:
             self.link.send(local.compose_far(now, wants_reply=True), targets)
         reachable = local.links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
-        lost = local.links.heard_by_region.keys() - reachable.keys()
+        lost = local.links.received_by_region.keys() - reachable.keys()
         for region in sorted(lost - self._lost_regions):
             events.emit(events.Event.REGION_LOST, region=region)
         for region in sorted(self._lost_regions - lost):
--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -41,7 +41,7 @@
         reachable = links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         known = {
             region: heard.summary.demand
-            for region, heard in links.heard_by_region.items()
+            for region, heard in links.received_by_region.items()
         }
         lost = {region: known[region] for region in known.keys() - reachable.keys()}
         return self._failover_demand.expected(
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -162,7 +162,7 @@
             return []
         return [
             gateway.peer_address
-            for heard in links.heard_by_region.values()
+            for heard in links.received_by_region.values()
             for gateway in heard.summary.gateways
         ]
 
--- a/spindlenotch/gateway/state_dump.py
+++ b/spindlenotch/gateway/state_dump.py
@@ -153,7 +153,7 @@
             gateways=[one.address for one in heard.summary.gateways],
             used={use.service: use.used for use in heard.summary.services},
         )
-        for region, heard in links.heard_by_region.items()
+        for region, heard in links.received_by_region.items()
     }
 
 
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -51,7 +51,7 @@
         self.local_region = known.region(zone)
         self.others = tuple(sorted(known.all_regions(zone) - {self.local_region}))
         self.rng = rng
-        self.heard_by_region: dict[ids.RegionName, Heard] = {}
+        self.received_by_region: dict[ids.RegionName, Heard] = {}
         self._own = messages.RegionSummary(self.local_region)
         self._speakers = 0
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
@@ -70,9 +70,9 @@
             if summary.region not in self.others:
                 continue
             made_at = ids.Instant(now - max(0.0, summary.age_s))
-            heard = self.heard_by_region.get(summary.region)
+            heard = self.received_by_region.get(summary.region)
             if heard is None or made_at > heard.made_at:
-                self.heard_by_region[summary.region] = Heard(summary, made_at)
+                self.received_by_region[summary.region] = Heard(summary, made_at)
 
     def recent_summaries(
         self, now: ids.Instant, most_age_s: float
@@ -80,7 +80,7 @@
         """Return the summaries that are younger than ``most_age_s`` seconds."""
         return {
             region: heard.summary
-            for region, heard in self.heard_by_region.items()
+            for region, heard in self.received_by_region.items()
             if now - heard.made_at < most_age_s
         }
 
@@ -90,7 +90,7 @@
             return True
         return any(
             one.peer_address == address
-            for heard in self.heard_by_region.values()
+            for heard in self.received_by_region.values()
             for one in heard.summary.gateways
         )
 
@@ -145,7 +145,7 @@
         if not self._speakers or self.rng.random() * self._speakers >= 1.0:
             return []
         region = self.rng.choice(self.others)
-        heard = self.heard_by_region.get(region)
+        heard = self.received_by_region.get(region)
         addresses: list[ids.Address] = []
         if heard is not None:
             addresses += [one.peer_address for one in heard.summary.gateways]
@@ -179,6 +179,6 @@
             msgspec.structs.replace(
                 heard.summary, age_s=round(now - heard.made_at, AGE_DIGITS)
             )
-            for heard in self.heard_by_region.values()
+            for heard in self.received_by_region.values()
             if now - heard.made_at < SUMMARY_EXPIRY_S
         )
