--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -29,7 +29,7 @@
 AGE_DIGITS = 3
 
 
-class Heard(msgspec.Struct, frozen=True):
+class ReceivedSummary(msgspec.Struct, frozen=True):
     """The newest summary of a region and when it was made."""
 
     summary: messages.RegionSummary
@@ -51,7 +51,7 @@
         self.local_region = known.region(zone)
         self.others = tuple(sorted(known.all_regions(zone) - {self.local_region}))
         self.rng = rng
-        self.received_by_region: dict[ids.RegionName, Heard] = {}
+        self.received_by_region: dict[ids.RegionName, ReceivedSummary] = {}
         self._own = messages.RegionSummary(self.local_region)
         self._speakers = 0
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
@@ -72,7 +72,9 @@
             made_at = ids.Instant(now - max(0.0, summary.age_s))
             heard = self.received_by_region.get(summary.region)
             if heard is None or made_at > heard.made_at:
-                self.received_by_region[summary.region] = Heard(summary, made_at)
+                self.received_by_region[summary.region] = ReceivedSummary(
+                    summary, made_at
+                )
 
     def recent_summaries(
         self, now: ids.Instant, most_age_s: float
