--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -70,8 +70,8 @@
             if summary.region not in self.others:
                 continue
             made_at = ids.Instant(now - max(0.0, summary.age_s))
-            heard = self.received_by_region.get(summary.region)
-            if heard is None or made_at > heard.made_at:
+            received = self.received_by_region.get(summary.region)
+            if received is None or made_at > received.made_at:
                 self.received_by_region[summary.region] = ReceivedSummary(
                     summary, made_at
                 )
@@ -81,9 +81,9 @@
     ) -> dict[ids.RegionName, messages.RegionSummary]:
         """Return the summaries that are younger than ``most_age_s`` seconds."""
         return {
-            region: heard.summary
-            for region, heard in self.received_by_region.items()
-            if now - heard.made_at < most_age_s
+            region: received.summary
+            for region, received in self.received_by_region.items()
+            if now - received.made_at < most_age_s
         }
 
     def names_far(self, address: ids.Address) -> bool:
@@ -92,8 +92,8 @@
             return True
         return any(
             one.peer_address == address
-            for heard in self.received_by_region.values()
-            for one in heard.summary.gateways
+            for received in self.received_by_region.values()
+            for one in received.summary.gateways
         )
 
     # What is said to others
@@ -147,11 +147,11 @@
         if not self._speakers or self.rng.random() * self._speakers >= 1.0:
             return []
         region = self.rng.choice(self.others)
-        heard = self.received_by_region.get(region)
+        received = self.received_by_region.get(region)
         addresses: list[ids.Address] = []
-        if heard is not None:
-            addresses += [one.peer_address for one in heard.summary.gateways]
-        if heard is None or now - heard.made_at >= SUMMARY_STALE_S:
+        if received is not None:
+            addresses += [one.peer_address for one in received.summary.gateways]
+        if received is None or now - received.made_at >= SUMMARY_STALE_S:
             addresses += spare_by_region.get(region, ())
         return [self.rng.choice(addresses)] if addresses else []
 
@@ -179,8 +179,8 @@
     def _heard(self, now: ids.Instant) -> tuple[messages.RegionSummary, ...]:
         return tuple(
             msgspec.structs.replace(
-                heard.summary, age_s=round(now - heard.made_at, AGE_DIGITS)
+                received.summary, age_s=round(now - received.made_at, AGE_DIGITS)
             )
-            for heard in self.received_by_region.values()
-            if now - heard.made_at < SUMMARY_EXPIRY_S
+            for received in self.received_by_region.values()
+            if now - received.made_at < SUMMARY_EXPIRY_S
         )
