--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -265,12 +265,14 @@
     fresh = messages.RegionSummary(south, member_count=5)
     old = messages.RegionSummary(south, member_count=9, age_s=1.0)
     stranger = messages.RegionSummary(ids.RegionName("elsewhere"), member_count=7)
-    links.take((fresh, messages.RegionSummary(north, member_count=3)), kernel.NOW)
-    links.take((old, stranger), ids.later(kernel.NOW, 0.5))
+    links.merge_summaries(
+        (fresh, messages.RegionSummary(north, member_count=3)), kernel.NOW
+    )
+    links.merge_summaries((old, stranger), ids.later(kernel.NOW, 0.5))
     # The third region has not been heard of; the own one tells itself.
     assert set(links.received_by_region) == {south}
     assert links.received_by_region[south].summary.member_count == 5
-    links.take((msgspec.structs.replace(old, age_s=-5.0),), kernel.NOW)
+    links.merge_summaries((msgspec.structs.replace(old, age_s=-5.0),), kernel.NOW)
     assert links.received_by_region[south].made_at <= kernel.NOW
 
 
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -62,7 +62,7 @@
 
     # What others say
 
-    def take(
+    def merge_summaries(
         self, summaries: abc.Iterable[messages.RegionSummary], now: ids.Instant
     ) -> None:
         """Take in the summaries of a message where they are newer."""
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -71,7 +71,7 @@
 
         Answers carry the summaries on, with the age that they have by now.
         """
-        self.links.take(message.regions, now)
+        self.links.merge_summaries(message.regions, now)
         if self.links.is_far(message.sender.zone):
             return self._handle_far(message, now)
         members = tuple(r for r in message.members if not self.links.is_far(r.zone))
