--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -86,7 +86,7 @@
             if now - received.made_at < most_age_s
         }
 
-    def names_far(self, address: ids.Address) -> bool:
+    def is_far_address(self, address: ids.Address) -> bool:
         """Tell whether an address is that of a known member of another region."""
         if any(r.peer_address == address for r in self._introduced_by_host.values()):
             return True
