--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -124,7 +124,9 @@
         told = tuple(services[: messages.SERVICES_PER_SUMMARY])
         self._own = msgspec.structs.replace(self._own, services=told)
 
-    def to_far(self, now: ids.Instant) -> tuple[messages.RegionSummary, ...]:
+    def summaries_for_other_region(
+        self, now: ids.Instant
+    ) -> tuple[messages.RegionSummary, ...]:
         """Return what a message to another region carries: all that is known."""
         return (self._own, *self._heard(now))[: messages.REGIONS_PER_MESSAGE]
 
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -61,7 +61,7 @@
             members=() if fill_for is None else self.links.introductions(fill_for),
             wants_reply=wants_reply,
             reads_source=self.reads_source,
-            regions=self.links.to_far(now),
+            regions=self.links.summaries_for_other_region(now),
             crashes=self.crashes,
         )
 
