--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -130,7 +130,9 @@
         """Return what a message to another region carries: all that is known."""
         return (self._own, *self._heard(now))[: messages.REGIONS_PER_MESSAGE]
 
-    def to_near(self, now: ids.Instant) -> tuple[messages.RegionSummary, ...]:
+    def summaries_for_own_region(
+        self, now: ids.Instant
+    ) -> tuple[messages.RegionSummary, ...]:
         """Return what an answer to a member of the own region carries."""
         return self._heard(now)[: messages.REGIONS_PER_MESSAGE]
 
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -79,7 +79,7 @@
         handled = super().handle(near, now)
         if handled.reply is None:
             return handled
-        summaries = self.links.to_near(now)
+        summaries = self.links.summaries_for_own_region(now)
         reply = msgspec.structs.replace(handled.reply, regions=summaries)
         return msgspec.structs.replace(handled, reply=reply)
 
