--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -161,7 +161,7 @@
 
     # Members of other regions that start
 
-    def note_far(self, record: messages.MemberRecord) -> None:
+    def record_far_member(self, record: messages.MemberRecord) -> None:
         """Keep the record of a far member, to introduce it to others of its region."""
         self._introduced_by_host.pop(record.host, None)
         self._introduced_by_host[record.host] = record
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -90,7 +90,7 @@
         for record in message.members:
             if not self.links.is_far(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
-        self.links.note_far(message.sender)
+        self.links.record_far_member(message.sender)
         newer = tuple(v for v in message.documents if self._is_newer(v))
         reply = None
         if message.wants_reply:
