--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -24,7 +24,7 @@
 SUMMARY_EXPIRY_S = 5.0
 #: Members of other regions that are kept to introduce them to each other, while a
 #: fleet starts from seeds that lie in one region.
-MOST_INTRODUCED = 64
+MAX_INTRODUCED = 64
 #: Digits behind the point of an age: milliseconds.
 AGE_DIGITS = 3
 
@@ -41,7 +41,7 @@
     The summaries of all regions as one member knows them.
 
     Invariants: a summary never replaces a newer one; the own region's is never taken
-    from others; ``_introduced_by_host`` holds at most ``MOST_INTRODUCED`` members.
+    from others; ``_introduced_by_host`` holds at most ``MAX_INTRODUCED`` members.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         """Keep the record of a far member, to introduce it to others of its region."""
         self._introduced_by_host.pop(record.host, None)
         self._introduced_by_host[record.host] = record
-        if len(self._introduced_by_host) > MOST_INTRODUCED:
+        if len(self._introduced_by_host) > MAX_INTRODUCED:
             del self._introduced_by_host[next(iter(self._introduced_by_host))]
 
     def introductions(
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -133,7 +133,7 @@
         constants=(
             "peers/region_links.SUMMARY_STALE_S",
             "peers/region_links.SUMMARY_EXPIRY_S",
-            "peers/region_links.MOST_INTRODUCED",
+            "peers/region_links.MAX_INTRODUCED",
             "gateway/cluster/failover_demand.EXPECTED_S",
         ),
         events=("REGION_LOST", "REGION_BACK"),
