--- a/spindlenotch/gateway/cluster/region_exchange.py
+++ b/spindlenotch/gateway/cluster/region_exchange.py
@@ -62,8 +62,8 @@
                 for record in active
             ]
             local_host = self.state.config.host
-            speaks = any(record.host == local_host for record in active)
-            links.describe(gateways, member_count, demand, speaks=speaks)
+            is_active = any(record.host == local_host for record in active)
+            links.describe(gateways, member_count, demand, is_active=is_active)
 
     def addresses(
         self,
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -104,14 +104,14 @@
         member_count: int,
         demand: workload.Work,
         *,
-        speaks: bool,
+        is_active: bool,
     ) -> None:
         """
         Set what the summary of the own region says.
 
-        Of the active ``gateways`` this one ``speaks`` to other regions if it is one.
+        Of the active ``gateways`` this one ``is_active`` to other regions if it is one.
         """
-        self._speakers = len(gateways) if speaks else 0
+        self._speakers = len(gateways) if is_active else 0
         self._own = msgspec.structs.replace(
             self._own,
             gateways=tuple(gateways[: messages.GATEWAYS_PER_SUMMARY]),
