--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -53,7 +53,7 @@
         self.rng = rng
         self.received_by_region: dict[ids.RegionName, ReceivedSummary] = {}
         self._own = messages.RegionSummary(self.local_region)
-        self._speakers = 0
+        self._active_count = 0
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
 
     def is_far(self, zone: ids.ZoneName) -> bool:
@@ -111,7 +111,7 @@
 
         Of the active ``gateways`` this one ``is_active`` to other regions if it is one.
         """
-        self._speakers = len(gateways) if is_active else 0
+        self._active_count = len(gateways) if is_active else 0
         self._own = msgspec.structs.replace(
             self._own,
             gateways=tuple(gateways[: messages.GATEWAYS_PER_SUMMARY]),
@@ -148,7 +148,7 @@
         ``spare_by_region`` are addresses to try where a region has not been heard of,
         or not lately.
         """
-        if not self._speakers or self.rng.random() * self._speakers >= 1.0:
+        if not self._active_count or self.rng.random() * self._active_count >= 1.0:
             return []
         region = self.rng.choice(self.others)
         received = self.received_by_region.get(region)
