--- a/spindlenotch/peers/learning.py
+++ b/spindlenotch/peers/learning.py
@@ -18,7 +18,7 @@
         self._quiet_periods = 0
 
     @property
-    def goes_on(self) -> bool:
+    def in_progress(self) -> bool:
         """Tell whether a further member became known lately."""
         return self._quiet_periods < QUIET_PERIODS
 
