--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -29,7 +29,7 @@
 )
 
 #: A longer time between two sweeps, in periods, means that this process stood still.
-STOOD_STILL_PERIODS = 3
+STALL_PERIODS = 3
 
 
 class Handled(msgspec.Struct, frozen=True):
@@ -215,7 +215,7 @@
         After this process stood still, replies may lie unread: nobody is blamed.
         """
         self._learning.period_ended(len(self.known_by_host))
-        stood_still = now - self.swept_at > STOOD_STILL_PERIODS * self.timing.period_s
+        stood_still = now - self.swept_at > STALL_PERIODS * self.timing.period_s
         self.swept_at = now
         if stood_still:
             self.probes.cancel()
