--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -215,9 +215,9 @@
         After this process stood still, replies may lie unread: nobody is blamed.
         """
         self._learning.period_ended(len(self.known_by_host))
-        stood_still = now - self.swept_at > STALL_PERIODS * self.timing.period_s
+        stalled = now - self.swept_at > STALL_PERIODS * self.timing.period_s
         self.swept_at = now
-        if stood_still:
+        if stalled:
             self.probes.cancel()
             self.membership.clear_suspicions()
         for host in self.probes.pop_overdue(now):
