--- a/spindlenotch/peers/msgpack_codec.py
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -75,7 +75,7 @@
         or len(message.drain_notices) > messages.DRAIN_NOTICES_PER_MESSAGE
         or len(message.loads) > messages.LOADS_PER_MESSAGE
         or len(message.rollout_phases) > rollout_notes.NOTES_PER_MESSAGE
-        or _is_long(message.evidence)
+        or _exceeds_row_limit(message.evidence)
         or _exceeds_crash_limits(message.crashes)
         or _exceeds_region_limits(message.regions)
     )
@@ -89,7 +89,7 @@
     )
 
 
-def _is_long(evidence: rollout_notes.EvidenceRecord | None) -> bool:
+def _exceeds_row_limit(evidence: rollout_notes.EvidenceRecord | None) -> bool:
     return evidence is not None and len(evidence.rows) > rollout_notes.ROWS_PER_RECORD
 
 
