--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -128,13 +128,15 @@
         self, now: ids.Instant
     ) -> tuple[messages.RegionSummary, ...]:
         """Return what a message to another region carries: all that is known."""
-        return (self._own, *self._heard(now))[: messages.REGIONS_PER_MESSAGE]
+        return (self._own, *self._current_summaries(now))[
+            : messages.REGIONS_PER_MESSAGE
+        ]
 
     def summaries_for_own_region(
         self, now: ids.Instant
     ) -> tuple[messages.RegionSummary, ...]:
         """Return what an answer to a member of the own region carries."""
-        return self._heard(now)[: messages.REGIONS_PER_MESSAGE]
+        return self._current_summaries(now)[: messages.REGIONS_PER_MESSAGE]
 
     def targets(
         self,
@@ -180,7 +182,9 @@
         ]
         return tuple(near_it[-messages.MAX_MEMBERS_PER_MESSAGE :])
 
-    def _heard(self, now: ids.Instant) -> tuple[messages.RegionSummary, ...]:
+    def _current_summaries(
+        self, now: ids.Instant
+    ) -> tuple[messages.RegionSummary, ...]:
         return tuple(
             msgspec.structs.replace(
                 received.summary, age_s=round(now - received.made_at, AGE_DIGITS)
