--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -121,8 +121,8 @@
 
     def describe_services(self, services: abc.Sequence[messages.ServiceUse]) -> None:
         """Set what the summary of the own region says of its upstreams."""
-        told = tuple(services[: messages.SERVICES_PER_SUMMARY])
-        self._own = msgspec.structs.replace(self._own, services=told)
+        reported = tuple(services[: messages.SERVICES_PER_SUMMARY])
+        self._own = msgspec.structs.replace(self._own, services=reported)
 
     def summaries_for_other_region(
         self, now: ids.Instant
