--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -204,8 +204,8 @@
         unknown = tuple(n for n in message.drain_notices if self.drain_notices.add(n))
         reply = None
         if message.wants_reply:
-            asking = message.sender if message.wants_members else None
-            reply = self.compose(fill_for=asking)
+            requester = message.sender if message.wants_members else None
+            reply = self.compose(fill_for=requester)
         return Handled(changed, newer, unknown, reply)
 
     def sweep(self, now: ids.Instant) -> list[messages.MemberRecord]:
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -171,14 +171,15 @@
             del self._introduced_by_host[next(iter(self._introduced_by_host))]
 
     def introductions(
-        self, asking: messages.MemberRecord
+        self, requester: messages.MemberRecord
     ) -> tuple[messages.MemberRecord, ...]:
         """Return the members of a far member's own region that asked last."""
-        region = self.known.region(asking.zone)
+        region = self.known.region(requester.zone)
         near_it = [
             record
             for record in self._introduced_by_host.values()
-            if self.known.region(record.zone) == region and record.host != asking.host
+            if self.known.region(record.zone) == region
+            and record.host != requester.host
         ]
         return tuple(near_it[-messages.MAX_MEMBERS_PER_MESSAGE :])
 
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -94,8 +94,8 @@
         newer = tuple(v for v in message.documents if self._is_newer(v))
         reply = None
         if message.wants_reply:
-            asking = message.sender if message.wants_members else None
-            reply = self.compose_far(now, fill_for=asking)
+            requester = message.sender if message.wants_members else None
+            reply = self.compose_far(now, fill_for=requester)
         return gossip.Handled(changed, newer, (), reply)
 
 
