--- a/spindlenotch/peers/capnp_codec.py
+++ b/spindlenotch/peers/capnp_codec.py
@@ -177,9 +177,11 @@
     _require_length(wire.documents, "documents", len(documents.DocumentKind))
 
 
-def _require_length(items: typing.Any, field: str, most: int) -> None:
-    if len(items) > most:
-        raise ValueError(f"{field}: {len(items)} items, at most {most} are allowed")
+def _require_length(items: typing.Any, field: str, max_length: int) -> None:
+    if len(items) > max_length:
+        raise ValueError(
+            f"{field}: {len(items)} items, at most {max_length} are allowed"
+        )
 
 
 def _read_frame(wire: typing.Any) -> messages.DocumentFrame:
@@ -241,9 +243,11 @@
 
 
 def _text(value: str) -> str:
-    most = wire_format.MAX_TEXT_CHARACTERS
-    if len(value) > most:
-        raise ValueError(f"text: {len(value)} characters, at most {most} are allowed")
+    max_length = wire_format.MAX_TEXT_CHARACTERS
+    if len(value) > max_length:
+        raise ValueError(
+            f"text: {len(value)} characters, at most {max_length} are allowed"
+        )
     return value
 
 
