--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -91,9 +91,9 @@
         if any(r.peer_address == address for r in self._introduced_by_host.values()):
             return True
         return any(
-            one.peer_address == address
+            gateway.peer_address == address
             for received in self.received_by_region.values()
-            for one in received.summary.gateways
+            for gateway in received.summary.gateways
         )
 
     # What is said to others
@@ -156,7 +156,7 @@
         received = self.received_by_region.get(region)
         addresses: list[ids.Address] = []
         if received is not None:
-            addresses += [one.peer_address for one in received.summary.gateways]
+            addresses += [gateway.peer_address for gateway in received.summary.gateways]
         if received is None or now - received.made_at >= SUMMARY_STALE_S:
             addresses += spare_by_region.get(region, ())
         return [self.rng.choice(addresses)] if addresses else []
