--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -175,13 +175,13 @@
     ) -> tuple[messages.MemberRecord, ...]:
         """Return the members of a far member's own region that asked last."""
         region = self.known.region(requester.zone)
-        near_it = [
+        same_region = [
             record
             for record in self._introduced_by_host.values()
             if self.known.region(record.zone) == region
             and record.host != requester.host
         ]
-        return tuple(near_it[-messages.MAX_MEMBERS_PER_MESSAGE :])
+        return tuple(same_region[-messages.MAX_MEMBERS_PER_MESSAGE :])
 
     def _current_summaries(
         self, now: ids.Instant
