--- a/spindlenotch/peers/membership.py
+++ b/spindlenotch/peers/membership.py
@@ -181,8 +181,8 @@
         if fill_for is None:
             hosts = self.spread.next_hosts()
         elif near:
-            of_zone = known_peer.hosts_in_zone(self.known_by_host, fill_for.zone)
-            hosts = self.spread.next_hosts_filled(of_zone, rng)
+            zone_hosts = known_peer.hosts_in_zone(self.known_by_host, fill_for.zone)
+            hosts = self.spread.next_hosts_filled(zone_hosts, rng)
         else:
             hosts = self.spread.next_hosts_filled(self.known_by_host, rng)
         return tuple(self.known_by_host[host].record for host in hosts)
