--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -71,7 +71,7 @@
             documents.DocumentKind, messages.DocumentVersion
         ] = {}
         self.expected_members = 0
-        self._learning = learning.Learning()
+        self._discovery = learning.Learning()
         self.reads_source = False
         #: How far orders to change a service's version have come.
         self.rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
@@ -214,7 +214,7 @@
 
         After this process stood still, replies may lie unread: nobody is blamed.
         """
-        self._learning.period_ended(len(self.known_by_host))
+        self._discovery.period_ended(len(self.known_by_host))
         stalled = now - self.swept_at > STALL_PERIODS * self.timing.period_s
         self.swept_at = now
         if stalled:
@@ -233,7 +233,7 @@
         return changed
 
     def _wants_members(self) -> bool:
-        if self.timing.asks_while_learning and self._learning.in_progress:
+        if self.timing.asks_while_learning and self._discovery.in_progress:
             return True
         return len(self.known_by_host) + 1 < self.expected_members
 
