--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -71,7 +71,7 @@
             documents.DocumentKind, messages.DocumentVersion
         ] = {}
         self.expected_members = 0
-        self._discovery = learning.Learning()
+        self._discovery = learning.DiscoveryProgress()
         self.reads_source = False
         #: How far orders to change a service's version have come.
         self.rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
--- a/spindlenotch/peers/learning.py
+++ b/spindlenotch/peers/learning.py
@@ -10,7 +10,7 @@
 QUIET_PERIODS = 5
 
 
-class Learning:
+class DiscoveryProgress:
     """Follows how many members are known from one period to the next."""
 
     def __init__(self) -> None:
