--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -140,15 +140,15 @@
 
     def targets(
         self,
-        spare_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
+        fallback_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
         now: ids.Instant,
     ) -> list[ids.Address]:
         """
         Return whom to tell of this region in this period: mostly nobody.
 
         On average one of the active members tells one member of one other region.
-        ``spare_by_region`` are addresses to try where a region has not been heard of,
-        or not lately.
+        ``fallback_by_region`` are addresses to try where a region has not been heard
+        of, or not lately.
         """
         if not self._active_count or self.rng.random() * self._active_count >= 1.0:
             return []
@@ -158,7 +158,7 @@
         if received is not None:
             addresses += [gateway.peer_address for gateway in received.summary.gateways]
         if received is None or now - received.made_at >= SUMMARY_STALE_S:
-            addresses += spare_by_region.get(region, ())
+            addresses += fallback_by_region.get(region, ())
         return [self.rng.choice(addresses)] if addresses else []
 
     # Members of other regions that start
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -35,11 +35,11 @@
 
     def far_targets(
         self,
-        spare_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
+        fallback_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
         now: ids.Instant,
     ) -> list[ids.Address]:
         """Return whom of another region to tell of this one in this period."""
-        return self.links.targets(spare_by_region, now)
+        return self.links.targets(fallback_by_region, now)
 
     def compose_far(
         self,
