--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -36,7 +36,7 @@
     reply_s=0.25,
     suspect_s=1.0,
     prefers_own_zone=True,
-    asks_while_learning=True,
+    asks_while_discovering=True,
 )
 
 #: Where a list of upstreams came from: values of the log field ``learned_from``.
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -233,7 +233,7 @@
         return changed
 
     def _wants_members(self) -> bool:
-        if self.timing.asks_while_learning and self._discovery.in_progress:
+        if self.timing.asks_while_discovering and self._discovery.in_progress:
             return True
         return len(self.known_by_host) + 1 < self.expected_members
 
--- a/spindlenotch/peers/timing.py
+++ b/spindlenotch/peers/timing.py
@@ -25,11 +25,12 @@
     and the deadline of its reply; a suspicion is refuted within ``suspect_s``
     or its member is dropped. With ``prefers_own_zone`` all but one of the members that
     are probed in a round are of the own zone, where there are as many; with
-    ``asks_while_learning`` a member asks for further ones as long as it learns of any.
+    ``asks_while_discovering`` a member asks for further ones as long as it learns of
+    any.
     """
 
     period_s: float = PERIOD_S
     reply_s: float = REPLY_S
     suspect_s: float = SUSPECT_S
     prefers_own_zone: bool = False
-    asks_while_learning: bool = False
+    asks_while_discovering: bool = False
