--- a/spindlenotch/peers/capnp_codec.py
+++ b/spindlenotch/peers/capnp_codec.py
@@ -1,9 +1,9 @@
 """
-Peer messages to bytes and back in Cap'n Proto: the codec of the entry daemon.
+Encodes and decodes peer messages in Cap'n Proto, for the entry daemon.
 
-The schema is in ``peer.capnp``; its names are those of the wire and differ from
-the types in ``messages`` where those were renamed. The reader is bounded in
-traversal and nesting. See ``wire_format`` for what all codecs share.
+The schema is in ``peer.capnp``; its names are those on the wire and differ from the
+types in ``messages`` where those were renamed. Decoding limits traversal and
+nesting. See ``wire_format`` for what all codecs share.
 """
 
 import pathlib
@@ -16,13 +16,13 @@
 from spindlenotch import ids
 from spindlenotch.peers import documents, messages, wire_format, workload
 
-#: Cap'n Proto counts what it traverses in words of 8 bytes: a packed message may unpack
-#: to eight times the bytes that it may have.
+#: Traversal limits in words of 8 bytes: a packed message may unpack to eight times its
+#: maximum size in bytes.
 GOSSIP_TRAVERSAL_WORDS = wire_format.MAX_DATAGRAM_BYTES
 FRAME_TRAVERSAL_WORDS = wire_format.MAX_FRAME_BYTES
-#: Levels of structures within structures, more than the schema has.
+#: Maximum nesting depth of structs, more than the schema has.
 MAX_NESTING = 8
-#: The schema carries ratios as whole percent and ages as whole milliseconds.
+#: The schema has ratios in whole percent and ages in whole milliseconds.
 PERCENT = 100.0
 MS_PER_S = 1000.0
 
@@ -35,7 +35,7 @@
     """Implements ``wire_format.Codec`` with the schema of ``peer.capnp``."""
 
     def encode_gossip(self, message: messages.Message) -> bytes:
-        """Return the wire form of a gossip message, without its code."""
+        """Encode a gossip message, without its authentication code."""
         wire = _schema.Gossip.new_message()
         _write_message(wire, message)
         return typing.cast(bytes, wire.to_bytes_packed())
@@ -43,7 +43,7 @@
     def decode_gossip(
         self, payload: bytes
     ) -> messages.Message | wire_format.CodecFault:
-        """Read the wire form of a gossip message."""
+        """Decode a gossip message."""
         try:
             wire = _schema.Gossip.from_bytes_packed(
                 payload,
@@ -55,7 +55,7 @@
             return wire_format.CodecFault.GARBLED
 
     def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
-        """Return the wire form of a document frame, without its code."""
+        """Encode a document frame, without its authentication code."""
         wire = _schema.DocumentFrame.new_message(
             correlation=frame.correlation,
             wanted=frame.wanted,
@@ -69,7 +69,7 @@
     def decode_frame(
         self, payload: bytes
     ) -> messages.DocumentFrame | wire_format.CodecFault:
-        """Read the wire form of a document frame."""
+        """Decode a document frame."""
         try:
             wire = _schema.DocumentFrame.from_bytes_packed(
                 payload,
@@ -157,19 +157,19 @@
     return messages.Message(
         sender=_read_member(wire.sender),
         sequence=wire.sequence,
-        documents=tuple(_read_document_version(v) for v in wire.documents),
-        members=tuple(_read_member(m) for m in wire.members),
-        drain_notices=tuple(_read_drain_notice(n) for n in wire.marks),
+        documents=tuple(_read_document_version(version) for version in wire.documents),
+        members=tuple(_read_member(member) for member in wire.members),
+        drain_notices=tuple(_read_drain_notice(notice) for notice in wire.marks),
         wants_reply=bool(wire.wantsReply),
         wants_members=bool(wire.hungry),
-        suspicions=tuple(_read_suspicion(s) for s in wire.suspicions),
+        suspicions=tuple(_read_suspicion(suspicion) for suspicion in wire.suspicions),
         reads_source=bool(wire.readsSource),
         loads=tuple(_read_load(load) for load in wire.loads),
     )
 
 
 def _require_limits(wire: typing.Any) -> None:
-    """Raise ValueError where a list is longer than a sender may make it."""
+    """Raise ValueError if a list is longer than a sender may make it."""
     _require_length(wire.members, "members", messages.MAX_MEMBERS_PER_MESSAGE)
     _require_length(wire.suspicions, "suspicions", messages.SUSPICIONS_PER_MESSAGE)
     _require_length(wire.loads, "loads", messages.LOADS_PER_MESSAGE)
@@ -252,11 +252,11 @@
 
 
 def _decompress(data: bytes) -> bytes:
-    """Decompress a body; raise ValueError where it is cut or over the limit."""
+    """Decompress a body; raise ValueError if it is truncated or too long."""
     stream = zlib.decompressobj()
     body = stream.decompress(data, wire_format.MAX_FRAME_BYTES)
     if stream.unconsumed_tail or not stream.eof:
-        raise ValueError("body: incomplete, or over the limit when decompressed")
+        raise ValueError("body: truncated, or over the limit when decompressed")
     return body
 
 
--- a/spindlenotch/peers/messages.py
+++ b/spindlenotch/peers/messages.py
@@ -1,11 +1,11 @@
 """
-What members send each other: the types of gossip messages and document frames.
+The types of the gossip messages and document frames that members exchange.
 
-Types only; composing and handling is in ``gossip``, encoding in the codecs.
-MessagePack writes the field names of these types: a renamed field keeps its
-name on the wire through ``rename``, since old and new processes run side by
-side during a rolling restart. The limits here bound the size of a message
-whatever the size of the fleet; a receiver refuses a message that exceeds them.
+Types only; messages are composed and handled in ``gossip`` and encoded by the
+codecs. MessagePack writes the field names of these types: a renamed field keeps its
+name on the wire through ``rename``, since old and new processes run side by side
+during a rolling restart. The limits here bound the size of a message for any fleet
+size; a receiver refuses a message that exceeds them.
 """
 
 import enum
@@ -17,36 +17,37 @@
 from spindlenotch.kernel import crash_records
 from spindlenotch.peers import documents, rollout_notes, workload
 
-#: Changed member records in a message. With it gossip took 2.6 to 4.7 KB/s at 1% loss
-#: (docs/CAPACITY.md, "Slopes").
+#: Maximum number of changed member records in a message. With this value, gossip took
+#: 2.6 to 4.7 KB/s at 1% loss (docs/CAPACITY.md, "Slopes").
 MEMBERS_PER_MESSAGE = 4
-#: Member records in a reply to a sender that knows too few members, and the most that a
-#: receiver accepts.
+#: Maximum number of member records in a reply to a sender that knows too few members,
+#: and in any message that a receiver accepts.
 MAX_MEMBERS_PER_MESSAGE = 10
-#: Drain notices in a message.
+#: Maximum number of drain notices in a message.
 DRAIN_NOTICES_PER_MESSAGE = 12
-#: Suspicions in a message.
+#: Maximum number of suspicions in a message.
 SUSPICIONS_PER_MESSAGE = 4
-#: Load records in a message.
+#: Maximum number of load records in a message.
 LOADS_PER_MESSAGE = 64
-#: Summaries of regions in a message: fleets lie in a few regions, and a datagram that
-#: held more would no longer fit its limit.
+#: Maximum number of region summaries in a message: fleets span few regions, and with
+#: more of them a datagram would exceed its size limit.
 REGIONS_PER_MESSAGE = 8
-#: Gateways that a summary names: callers of a region that is lost spread over them,
-#: and the loss of some leaves others.
+#: Maximum number of gateways in a summary: callers of an unreachable region spread over
+#: them, and if some fail, others remain.
 GATEWAYS_PER_SUMMARY = 8
-#: Services in a summary; calls of further ones stay in their region while it can.
+#: Maximum number of services in a summary; calls of further ones stay in their region
+#: as long as it can serve them.
 SERVICES_PER_SUMMARY = 16
-#: Notes on requests under which upstreams ended, in a message; each takes some 100
-#: bytes. Further ones go with the next messages.
+#: Maximum number of crash records in a message; each takes some 100 bytes. Further ones
+#: are sent in the next messages.
 CRASH_NOTES_PER_MESSAGE = 8
-#: Hexadecimal digits of a document's digest that a message carries. Enough to tell two
-#: documents of one version apart.
+#: Hexadecimal digits of a document's digest that a message carries. Enough to
+#: distinguish documents of the same version.
 DIGEST_DIGITS = 16
 
 
 class Status(enum.Enum):
-    """A member's own state; the value is its number on the wire."""
+    """The state of a member; the value is its number on the wire."""
 
     STARTING = 0
     READY = 1
@@ -55,7 +56,7 @@
 
 class RecordVersion(typing.NamedTuple):
     """
-    Orders the records of one member; the higher one is newer.
+    The version of a member's record; the higher one is newer.
 
     ``epoch`` grows with each start of the process, ``heartbeat`` with each
     change of its record and each refuted suspicion.
@@ -71,9 +72,10 @@
     """
     What a member publishes about itself.
 
-    ``configuration_version`` is the one in force there: of the bundle in an entry,
-    of the routes in a gateway; both call it ``bundle_version`` on the wire.
-    ``capacity`` is what the host can carry, ``demand`` what callers ask of it.
+    ``configuration_version`` is the version in force there: of the bundle in an
+    entry, of the route configuration in a gateway; on the wire both are
+    ``bundle_version``. ``capacity`` is the work that the host can handle, ``demand``
+    the work that callers request of it.
     """
 
     host: ids.HostId
@@ -90,12 +92,12 @@
 
     @property
     def record_version(self) -> RecordVersion:
-        """Return what orders this among the records of its member."""
+        """Return the version that orders this among the records of its member."""
         return RecordVersion(self.epoch, self.heartbeat)
 
 
 class DrainNotice(msgspec.Struct, frozen=True):
-    """The upstream is leaving in this generation and gets no new work."""
+    """Announces that an upstream leaves in this generation and gets no new work."""
 
     service: ids.ServiceName
     upstream: ids.UpstreamId
@@ -113,7 +115,7 @@
 
 class Suspicion(msgspec.Struct, frozen=True):
     """
-    A member did not answer while its newest record was of this version.
+    Reports that a member did not reply while its newest record had this version.
 
     The member refutes it by publishing a newer record.
     """
@@ -129,14 +131,14 @@
 
 
 class RegionGateway(msgspec.Struct, frozen=True):
-    """An active gateway of another region: where callers and where peers reach it."""
+    """An active gateway of another region: its addresses for callers and for peers."""
 
     address: ids.Address
     peer_address: ids.Address
 
 
 class ServiceUse(msgspec.Struct, frozen=True):
-    """Which share of its slots the upstreams of a service have in use in a region."""
+    """The share of slots in use at the upstreams of a service in a region."""
 
     service: ids.ServiceName
     used: float
@@ -144,11 +146,11 @@
 
 class RegionSummary(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    What other regions need to know of one, made ``age_s`` seconds before this was sent.
+    What other regions need to know of one, made ``age_s`` seconds before it was sent.
 
-    ``gateways`` are some of its active ones, ``member_count`` is how many it has in
-    all, ``demand`` what callers ask of them together, ``services`` how full its
-    upstreams are.
+    ``gateways`` are some of its active ones, ``member_count`` is the number of all
+    its members, ``demand`` their total demand from callers, ``services`` the
+    utilisation of its upstreams.
     """
 
     region: ids.RegionName
@@ -168,12 +170,12 @@
     """
     One gossip datagram.
 
-    ``wants_reply`` asks for one back; ``wants_members`` says that the sender
-    knows fewer members than the host list names; ``reads_source`` that it reads
-    the source itself. ``regions`` is left out where there is nothing to tell of any,
-    ``rollout_phases`` and ``evidence`` while no service changes its version,
-    ``crashes`` while no upstream ends under a request. On the wire ``drain_notices`` is
-    called ``marks`` and ``wants_members`` ``hungry``.
+    ``wants_reply`` asks for a reply; ``wants_members`` asks for further member
+    records, of which the sender knows too few; ``reads_source`` says that the sender
+    reads the source itself. ``regions`` is omitted if no region is to be reported,
+    ``rollout_phases`` and ``evidence`` while no service rolls out a version,
+    ``crashes`` while no upstream crashes under a request. On the wire
+    ``drain_notices`` is called ``marks`` and ``wants_members`` ``hungry``.
     """
 
     sender: MemberRecord
--- a/spindlenotch/peers/msgpack_codec.py
+++ b/spindlenotch/peers/msgpack_codec.py
@@ -1,9 +1,9 @@
 """
-Peer messages to bytes and back in MessagePack: the codec of the gateway.
+Encodes and decodes peer messages in MessagePack, for the gateway.
 
-The gateway's memory is priced, and Cap'n Proto with its schema takes 4 MB more
-in each process. Field names on the wire are those of the types in ``messages``.
-See ``wire_format`` for what all codecs share.
+The gateway does not use Cap'n Proto because its memory has a price: the library and
+the schema take 4 MB more in each process. Field names on the wire are those of the
+types in ``messages``. See ``wire_format`` for what all codecs share.
 """
 
 import zlib
@@ -13,7 +13,7 @@
 from spindlenotch.kernel import crash_records
 from spindlenotch.peers import messages, rollout_notes, wire_format
 
-#: zlib's fastest: messages are small and sent several times a second.
+#: zlib's fastest level: messages are small and sent several times a second.
 COMPRESSION_LEVEL = 1
 
 _gossip_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(
@@ -26,20 +26,21 @@
 
 class MsgpackCodec:
     """
-    Writes each message as one MessagePack map, compressed.
+    Encodes each message as one compressed MessagePack map.
 
-    Invariant: what is decoded has at most as many members, suspicions, drain
-    notices, loads and summaries as a sender may put into one message.
+    Invariant: a decoded message has at most as many members, suspicions, drain
+    notices, loads, rollout and crash records and summaries as a sender may put into
+    one.
     """
 
     def encode_gossip(self, message: messages.Message) -> bytes:
-        """Return the wire form of a gossip message."""
+        """Encode a gossip message, without its authentication code."""
         return zlib.compress(msgspec.msgpack.encode(message), COMPRESSION_LEVEL)
 
     def decode_gossip(
         self, payload: bytes
     ) -> messages.Message | wire_format.CodecFault:
-        """Read the wire form of a gossip message."""
+        """Decode a gossip message."""
         body = _decompress(payload)
         if isinstance(body, wire_format.CodecFault):
             return body
@@ -52,13 +53,13 @@
         return message
 
     def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
-        """Return the wire form of a document frame."""
+        """Encode a document frame, without its authentication code."""
         return zlib.compress(msgspec.msgpack.encode(frame), COMPRESSION_LEVEL)
 
     def decode_frame(
         self, payload: bytes
     ) -> messages.DocumentFrame | wire_format.CodecFault:
-        """Read the wire form of a document frame."""
+        """Decode a document frame."""
         body = _decompress(payload)
         if isinstance(body, wire_format.CodecFault):
             return body
@@ -94,7 +95,7 @@
 
 
 def _decompress(payload: bytes) -> bytes | wire_format.CodecFault:
-    """Decompress a message; refuse one that is cut or over the limit."""
+    """Decompress a message; refuse one that is truncated or over the limit."""
     try:
         stream = zlib.decompressobj()
         body = stream.decompress(payload, wire_format.MAX_FRAME_BYTES)
--- a/spindlenotch/peers/rollout_notes.py
+++ b/spindlenotch/peers/rollout_notes.py
@@ -1,9 +1,10 @@
 """
-What gateways tell each other of a service that changes its version.
+Messages that gateways exchange about a service that is rolling out a version.
 
-Types only. A note says how far an order has come; a record holds what its sender
-counted since the order, cumulatively, so that one that is lost or comes twice does no
-harm. Both are added fields of ``messages.Message``, left out while there is no order.
+Types only. A note reports the phase of a rollout order; an evidence record holds what
+its sender has counted since the order, cumulatively, so that a lost or duplicated
+record does no harm. Both are added fields of ``messages.Message``, omitted while there
+is no order.
 """
 
 import enum
@@ -12,14 +13,15 @@
 
 from spindlenotch import ids
 
-#: Notes in a message: services that change their version at the same time.
+#: Maximum number of notes in a message: services that roll out versions concurrently.
 NOTES_PER_MESSAGE = 16
-#: Rows of a record; each takes some 40 bytes, compressed less than half of that.
+#: Maximum number of rows in a record; each takes some 40 bytes, compressed less than
+#: half of that.
 ROWS_PER_RECORD = 96
 
 
 class Phase(enum.IntEnum):
-    """How far an order has come; a higher phase replaces a lower one."""
+    """The phase of a rollout order; a higher phase replaces a lower one."""
 
     RUNNING = 1
     PROMOTING = 2
@@ -27,7 +29,7 @@
 
 
 class PhaseNote(msgspec.Struct, frozen=True):
-    """The phase of the order that was written at ``revision`` of the source."""
+    """The phase of the rollout order written at ``revision`` of the source."""
 
     service: ids.ServiceName
     revision: int
@@ -36,10 +38,10 @@
 
 class Counts(msgspec.Struct, frozen=True, array_like=True):
     """
-    How calls ended: judged ones and failures of them; timed ones and slow ones of them.
+    Outcomes of calls: judged ones, the failed of these, timed ones, the slow of these.
 
-    A call is timed unless its upstream was cold; it is judged unless its caller left or
-    the upstream refused it.
+    A call is timed unless its upstream was cold; it is judged unless its caller
+    disconnected or the upstream refused it.
     """
 
     judged: int = 0
@@ -48,7 +50,7 @@
     slow: int = 0
 
     def plus(self, other: "Counts") -> "Counts":
-        """Return the sum."""
+        """Return the sum of each count with that of ``other``."""
         return Counts(
             self.judged + other.judged,
             self.failed + other.failed,
@@ -57,7 +59,7 @@
         )
 
     def minus(self, other: "Counts") -> "Counts":
-        """Return the difference."""
+        """Return the difference of each count from that of ``other``."""
         return Counts(
             self.judged - other.judged,
             self.failed - other.failed,
@@ -71,9 +73,9 @@
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """
-    The counts of a route at one upstream of the target.
+    The counts of a route at one upstream of the target version.
 
-    ``upstream`` is empty for those of other versions, which are counted together.
+    ``upstream`` is empty for upstreams of other versions, which are counted together.
     """
 
     route: str
@@ -83,11 +85,12 @@
 
 class EvidenceRecord(msgspec.Struct, frozen=True):
     """
-    What one process counted since the order written at ``revision``; ``number`` rises.
+    What one process has counted since the order written at ``revision``.
 
-    ``sent`` calls were placed on the target while it was tried, ``answered`` ones were
-    answered by the service. ``is_empty``: the sender is in ``phase`` and has nothing
-    under way on other versions. ``left_s``: for how many seconds the order may run yet.
+    ``number`` increases with each record. ``sent`` calls were sent to the target
+    version while it was on trial, ``answered`` ones were answered by the service.
+    ``is_empty``: the sender is in ``phase`` and has no calls in progress on other
+    versions. ``left_s``: for how many more seconds the order may run.
     """
 
     service: ids.ServiceName
--- a/spindlenotch/peers/wire_format.py
+++ b/spindlenotch/peers/wire_format.py
@@ -1,9 +1,9 @@
 """
-What all codecs of peer messages share: their interface, limits and faults.
+The interface, limits and faults that all codecs of peer messages share.
 
-A codec turns messages into bytes and back. What it reads is authentic
-(``peer_seal``) but may come from a faulty or newer process, so every codec
-bounds what it reads. A fault is a value that the caller counts, never an
+A codec encodes messages to bytes and decodes them. Bytes to decode are authentic
+(``peer_seal``) but may come from a faulty or newer process, so every codec bounds
+what it decodes. A fault is a return value that the caller counts, never an
 exception.
 """
 
@@ -12,11 +12,11 @@
 
 from spindlenotch.peers import messages
 
-#: Bytes of a sealed gossip datagram at most.
+#: Maximum size of a sealed gossip datagram in bytes.
 MAX_DATAGRAM_BYTES = 8 * 1024
-#: Bytes of a sealed document frame at most, and of a body once it is decompressed.
+#: Maximum size of a sealed document frame, and of a decompressed body, in bytes.
 MAX_FRAME_BYTES = 2 * 1024 * 1024
-#: Characters of a host id, address or other text at most.
+#: Maximum length of a host id, address or other text in characters.
 MAX_TEXT_CHARACTERS = 256
 
 
@@ -24,9 +24,9 @@
     """
     Why bytes from a peer were dropped; the value labels metrics and logs.
 
-    ``TOO_SHORT``: no room for the authentication code; ``TOO_LONG``: over a limit
-    above; ``BAD_CODE``: signed by none of the keys; ``GARBLED``: authentic, but
-    not a message that the codec can read.
+    ``TOO_SHORT``: no payload after the authentication code; ``TOO_LONG``: over a
+    limit above; ``BAD_CODE``: signed by none of the keys; ``GARBLED``: authentic,
+    but not a message that the codec can decode.
     """
 
     TOO_SHORT = "too-short"
@@ -36,16 +36,16 @@
 
 
 class Codec(typing.Protocol):
-    """Peer messages to bytes and back, without the authentication code."""
+    """Encodes and decodes peer messages, without the authentication code."""
 
     def encode_gossip(self, message: messages.Message) -> bytes:
-        """Return the wire form of a gossip message."""
+        """Encode a gossip message, without its authentication code."""
 
     def decode_gossip(self, payload: bytes) -> messages.Message | CodecFault:
-        """Read the wire form of a gossip message."""
+        """Decode a gossip message; return a fault if it is invalid."""
 
     def encode_frame(self, frame: messages.DocumentFrame) -> bytes:
-        """Return the wire form of a document frame."""
+        """Encode a document frame, without its authentication code."""
 
     def decode_frame(self, payload: bytes) -> messages.DocumentFrame | CodecFault:
-        """Read the wire form of a document frame."""
+        """Decode a document frame; return a fault if it is invalid."""
--- a/spindlenotch/peers/workload.py
+++ b/spindlenotch/peers/workload.py
@@ -1,7 +1,7 @@
 """
-Load as members report it to each other.
+Rates of work and load reports, as members exchange them.
 
-``Work`` states what a host can carry and what callers ask of it; a
+``Work`` is the rate that a host can handle or that callers request of it; a
 ``LoadRecord`` passes on what one upstream reported about itself.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Work(msgspec.Struct, frozen=True):
-    """A rate of callers' work; bytes are those of bodies, in one direction."""
+    """A rate of requests, and of bytes in their bodies in one direction."""
 
     requests_per_s: float
     bytes_per_s: float
@@ -27,13 +27,13 @@
     What an upstream reported of its load, ``age_s`` seconds before this was sent.
 
     ``running`` and ``queued`` count requests; ``slowdown`` is the ratio of its
-    latency now to its typical one, called ``pace`` on the wire. ``cold_s``: for how
-    many seconds it was cold yet when this was sent, by a health answer made
-    ``cold_age_s`` seconds before; None where there is nothing to tell. ``born`` tells
-    of which start of the upstream all that is, None where nothing does.
-    ``limit_per_s``: the requests a second that it said it takes from all processes
-    together, ``limit_age_s`` seconds before; where that alone is there, it said that it
-    names no limit any more.
+    current latency to its typical one, called ``pace`` on the wire. ``cold_s`` is the
+    number of seconds for which it was still cold when this was sent, according to a
+    health response made ``cold_age_s`` seconds before; None if there is nothing to
+    report. ``born`` identifies the start of the upstream to which all of this refers,
+    None if it is not known. ``limit_per_s`` is the rate of requests per second that
+    it accepts from all processes together, as reported ``limit_age_s`` seconds
+    before; ``limit_age_s`` alone reports that it no longer names a limit.
     """
 
     upstream: ids.UpstreamId
