--- a/spindlenotch/peers/known_peer.py
+++ b/spindlenotch/peers/known_peer.py
@@ -1,5 +1,5 @@
 """
-What one member knows of another: its newest record, and how it answers.
+The state that one member keeps about another: its newest record and its replies.
 
 Types and the order of records only; ``membership`` decides what follows from them.
 """
@@ -16,9 +16,9 @@
     """
     Another member as known here.
 
-    ``updated_at`` is when its record was last confirmed, ``suspect_until``
-    when an unrefuted suspicion drops it, or ``ids.NEVER``; ``missed`` counts
-    the replies it has missed in a row.
+    ``updated_at`` is when its record was last confirmed, ``suspect_until`` when it
+    is dropped unless it refutes the suspicion, or ``ids.NEVER``; ``missed`` counts
+    consecutive missed replies.
     """
 
     record: messages.MemberRecord
@@ -28,14 +28,14 @@
 
     @property
     def suspected(self) -> bool:
-        """Tell whether it failed to answer a member and has not refuted that."""
+        """Return whether it is suspected of having failed and has not refuted that."""
         return self.suspect_until != ids.NEVER
 
 
 def replaces(
     record: messages.MemberRecord, old: messages.MemberRecord, *, direct: bool
 ) -> bool:
-    """Tell whether a record is newer; a member's own message confirms an equal one."""
+    """Return whether ``record`` is newer, or not older if ``direct``."""
     if direct:
         return record.record_version >= old.record_version
     return record.record_version > old.record_version
@@ -44,6 +44,6 @@
 def hosts_in_zone(
     known_by_host: abc.Mapping[ids.HostId, Peer], zone: ids.ZoneName
 ) -> list[ids.HostId]:
-    """Return the members of a zone, in the order in which they became known."""
+    """Return the members in a zone, in the order in which they became known."""
     known = known_by_host.items()
     return [host for host, peer in known if peer.record.zone == zone]
--- a/spindlenotch/peers/membership.py
+++ b/spindlenotch/peers/membership.py
@@ -1,11 +1,11 @@
 """
-Who is in the fleet, as one member knows it.
+The members of the fleet, as one member knows them.
 
 Holds this member's own record and the newest record of each other member.
-Failures are found as in SWIM: a member that misses replies is suspected, the
-suspicion spreads, and unless the member refutes it with a newer record it is
-dropped and leaves a tombstone. Changed records go into the next messages
-first. No input or output, and no clock: callers pass the time.
+Failures are detected as in SWIM: a member that misses replies is suspected, the
+suspicion is disseminated, and unless the member refutes it with a newer record it
+is dropped and leaves a tombstone. Changed records take precedence in the next
+messages. No I/O, and no clock: callers pass the time.
 """
 
 import random
@@ -23,26 +23,27 @@
     workload,
 )
 
-#: Replies missed in a row before a suspicion: single datagrams get lost, and would have
-#: living members dropped.
+#: Consecutive missed replies before a member is suspected: single datagrams get lost,
+#: and live members would be dropped.
 MISSED_BEFORE_SUSPECT = 2
-#: Seconds that a suspicion stands longer for each doubling of the fleet, since the
-#: refutation needs more periods to spread.
+#: Seconds added to the suspicion timeout for each doubling of the fleet, since a
+#: refutation needs more periods to reach all members.
 SUSPECT_S_PER_DOUBLING = 0.4
-#: Records of further members are ignored beyond this.
+#: Maximum number of other members; records of further ones are ignored.
 MAX_MEMBERS = 4096
 
 
 class Membership:
     """
-    The members that one of them knows.
-
-    Invariants: a record never replaces a newer one; the own record is never in
-    ``known_by_host``; a dropped member returns only with a newer record or a
-    message of its own; ``revision`` rises with each change of which members are
-    believed to serve and where, ``demand_revision`` with each of their demands;
-    ``demand_by_host`` holds the demands of all members that are asked anything;
-    ``_suspected_hosts`` are the suspected ones of ``known_by_host``, the newest last.
+    This member's record, and the other members that it knows.
+
+    Invariants: a record never replaces a newer one; this member's record is never
+    in ``known_by_host``; a dropped member is added again only with a newer record or
+    a message of its own; ``revision`` rises with each change of which members are
+    believed to serve and at which addresses, ``demand_revision`` with each change of
+    a demand; ``demand_by_host`` holds all demands that are not zero;
+    ``_suspected_hosts`` are the suspected hosts in ``known_by_host``, the newest
+    last.
     """
 
     def __init__(self, local: messages.MemberRecord, timeouts: timing.Timing) -> None:
@@ -56,7 +57,7 @@
         self.demand_revision = 0
         self.demand_by_host: dict[ids.HostId, workload.Work] = {}
 
-    # The own record
+    # This member's record
 
     def set_status(self, status: messages.Status, version: int) -> None:
         """Publish this member's state and the configuration version in force."""
@@ -70,14 +71,14 @@
         )
 
     def set_demand(self, demand: workload.Work) -> None:
-        """Publish what callers ask of this member."""
+        """Publish the callers' demand on this member."""
         self._take_demand(self.local.host, demand)
         self.local = msgspec.structs.replace(
             self.local, demand=demand, heartbeat=self.local.heartbeat + 1
         )
 
     def set_addresses(self, address: ids.Address, peer_address: ids.Address) -> None:
-        """Set the own addresses, before the first message goes out."""
+        """Set this member's addresses, before the first message is sent."""
         self.revision += 1
         self.local = msgspec.structs.replace(
             self.local, address=address, peer_address=peer_address
@@ -91,7 +92,7 @@
     # Other members
 
     def ready_members(self) -> list[ownership.Member]:
-        """Return the members that serve, this one included."""
+        """Return the members that are ready, and always this one."""
         ready = [
             ownership.Member(peer.record.zone, peer.record.host)
             for peer in self.known_by_host.values()
@@ -103,8 +104,9 @@
         self, record: messages.MemberRecord, now: ids.Instant, *, direct: bool
     ) -> bool:
         """
-        Take in a record; tell whether a member was added, restarted or changed
-        its status. ``direct``: it comes from the member itself.
+        Apply a record; return whether the member is new, restarted or changed status.
+
+        ``direct``: it comes from the member itself.
         """
         if record.host == self.local.host:
             return False
@@ -120,7 +122,7 @@
         return self._replace(peer, record, now, direct=direct)
 
     def note_missed_reply(self, host: ids.HostId, now: ids.Instant) -> None:
-        """Suspect a member that missed several replies: one may just get lost."""
+        """Count a missed reply; suspect the member if it missed several in a row."""
         peer = self.known_by_host.get(host)
         if peer is None:
             return
@@ -130,7 +132,7 @@
             self._suspect(peer, now)
 
     def handle_suspicion(self, suspicion: messages.Suspicion, now: ids.Instant) -> None:
-        """Adopt another member's suspicion, or refute one of this member."""
+        """Adopt another member's suspicion, or refute one about this member."""
         if suspicion.host == self.local.host:
             self.refute(suspicion)
             return
@@ -141,7 +143,7 @@
             self._suspect(peer, now)
 
     def clear_suspicions(self) -> None:
-        """Forget missed replies and suspicions."""
+        """Discard all missed replies and suspicions."""
         self.revision += 1
         for peer in self.known_by_host.values():
             peer.suspect_until = ids.NEVER
@@ -157,13 +159,13 @@
         return expired
 
     def suspect_s(self) -> float:
-        """Return the seconds that a suspicion stands before its member is dropped."""
+        """Return the suspicion timeout in seconds at the current fleet size."""
         return (
             self.timeouts.suspect_s
             + SUSPECT_S_PER_DOUBLING * record_spread.doublings(self._fleet_size())
         )
 
-    # What the next message carries
+    # Contents of the next message
 
     def next_records(
         self,
@@ -173,10 +175,11 @@
         near: bool,
     ) -> tuple[messages.MemberRecord, ...]:
         """
-        Return changed records, and random ones up to the limit for one that asks.
+        Return changed records, and random ones up to the limit for ``fill_for``.
 
-        With ``near`` these are of its own zone, whose duties it shares and which it is
-        to know soon in a large fleet that starts together.
+        With ``near`` the random ones are from the zone of ``fill_for``: it shares
+        duties with these members, and has to know them soon in a large fleet that
+        starts together.
         """
         if fill_for is None:
             hosts = self.spread.next_hosts()
@@ -188,7 +191,7 @@
         return tuple(self.known_by_host[host].record for host in hosts)
 
     def next_suspicions(self) -> tuple[messages.Suspicion, ...]:
-        """Return the suspicions of the members that were suspected last."""
+        """Return the latest suspicions, as many as a message may carry."""
         suspects = list(self._suspected_hosts)[-messages.SUSPICIONS_PER_MESSAGE :]
         records = [self.known_by_host[host].record for host in suspects]
         return tuple(
@@ -218,7 +221,7 @@
             peer.missed = 0
             self.revision += 1
         if peer.suspected:
-            # Only a direct message or a newer record gets here: it refutes.
+            # Only a direct message or a newer record gets here, and either refutes.
             peer.suspect_until = ids.NEVER
             del self._suspected_hosts[record.host]
             self.revision += 1
@@ -258,7 +261,7 @@
             self.demand_by_host[host] = demand
 
     def _send_first(self, host: ids.HostId) -> None:
-        """Let the next messages carry the member's record first."""
+        """Give the member's record precedence in the next messages."""
         self.spread.changed(host, self._fleet_size())
 
     def _fleet_size(self) -> int:
--- a/spindlenotch/peers/probing.py
+++ b/spindlenotch/peers/probing.py
@@ -1,10 +1,10 @@
 """
-Which members are probed in each period, and whose replies are overdue.
+Selection of the members to probe in each period, and detection of overdue replies.
 
-Members are probed in a shuffled round robin, as in SWIM, so that each one is
-probed within a bounded time and no two members keep the same order. A member
-that missed a reply is probed first in the next period. What that means is
-decided in ``membership``.
+Members are probed in a shuffled round robin, as in SWIM, so that each one is probed
+within a bounded time and no two members use the same order. A member that missed a
+reply is probed first in the next period. ``membership`` decides what follows from a
+missed reply.
 """
 
 import random
@@ -13,13 +13,13 @@
 from spindlenotch import ids
 from spindlenotch.peers import known_peer
 
-#: Members that are probed in a period. The cost of three is in docs/CAPACITY.md,
+#: Members probed in each period. The cost of three is in docs/CAPACITY.md,
 #: "Slopes".
 FANOUT = 3
 
 
 class _RoundRobin:
-    """Goes through the hosts that it is given in a shuffled order, then anew."""
+    """Iterates over hosts in shuffled order, and reshuffles after each pass."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -38,10 +38,10 @@
 
 class ProbeSchedule:
     """
-    Shuffled round robin over the known members, and the replies they owe.
+    Shuffled round robin over the known members, and the deadlines of their replies.
 
-    ``near_zone`` is the zone most probes stay in, None where all are alike: with 312
-    members in five zones the messages of gossip were most of the bytes between zones.
+    ``near_zone`` is the zone of most probes, or None for no preference: with 312
+    members in five zones, gossip messages were most of the bytes between zones.
     Invariant: ``reply_due_by_host`` holds the earliest deadline of a probed
     member until it replies or the deadline passes.
     """
@@ -58,7 +58,7 @@
     def next_hosts(
         self, known_by_host: abc.Mapping[ids.HostId, known_peer.Peer], now: ids.Instant
     ) -> list[ids.HostId]:
-        """Return whom to probe this period; their replies are due from now on."""
+        """Return the members to probe this period, and set their reply deadlines."""
         hosts = [host for host, peer in known_by_host.items() if peer.missed][:1]
         near_hosts = self._near_hosts(known_by_host)
         while len(hosts) < min(FANOUT - 1, len(near_hosts)):
@@ -70,18 +70,18 @@
         return hosts
 
     def reply_arrived(self, host: ids.HostId) -> None:
-        """Note a message from the member itself: it owes no reply."""
+        """Clear the deadline of a member that has sent a message itself."""
         self.reply_due_by_host.pop(host, None)
 
     def pop_overdue(self, now: ids.Instant) -> list[ids.HostId]:
-        """Return the members whose replies are overdue; they owe none then."""
+        """Return the members whose replies are overdue, and clear their deadlines."""
         overdue = [host for host, due in self.reply_due_by_host.items() if due <= now]
         for host in overdue:
             del self.reply_due_by_host[host]
         return overdue
 
     def cancel(self) -> None:
-        """Forget all replies that are due."""
+        """Discard all reply deadlines."""
         self.reply_due_by_host.clear()
 
     def _near_hosts(
--- a/spindlenotch/peers/record_spread.py
+++ b/spindlenotch/peers/record_spread.py
@@ -1,9 +1,9 @@
 """
-Which member records the next gossip messages carry.
+Selection of the member records that the next gossip messages carry.
 
-Changed records go first, newest change first, each in as many messages as it takes
-to reach the fleet. Owns how often each is still to be sent; ``membership`` holds the
-records themselves.
+Changed records take precedence, the newest change first, each in as many messages
+as it takes to reach the fleet. Owns how often each is still to be sent;
+``membership`` holds the records themselves.
 """
 
 import math
@@ -13,7 +13,7 @@
 from spindlenotch import ids
 from spindlenotch.peers import messages
 
-#: Messages that a changed record goes into first, for each doubling of the fleet.
+#: Messages in which a changed record takes precedence, per doubling of the fleet.
 REPEATS_PER_DOUBLING = 1
 
 
@@ -24,15 +24,15 @@
         self.repeats_by_host: dict[ids.HostId, int] = {}
 
     def changed(self, host: ids.HostId, fleet_size: int) -> None:
-        """Let the next messages carry a member's record first."""
+        """Give a member's changed record precedence in the next messages."""
         self.repeats_by_host[host] = REPEATS_PER_DOUBLING * doublings(fleet_size)
 
     def forget(self, host: ids.HostId) -> None:
-        """Send no more of a member that is gone."""
+        """Stop sending the record of a dropped member."""
         self.repeats_by_host.pop(host, None)
 
     def next_hosts(self) -> list[ids.HostId]:
-        """Return whose records the next message carries; they count as sent."""
+        """Return the hosts whose records come next, and count these as sent."""
         hosts = list(self.repeats_by_host)[-messages.MEMBERS_PER_MESSAGE :]
         for host in hosts:
             self.repeats_by_host[host] -= 1
@@ -43,7 +43,7 @@
     def next_hosts_filled(
         self, everyone: abc.Collection[ids.HostId], rng: random.Random
     ) -> list[ids.HostId]:
-        """Return these and random other members, as many as a message may carry."""
+        """Return these and random hosts of ``everyone``, up to the message limit."""
         hosts = self.next_hosts()
         room = messages.MAX_MEMBERS_PER_MESSAGE - len(hosts)
         hosts += rng.sample(list(everyone), min(room, len(everyone)))
@@ -51,5 +51,5 @@
 
 
 def doublings(fleet_size: int) -> int:
-    """Return how often one member doubles until the fleet is this large."""
+    """Return the number of doublings from one member to a fleet of this size."""
     return math.ceil(math.log2(fleet_size + 1))
--- a/spindlenotch/peers/timing.py
+++ b/spindlenotch/peers/timing.py
@@ -1,31 +1,31 @@
 """
-How fast a fleet finds failed members: periods, reply and suspicion timeouts.
+Failure detection timing: probe period, reply timeout and suspicion timeout.
 
-Durations in seconds. With the defaults a killed member was dropped everywhere
+Durations are in seconds. With the defaults a killed member was dropped everywhere
 in 9 s (18 members) to 12 s (450), see docs/CAPACITY.md, "Slopes".
 """
 
 import msgspec
 
-#: Between two rounds of probes, in seconds.
+#: Seconds between two rounds of probes.
 PERIOD_S = 1.0
-#: Seconds from a probe until its reply is due. It is shorter than the period, so that
-#: each round judges the one before.
+#: Seconds from a probe until its reply is due. Shorter than the period, so that each
+#: round evaluates the replies of the one before.
 REPLY_S = 0.7
-#: Seconds a suspicion stands before its member is dropped; more is added as the fleet
-#: grows, see ``membership``.
+#: Seconds until a suspected member is dropped unless it refutes the suspicion; more is
+#: added as the fleet grows, see ``membership``.
 SUSPECT_S = 3.0
 
 
 class Timing(msgspec.Struct, frozen=True):
     """
-    The timeouts of one member, in seconds.
+    The timeouts of one member, in seconds, and options for large fleets.
 
-    ``period_s`` lies between two rounds of probes, ``reply_s`` between a probe
-    and the deadline of its reply; a suspicion is refuted within ``suspect_s``
-    or its member is dropped. With ``prefers_own_zone`` all but one of the members that
-    are probed in a round are of the own zone, where there are as many; with
-    ``asks_while_discovering`` a member asks for further ones as long as it learns of
+    ``period_s`` is the time between two rounds of probes, ``reply_s`` from a probe to
+    the deadline of its reply; a suspected member is dropped unless it refutes the
+    suspicion within ``suspect_s``. With ``prefers_own_zone`` all but one of the
+    members probed in a round are in the local zone, if it has that many; with
+    ``asks_while_discovering`` a member asks for further ones as long as it discovers
     any.
     """
 
--- a/spindlenotch/peers/tombstones.py
+++ b/spindlenotch/peers/tombstones.py
@@ -1,8 +1,8 @@
 """
 Tombstones of dropped members.
 
-A dropped member's last record still circulates in other members' messages. Its
-tombstone keeps that record from bringing the member back.
+The last record of a dropped member still circulates in messages of other members.
+Its tombstone keeps that record from adding the member again.
 """
 
 import collections
@@ -10,14 +10,14 @@
 from spindlenotch import ids
 from spindlenotch.peers import messages
 
-#: The oldest tombstone goes first beyond this.
+#: Maximum number of tombstones; the oldest is evicted beyond this.
 MAX_TOMBSTONES = 4096
 
 NO_TOMBSTONE = messages.RecordVersion(0, 0)
 
 
 class Tombstones:
-    """The record versions at which members were dropped, oldest drop first."""
+    """The record versions at which members were dropped, in order of the drops."""
 
     def __init__(self) -> None:
         self.version_by_host: collections.OrderedDict[
@@ -25,16 +25,16 @@
         ] = collections.OrderedDict()
 
     def add(self, record: messages.MemberRecord) -> None:
-        """Remember that a member was dropped with this as its newest record."""
+        """Record that a member was dropped, with its newest record."""
         self.version_by_host[record.host] = record.record_version
         if len(self.version_by_host) > MAX_TOMBSTONES:
             self.version_by_host.popitem(last=False)
 
     def discard(self, host: ids.HostId) -> None:
-        """Forget the tombstone of a member that has sent a message itself."""
+        """Remove the tombstone of a member that has sent a message itself."""
         self.version_by_host.pop(host, None)
 
     def covers(self, record: messages.MemberRecord) -> bool:
-        """Tell whether the record is no newer than its member's tombstone."""
+        """Return whether the record is no newer than its member's tombstone."""
         dropped_at = self.version_by_host.get(record.host, NO_TOMBSTONE)
         return record.record_version <= dropped_at
