--- a/spindlenotch/peers/drain_notices.py
+++ b/spindlenotch/peers/drain_notices.py
@@ -1,9 +1,9 @@
 """
-The drain notices that a member knows, and which of them a message carries.
+Known drain notices, and the selection of those that the next message carries.
 
-A notice says that an upstream is leaving. It stays until its generation is
-superseded, so that members that join later get it too: a new notice goes into
-the next messages first, afterwards old ones are picked at random.
+A notice announces that an upstream is leaving. It is kept until its generation is
+superseded, so that members that join later receive it too: a new notice takes
+precedence in the next messages, older ones are then picked at random.
 """
 
 import collections
@@ -12,9 +12,9 @@
 
 from spindlenotch.peers import messages
 
-#: Messages that carry a new notice before older ones.
+#: Number of messages in which a new notice takes precedence over older ones.
 DRAIN_NOTICE_REPEATS = 12
-#: The oldest notice goes first beyond this.
+#: Maximum number of notices; the oldest is evicted beyond this.
 MAX_DRAIN_NOTICES = 4096
 
 
@@ -22,8 +22,8 @@
     """
     Known drain notices, in the order in which they became known.
 
-    ``repeats_by_drain_notice`` counts the messages that a notice still goes
-    into first.
+    ``repeats_by_drain_notice`` counts the further messages in which a notice takes
+    precedence.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -33,7 +33,7 @@
         ] = collections.OrderedDict()
 
     def add(self, notice: messages.DrainNotice) -> bool:
-        """Add a notice; tell whether it was unknown."""
+        """Add a notice; return whether it was unknown."""
         if notice in self.repeats_by_drain_notice:
             return False
         if len(self.repeats_by_drain_notice) >= MAX_DRAIN_NOTICES:
@@ -47,7 +47,7 @@
             self.repeats_by_drain_notice.pop(notice, None)
 
     def next_batch(self) -> tuple[messages.DrainNotice, ...]:
-        """Return the notices for the next message: new ones, then old ones."""
+        """Return the notices for the next message, new ones before old ones."""
         repeats = self.repeats_by_drain_notice
         new = [notice for notice, left in repeats.items() if left > 0]
         batch = new[-messages.DRAIN_NOTICES_PER_MESSAGE :]
@@ -57,5 +57,5 @@
         if room and len(batch) < len(repeats):
             old = [notice for notice, left in repeats.items() if left <= 0]
             batch += self.rng.sample(old, min(room, len(old)))
-        # A notice that had its last repeat above may have been picked as old too.
+        # A notice whose last repeat is counted above may also have been sampled as old.
         return tuple(dict.fromkeys(batch))
--- a/spindlenotch/peers/gossip.py
+++ b/spindlenotch/peers/gossip.py
@@ -1,11 +1,11 @@
 """
 Gossip of one member: composes its messages and handles those of others.
 
-A pure state machine without input, output or clock. ``membership`` decides who
-is alive, ``probing`` whom to ask, ``drain_notices`` which upstreams leave; this
-module joins them into messages of bounded size and tells the caller what a
-message changed. A change spreads in a number of periods that grows with the
-logarithm of the fleet.
+A pure state machine without I/O or clock. ``membership`` tracks which members are
+alive, ``probing`` selects the members to probe, ``drain_notices`` tracks the
+upstreams that are leaving; this module combines them into messages of bounded size
+and reports what a received message changed. The number of periods that a change
+needs to reach all members grows with the logarithm of the fleet size.
 """
 
 import random
@@ -28,7 +28,7 @@
     workload,
 )
 
-#: A longer time between two sweeps, in periods, means that this process stood still.
+#: Time between two sweeps, in periods, above which this process must have stalled.
 STALL_PERIODS = 3
 
 
@@ -37,7 +37,8 @@
     What a message changed.
 
     ``newer`` are the documents of which the sender has a newer version,
-    ``drain_notices`` those that were unknown here; ``reply`` is to be sent back.
+    ``drain_notices`` those that were unknown here; ``reply`` is to be sent to the
+    sender.
     """
 
     members_changed: bool
@@ -48,11 +49,11 @@
 
 class Gossip:
     """
-    One member's side of the gossip.
+    One member's side of the gossip protocol.
 
-    ``expected_members`` is how many members the host list names; while fewer
-    are known, seeds are probed and members asked for. ``reads_source`` tells the
-    others that this member reads the source itself.
+    ``expected_members`` is the number of members in the host list; while fewer are
+    known, seeds are probed and other members are asked for records.
+    ``reads_source`` tells the others that this member reads the source itself.
     """
 
     def __init__(
@@ -73,14 +74,14 @@
         self.expected_members = 0
         self._discovery = learning.DiscoveryProgress()
         self.reads_source = False
-        #: How far orders to change a service's version have come.
+        #: Phases of the rollout orders in force.
         self.rollout_phases: tuple[rollout_notes.PhaseNote, ...] = ()
-        #: Requests under which upstreams ended, as all messages tell of them now.
+        #: Requests under which upstreams crashed, carried by every message.
         self.crashes: tuple[crash_records.CrashRecord, ...] = ()
         self.sequence = 0
         self.swept_at = ids.NEVER
 
-    # What is known
+    # Known state
 
     @property
     def local(self) -> messages.MemberRecord:
@@ -94,17 +95,17 @@
 
     @property
     def members_revision(self) -> int:
-        """Return a number that rises when who serves, or where, changes."""
+        """Return a counter that rises when the serving members or addresses change."""
         return self.membership.revision
 
     @property
     def demand_by_host(self) -> abc.Mapping[ids.HostId, workload.Work]:
-        """Return what callers ask of the members that are asked anything."""
+        """Return the callers' demand on each member where it is not zero."""
         return self.membership.demand_by_host
 
     @property
     def demand_revision(self) -> int:
-        """Return a number that rises when what callers ask of a member changes."""
+        """Return a counter that rises when the callers' demand on a member changes."""
         return self.membership.demand_revision
 
     @property
@@ -113,21 +114,21 @@
         return self.drain_notices.repeats_by_drain_notice
 
     def ready_members(self) -> list[ownership.Member]:
-        """Return the members that serve, this one included."""
+        """Return the members that are ready, and always this one."""
         return self.membership.ready_members()
 
-    # What changes here
+    # Local changes
 
     def set_status(self, status: messages.Status, version: int) -> None:
         """Publish this member's state and the configuration version in force."""
         self.membership.set_status(status, version)
 
     def set_demand(self, demand: workload.Work) -> None:
-        """Publish what callers ask of this member."""
+        """Publish the callers' demand on this member."""
         self.membership.set_demand(demand)
 
     def set_addresses(self, address: ids.Address, peer_address: ids.Address) -> None:
-        """Set the own addresses, before the first message goes out."""
+        """Set this member's addresses, before the first message is sent."""
         self.membership.set_addresses(address, peer_address)
 
     def advertise(self, version: messages.DocumentVersion) -> None:
@@ -138,7 +139,7 @@
         )
 
     def add_drain_notice(self, notice: messages.DrainNotice) -> bool:
-        """Add a drain notice; tell whether it was unknown."""
+        """Add a drain notice; return whether it was unknown."""
         return self.drain_notices.add(notice)
 
     def forget_drain_notices(
@@ -152,7 +153,7 @@
     def targets(
         self, seeds: abc.Sequence[ids.Address], now: ids.Instant
     ) -> list[ids.Address]:
-        """Return whom to probe this period: members, and a seed if few are known."""
+        """Return the members to probe this period, and a seed if few are known."""
         known = self.known_by_host
         hosts = self.probes.next_hosts(known, now)
         addresses = [known[host].record.peer_address for host in hosts]
@@ -163,7 +164,7 @@
         return addresses
 
     def random_targets(self, count: int) -> list[ids.Address]:
-        """Return random members for an urgent message; no replies are awaited."""
+        """Return random members for an urgent message, which expects no replies."""
         everyone = list(self.known_by_host.values())
         chosen = self.rng.sample(everyone, min(count, len(everyone)))
         return [peer.record.peer_address for peer in chosen]
@@ -174,7 +175,7 @@
         wants_reply: bool = False,
         fill_for: messages.MemberRecord | None = None,
     ) -> messages.Message:
-        """Build the next message; ``fill_for`` asked for as many as fit into it."""
+        """Build the next message; for ``fill_for``, fill it up with member records."""
         self.sequence += 1
         # Seeded tests rely on this order: both calls draw from ``rng``.
         records = self.membership.next_records(
@@ -196,12 +197,16 @@
         )
 
     def handle(self, message: messages.Message, now: ids.Instant) -> Handled:
-        """Take in a message from a peer."""
+        """Process a message from a peer."""
         changed = self._update_members(message, now)
         for suspicion in message.suspicions:
             self.membership.handle_suspicion(suspicion, now)
-        newer = tuple(v for v in message.documents if self._is_newer(v))
-        unknown = tuple(n for n in message.drain_notices if self.drain_notices.add(n))
+        newer = tuple(
+            version for version in message.documents if self._is_newer(version)
+        )
+        unknown = tuple(
+            notice for notice in message.drain_notices if self.drain_notices.add(notice)
+        )
         reply = None
         if message.wants_reply:
             requester = message.sender if message.wants_members else None
@@ -210,9 +215,10 @@
 
     def sweep(self, now: ids.Instant) -> list[messages.MemberRecord]:
         """
-        Judge overdue replies; return the members that are dropped.
+        Process overdue replies; return the members that are dropped.
 
-        After this process stood still, replies may lie unread: nobody is blamed.
+        After this process has stalled, replies may still be unread: pending probes
+        and suspicions are discarded.
         """
         self._discovery.period_ended(len(self.known_by_host))
         stalled = now - self.swept_at > STALL_PERIODS * self.timing.period_s
@@ -225,7 +231,7 @@
         return self.membership.drop_expired(now)
 
     def _update_members(self, message: messages.Message, now: ids.Instant) -> bool:
-        """Take in all records of a message; tell whether the members changed."""
+        """Apply all records of a message; return whether the members changed."""
         self.probes.reply_arrived(message.sender.host)
         changed = self.membership.update(message.sender, now, direct=True)
         for record in message.members:
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -1,10 +1,11 @@
 """
-What a member knows of the other regions, and what it tells them of its own.
+What a member knows of the other regions, and what it reports to them of its own.
 
-Members of other regions are none of this one's peers: a region sends a summary of
-itself instead, so that bytes between regions do not grow with the hosts, and a link
-that loses messages makes nobody suspect anybody. No input, output or clock. Relies on
-``kernel.regions`` for who is far; ``gossip`` puts the summaries into its messages.
+Members of other regions are not peers of this one: a region sends a summary of itself
+instead, so that traffic between regions does not grow with the number of hosts, and a
+lossy link between regions raises no suspicions. No I/O and no clock. Relies on
+``kernel.regions`` for which zones are far; ``regional_gossip`` puts the summaries into
+messages.
 """
 
 import random
@@ -17,20 +18,21 @@
 from spindlenotch.peers import messages, workload
 
 #: Age of a summary, in seconds, from which its gateways may be gone: nearly all
-#: summaries of a region that is there are younger.
+#: summaries of a reachable region are younger.
 SUMMARY_STALE_S = 2.5
-#: Age from which a region counts as lost. Longer than a way that loses 4 in 10 of its
-#: messages keeps a region silent, about as long as callers keep an address.
+#: Age of a summary, in seconds, from which its region counts as lost. Longer than a
+#: link that loses 4 in 10 messages leaves a region without a new summary, and about as
+#: long as callers keep an address.
 SUMMARY_EXPIRY_S = 5.0
-#: Members of other regions that are kept to introduce them to each other, while a
-#: fleet starts from seeds that lie in one region.
+#: Maximum number of members of other regions that are kept to introduce them to each
+#: other, while a fleet starts from seeds that are in one region.
 MAX_INTRODUCED = 64
-#: Digits behind the point of an age: milliseconds.
+#: Decimal places of an age in seconds: milliseconds.
 AGE_DIGITS = 3
 
 
 class ReceivedSummary(msgspec.Struct, frozen=True):
-    """The newest summary of a region and when it was made."""
+    """The newest summary received of a region, and when it was made."""
 
     summary: messages.RegionSummary
     made_at: ids.Instant
@@ -40,8 +42,8 @@
     """
     The summaries of all regions as one member knows them.
 
-    Invariants: a summary never replaces a newer one; the own region's is never taken
-    from others; ``_introduced_by_host`` holds at most ``MAX_INTRODUCED`` members.
+    Invariants: a summary never replaces a newer one; that of the own region is never
+    taken from others; ``_introduced_by_host`` holds at most ``MAX_INTRODUCED`` members.
     """
 
     def __init__(
@@ -57,15 +59,15 @@
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
 
     def is_far(self, zone: ids.ZoneName) -> bool:
-        """Tell whether a zone lies in another region."""
+        """Return whether a zone is in another region."""
         return self.known.region(zone) != self.local_region
 
-    # What others say
+    # Summaries received
 
     def merge_summaries(
         self, summaries: abc.Iterable[messages.RegionSummary], now: ids.Instant
     ) -> None:
-        """Take in the summaries of a message where they are newer."""
+        """Store the summaries of a message that are newer than those known."""
         for summary in summaries:
             if summary.region not in self.others:
                 continue
@@ -87,8 +89,11 @@
         }
 
     def is_far_address(self, address: ids.Address) -> bool:
-        """Tell whether an address is that of a known member of another region."""
-        if any(r.peer_address == address for r in self._introduced_by_host.values()):
+        """Return whether an address is that of a known member of another region."""
+        if any(
+            record.peer_address == address
+            for record in self._introduced_by_host.values()
+        ):
             return True
         return any(
             gateway.peer_address == address
@@ -96,7 +101,7 @@
             for gateway in received.summary.gateways
         )
 
-    # What is said to others
+    # Summaries sent
 
     def describe(
         self,
@@ -107,9 +112,10 @@
         is_active: bool,
     ) -> None:
         """
-        Set what the summary of the own region says.
+        Update the summary of the own region.
 
-        Of the active ``gateways`` this one ``is_active`` to other regions if it is one.
+        ``gateways`` are its active ones, which send it to other regions;
+        ``is_active``: this member is one of them.
         """
         self._active_count = len(gateways) if is_active else 0
         self._own = msgspec.structs.replace(
@@ -120,14 +126,14 @@
         )
 
     def describe_services(self, services: abc.Sequence[messages.ServiceUse]) -> None:
-        """Set what the summary of the own region says of its upstreams."""
+        """Update the utilisation of upstreams in the summary of the own region."""
         reported = tuple(services[: messages.SERVICES_PER_SUMMARY])
         self._own = msgspec.structs.replace(self._own, services=reported)
 
     def summaries_for_other_region(
         self, now: ids.Instant
     ) -> tuple[messages.RegionSummary, ...]:
-        """Return what a message to another region carries: all that is known."""
+        """Return all known summaries, that of the own region first."""
         return (self._own, *self._current_summaries(now))[
             : messages.REGIONS_PER_MESSAGE
         ]
@@ -135,7 +141,7 @@
     def summaries_for_own_region(
         self, now: ids.Instant
     ) -> tuple[messages.RegionSummary, ...]:
-        """Return what an answer to a member of the own region carries."""
+        """Return the summaries of other regions for a reply in the own region."""
         return self._current_summaries(now)[: messages.REGIONS_PER_MESSAGE]
 
     def targets(
@@ -144,11 +150,11 @@
         now: ids.Instant,
     ) -> list[ids.Address]:
         """
-        Return whom to tell of this region in this period: mostly nobody.
+        Return the address to send a summary to in this period; mostly there is none.
 
-        On average one of the active members tells one member of one other region.
-        ``fallback_by_region`` are addresses to try where a region has not been heard
-        of, or not lately.
+        On average one of the active members sends one to one member of one other
+        region. ``fallback_by_region`` are addresses to try if no summary of a region
+        was received, or none recently.
         """
         if not self._active_count or self.rng.random() * self._active_count >= 1.0:
             return []
@@ -161,7 +167,7 @@
             addresses += fallback_by_region.get(region, ())
         return [self.rng.choice(addresses)] if addresses else []
 
-    # Members of other regions that start
+    # Introductions while a fleet starts
 
     def record_far_member(self, record: messages.MemberRecord) -> None:
         """Keep the record of a far member, to introduce it to others of its region."""
@@ -173,7 +179,7 @@
     def introductions(
         self, requester: messages.MemberRecord
     ) -> tuple[messages.MemberRecord, ...]:
-        """Return the members of a far member's own region that asked last."""
+        """Return the latest other senders from a far member's region."""
         region = self.known.region(requester.zone)
         same_region = [
             record
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -1,9 +1,9 @@
 """
-Gossip of one member of a fleet that lies in several regions.
+Gossip of one member of a fleet that spans several regions.
 
-Within its region a member does as ``gossip`` says. Members of other regions do not
-become its peers: they get and send summaries of regions, and which documents are in
-force. A pure state machine, as ``gossip``; relies on ``region_links`` for summaries.
+Within its region a member behaves as in ``gossip``. Members of other regions do not
+become its peers: they exchange summaries of regions, and which documents are in force.
+A pure state machine, like ``gossip``; ``region_links`` holds the summaries.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 class RegionalGossip(gossip.Gossip):
     """
-    One member's side of the gossip in its region and between regions.
+    One member's side of the gossip protocol, in its region and between regions.
 
     Invariant: ``known_by_host`` holds members of the own region only.
     """
@@ -38,7 +38,7 @@
         fallback_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
         now: ids.Instant,
     ) -> list[ids.Address]:
-        """Return whom of another region to tell of this one in this period."""
+        """Return the address in another region to send a summary to, if any is due."""
         return self.links.targets(fallback_by_region, now)
 
     def compose_far(
@@ -51,7 +51,8 @@
         """
         Build a message to another region.
 
-        ``fill_for`` asked for members: it gets those of its own region that asked, too.
+        ``fill_for`` asked for members: it gets the latest senders from its own
+        region.
         """
         self.sequence += 1
         return messages.Message(
@@ -67,14 +68,16 @@
 
     def handle(self, message: messages.Message, now: ids.Instant) -> gossip.Handled:
         """
-        Take in a message from a peer, or from a member of another region.
+        Process a message from a peer, or from a member of another region.
 
-        Answers carry the summaries on, with the age that they have by now.
+        Replies pass the summaries on, with their current age.
         """
         self.links.merge_summaries(message.regions, now)
         if self.links.is_far(message.sender.zone):
             return self._handle_far(message, now)
-        members = tuple(r for r in message.members if not self.links.is_far(r.zone))
+        members = tuple(
+            record for record in message.members if not self.links.is_far(record.zone)
+        )
         near = msgspec.structs.replace(message, members=members)
         handled = super().handle(near, now)
         if handled.reply is None:
@@ -91,7 +94,9 @@
             if not self.links.is_far(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
         self.links.record_far_member(message.sender)
-        newer = tuple(v for v in message.documents if self._is_newer(v))
+        newer = tuple(
+            version for version in message.documents if self._is_newer(version)
+        )
         reply = None
         if message.wants_reply:
             requester = message.sender if message.wants_members else None
@@ -105,12 +110,12 @@
     timeouts: timing.Timing,
     known: regions.Regions,
 ) -> gossip.Gossip:
-    """Return the gossip of a member; without links where there is one region."""
+    """Return the gossip of a member; with region links if there are more regions."""
     if len(known.all_regions(local.zone)) == 1:
         return gossip.Gossip(local, rng, timeouts)
     return RegionalGossip(local, rng, timeouts, known)
 
 
 def links_of(local: gossip.Gossip) -> region_links.RegionLinks | None:
-    """Return what a member knows of other regions; None where there is one region."""
+    """Return the region links of a member, or None if there is only one region."""
     return local.links if isinstance(local, RegionalGossip) else None
