--- a/spindlenotch/peers/background.py
+++ b/spindlenotch/peers/background.py
@@ -1,9 +1,9 @@
 """
-Tasks that run beside the caller's own work until they end or are stopped.
+Background tasks that run until they end or are cancelled.
 
-Owns the references that keep asyncio from collecting a running task, and the rule
-for a loop that fails. Each part that starts tasks of its own holds one
-``BackgroundTasks``.
+Holds references to running tasks, because asyncio itself keeps only weak ones and a
+task could be garbage-collected, and restarts loops that fail. Each part that starts
+tasks of its own has one ``BackgroundTasks``.
 """
 
 import asyncio
@@ -11,8 +11,8 @@
 
 from spindlenotch import events
 
-#: Seconds before a loop that failed is begun anew: short beside the time after which
-#: peers suspect a process, long enough not to fill the log.
+#: Seconds before a failed loop is restarted: short compared with the time after which
+#: peers suspect a process, long enough not to flood the log.
 RESTART_PAUSE_S = 0.2
 
 
@@ -21,14 +21,14 @@
     The running background tasks of one part.
 
     The error of a failed task is not raised here: asyncio's exception handler
-    logs it when the task is collected.
+    logs it when the task is garbage-collected.
     """
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: abc.Coroutine[None, None, None]) -> None:
-        """Run ``work`` as a task."""
+        """Start a task that runs ``work``."""
         task = asyncio.ensure_future(work)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
@@ -42,9 +42,9 @@
 
 async def restart_on_error(loop: abc.Callable[[], abc.Awaitable[None]]) -> None:
     """
-    Run a loop that never ends; log a failure and begin it anew.
+    Run a loop that never ends; if it fails, log the error and restart it.
 
-    A process without one of its loops would serve from a state that nobody updates.
+    Without one of its loops, the process would serve from state that is not updated.
     """
     while True:
         try:
--- a/spindlenotch/peers/document_exchange.py
+++ b/spindlenotch/peers/document_exchange.py
@@ -1,10 +1,10 @@
 """
-Fetches documents that peers advertise as newer.
+Fetches documents of which peers advertise newer versions.
 
-Both daemons hear of versions by gossip and fetch the document itself over the
-peer link; one fetch of a kind runs at a time. Owns which kinds are being
-fetched; the tasks belong to the daemon's ``BackgroundTasks``, and what is done
-with a document is left to ``receive``.
+Both daemons learn of versions by gossip and fetch the document itself over the peer
+link, one fetch at a time for each kind. Owns which kinds are being fetched; the
+tasks belong to the daemon's ``BackgroundTasks``, and ``receive`` decides what is
+done with a document.
 """
 
 from collections import abc
@@ -15,9 +15,9 @@
 
 class DocumentExchange:
     """
-    Fetches over one link and hands what came to ``receive``.
+    Fetches documents over one link and passes them to ``receive``.
 
-    Invariant: ``receive`` gets documents of the kind that was asked for only.
+    Invariant: ``receive`` gets only documents of the requested kind.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
     def fetch(
         self, source: ids.Address, newer: abc.Iterable[messages.DocumentVersion]
     ) -> None:
-        """Begin to fetch from ``source`` what it advertises and is not under way."""
+        """Start to fetch from ``source`` the kinds that are not being fetched."""
         for version in newer:
             if version.kind not in self._fetching:
                 self._tasks.spawn(self._fetch(source, version.kind))
--- a/spindlenotch/peers/documents.py
+++ b/spindlenotch/peers/documents.py
@@ -1,9 +1,9 @@
 """
-Versioned documents that all members must hold, and the fence that replaces them.
+Versioned documents on which all members must agree, and the fence that guards them.
 
-Whoever offers a document (store, operator, peer), it takes effect only if it is
-newer than the one in force (``is_newer``): versions are fencing tokens. The fence
-is the only place where a document is replaced, so no member ever goes back to
+Whether a document is offered by the store, an operator or a peer, it takes effect
+only if it is newer than the one in force (``is_newer``): versions are fencing
+tokens. Documents are replaced only by the fence, so that no member ever reverts to
 an older one.
 """
 
@@ -22,11 +22,11 @@
 
 class DocumentKind(enum.Enum):
     """
-    What a document carries; the value is its number on the wire.
+    The kind of a document; the value is its number on the wire.
 
     ``BUNDLE``: in an entry the envelope of the signed bundle, in a gateway the
-    configuration of the routes. ``HOSTS``: in an entry the host list, in a
-    gateway the list of upstreams.
+    route configuration. ``HOSTS``: in an entry the host list, in a gateway the
+    list of upstreams.
     """
 
     BUNDLE = 0
@@ -47,10 +47,10 @@
 
 class Document(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    A document as it travels between members.
+    A document as it is sent between members.
 
-    ``digest`` tells two documents of one version apart; it is empty where the
-    version alone identifies the document. ``position`` is None where the source
+    ``digest`` distinguishes documents of the same version; it is empty if the
+    version alone identifies the document. ``position`` is None if the source
     reports no era, and in documents from members of earlier releases, which compare
     ``version`` only.
     """
@@ -63,11 +63,11 @@
 
 
 class Versioned(typing.Protocol):
-    """Anything that has the version and position of a document."""
+    """Anything that has the version and the position of a document."""
 
     @property
     def version(self) -> int:
-        """Return the version, which is compared where a position is missing."""
+        """Return the version, which is compared if a position is missing."""
 
     @property
     def position(self) -> SourcePosition | None:
@@ -75,14 +75,14 @@
 
 
 def is_newer(offered: Versioned, held: Versioned) -> bool:
-    """Tell whether ``offered`` replaces ``held``, a document of the same kind."""
+    """Return whether ``offered`` replaces ``held``, a document of the same kind."""
     if offered.position is not None and held.position is not None:
         return offered.position > held.position
     return offered.version > held.version
 
 
 def absent(kind: DocumentKind) -> Document:
-    """Return what stands for a document that a member does not hold."""
+    """Return the placeholder for a document that a member does not hold."""
     return Document(kind, NO_VERSION, ids.Digest(""), b"")
 
 
@@ -90,7 +90,7 @@
     """
     Result of offering a document to the fence.
 
-    ``FORKED``: another document of the same version is in force.
+    ``FORKED``: a different document of the same version is in force.
     """
 
     APPLIED = "applied"
@@ -104,9 +104,10 @@
     Holds the newest document of each kind.
 
     Invariant: a document is replaced only by a newer one (``is_newer``). Two
-    documents of one version but different digests cannot both have been accepted
-    by the store; the later one to arrive is reported as ``FORKED``, and it replaces
-    the one in force only if it comes from the store itself (``authoritative``).
+    documents of the same version but with different digests cannot both have been
+    accepted by the store; the one that arrives later is reported as ``FORKED``, and
+    replaces the one in force only if it comes from the store itself
+    (``authoritative``).
     """
 
     def __init__(self) -> None:
@@ -118,11 +119,11 @@
         return document.version if document else NO_VERSION
 
     def held(self, kind: DocumentKind) -> Document:
-        """Return the document in force; one of version zero where there is none."""
+        """Return the document in force, or a placeholder with ``NO_VERSION``."""
         return self.document_by_kind.get(kind, absent(kind))
 
     def judge(self, document: Document) -> Offer:
-        """Return what ``offer`` would return, and change nothing."""
+        """Return what ``offer`` would return, without changing anything."""
         current = self.document_by_kind.get(document.kind)
         if current is None or is_newer(document, current):
             return Offer.APPLIED
--- a/spindlenotch/peers/peer_link.py
+++ b/spindlenotch/peers/peer_link.py
@@ -1,10 +1,10 @@
 """
-The link between members: gossip over UDP, documents over TCP.
+The transport between members: gossip over UDP, documents over TCP.
 
-Both listen on the same port number. A document connection carries one request
-and one answer: a length prefix, then a sealed frame whose correlation number
-must match. Messages that cannot be read are dropped in ``sealed_codec``, so
-that hostile bytes never grow any state here.
+Both listen on the same port number. A document connection carries one request and
+one response: a length prefix, then a sealed frame whose correlation number must
+match. Messages that cannot be decoded are dropped in ``sealed_codec``, so that
+hostile input never grows any state here.
 """
 
 import asyncio
@@ -23,37 +23,37 @@
     wire_format,
 )
 
-#: Length of a sealed frame in front of it on a document connection, in bytes.
+#: Length prefix of a sealed frame on a document connection: its size in bytes.
 LENGTH = struct.Struct("!I")
-#: Seconds for a document request and its answer, on both sides.
+#: Timeout of a document request with its response, on both sides, in seconds.
 CALL_TIMEOUT_S = 2.0
-#: Document connections that are served at a time.
+#: Maximum number of document connections that are served concurrently.
 MAX_CONNECTIONS = 64
 
-#: What ends a document connection: unreachable, too slow, or closed early.
+#: Errors of a document connection: peer unreachable, too slow, or closed early.
 CONNECTION_FAULTS = (OSError, TimeoutError, asyncio.IncompleteReadError)
 
 
 class GossipListener(typing.Protocol):
-    """Takes in each authentic gossip message."""
+    """Handles each authentic gossip message."""
 
     def __call__(self, message: messages.Message, /) -> None:
         """Handle a message."""
 
 
 class FrameListener(typing.Protocol):
-    """Takes in each authentic document frame."""
+    """Handles each authentic document frame."""
 
     def __call__(self, frame: messages.DocumentFrame, /) -> documents.Document:
-        """Return the document to answer with."""
+        """Return the document to respond with."""
 
 
-#: Tells how far away the peer at an address is, as the metrics name it.
+#: Returns how far away the peer at an address is, as a metric label.
 DistanceTo = abc.Callable[[ids.Address], str]
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Sends and receives peer messages; ``start`` opens its ports."""
+    """Sends and receives peer messages; ``start`` opens the ports."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._tcp: asyncio.Server | None = None
 
     async def start(self, address: ids.Address) -> ids.Address:
-        """Listen on ``address``; return the one in use (port 0: any free)."""
+        """Listen on ``address``; return the bound address (port 0: any free port)."""
         host, port = split_host_port(address)
         self._tcp = await asyncio.start_server(self._serve, host, port)
         bound = self._tcp.sockets[0].getsockname()[1]
@@ -107,23 +107,23 @@
             self._udp.sendto(data, split_host_port(target))
 
     def datagram_received(self, data: bytes, addr: typing.Any) -> None:
-        """Take in a datagram."""
+        """Pass on the message in a datagram if it is authentic and well-formed."""
         message = self._wire.read_gossip(data)
         if message is not None:
             self.on_gossip(message)
 
-    # Documents: the asking side
+    # Documents: client side
 
     async def fetch(
         self, target: ids.Address, kind: documents.DocumentKind
     ) -> documents.Document | None:
-        """Fetch a peer's document; None where it has none or fails."""
+        """Fetch a peer's document; return None if it has none or fails."""
         return await self._call(target, documents.absent(kind), wanted=True)
 
     async def push(
         self, target: ids.Address, document: documents.Document
     ) -> documents.Document | None:
-        """Offer a document; the answer is the one in force there."""
+        """Offer a document; return the one in force there, or None on failure."""
         return await self._call(target, document, wanted=False)
 
     async def _call(
@@ -135,7 +135,7 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 answer = await self._exchange(target, request)
         except CONNECTION_FAULTS as fault:
-            # A peer that is away is normal; the caller asks another or again.
+            # An unreachable peer is normal; the caller retries, or asks another peer.
             loguru.logger.trace("no document from {}: {!r}", target, fault)
             return None
         if answer is None or answer.correlation != request.correlation:
@@ -160,7 +160,7 @@
         if self.distance_to is not None:
             self._wire.count_traffic(kind, self.distance_to(target), size)
 
-    # Documents: the answering side
+    # Documents: server side
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -174,7 +174,7 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 await self._answer(reader, writer)
         except CONNECTION_FAULTS as fault:
-            # The peer sees no answer and asks another member or again.
+            # The peer gets no response and retries, or asks another member.
             loguru.logger.trace("document connection ended early: {!r}", fault)
         finally:
             self.connections -= 1
@@ -195,7 +195,7 @@
     async def _write(
         self, writer: asyncio.StreamWriter, frame: messages.DocumentFrame
     ) -> int:
-        """Write a frame; return its bytes."""
+        """Write a frame; return its size in bytes."""
         data = self._wire.write_frame(frame)
         self._wire.count_sent(len(data))
         writer.write(LENGTH.pack(len(data)) + data)
@@ -205,12 +205,12 @@
     async def _read(
         self, reader: asyncio.StreamReader
     ) -> messages.DocumentFrame | None:
-        """Read a frame; None if it was dropped."""
+        """Read a frame; return None if it was dropped."""
         data = await self._read_bytes(reader)
         return None if data is None else self._wire.read_frame(data)
 
     async def _read_bytes(self, reader: asyncio.StreamReader) -> bytes | None:
-        """Read the bytes of a sealed frame; None if it is too long."""
+        """Read the bytes of a sealed frame; return None if it is too long."""
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > wire_format.MAX_FRAME_BYTES:
             self._wire.drop(wire_format.CodecFault.TOO_LONG)
@@ -219,6 +219,6 @@
 
 
 def split_host_port(address: ids.Address) -> tuple[str, int]:
-    """Return host and port of ``IP:port``."""
+    """Return the host and the port of ``IP:port``."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/spindlenotch/peers/peer_seal.py
+++ b/spindlenotch/peers/peer_seal.py
@@ -1,9 +1,9 @@
 """
 Seals peer messages with an authentication code and opens sealed ones.
 
-A sealed message is the code, then the payload. Everything that arrives is
-hostile until its code is verified; only then does a codec see the payload.
-Messages are authenticated, not encrypted.
+A sealed message is the code followed by the payload. Received bytes are untrusted
+until their code is verified; only then does a codec see the payload. Messages are
+authenticated, not encrypted.
 """
 
 import hashlib
@@ -11,7 +11,7 @@
 
 from spindlenotch.peers import wire_format
 
-#: Bytes of the authentication code: half of HMAC-SHA-256, the least that
+#: Size of the authentication code in bytes: half of HMAC-SHA-256, the minimum that
 #: RFC 2104, section 5, recommends.
 MAC_BYTES = 16
 
@@ -20,7 +20,7 @@
     """
     Adds and verifies authentication codes.
 
-    The first key signs; all keys are accepted, so that keys can be rotated
+    The first key signs and all keys are accepted, so that keys can be rotated
     host by host: append the new key, move it to the front, remove the old one.
     """
 
@@ -32,7 +32,7 @@
         return self._code(self.keys[0], payload) + payload
 
     def open(self, data: bytes, limit: int) -> bytes | wire_format.CodecFault:
-        """Return the payload, or why the data (at most ``limit`` bytes) is refused."""
+        """Return the payload, or why the data is refused; ``limit`` is in bytes."""
         if len(data) <= MAC_BYTES:
             return wire_format.CodecFault.TOO_SHORT
         if len(data) > limit:
--- a/spindlenotch/peers/sealed_codec.py
+++ b/spindlenotch/peers/sealed_codec.py
@@ -1,8 +1,8 @@
 """
-Peer messages to authenticated bytes and back, with counting.
+Encodes peer messages to authenticated bytes and decodes them, with counting.
 
-Joins the codec with the seal for both transports. Whatever is garbled, too
-large or not authentic is counted and dropped here; it never reaches a listener.
+Combines the codec with the sealer for both transports. Messages that are garbled,
+too large or not authentic are counted and dropped here; they never reach a listener.
 """
 
 from spindlenotch import events, metrics
@@ -11,9 +11,9 @@
 
 class SealedCodec:
     """
-    Seals what the codec writes and reads what the seal lets through.
+    Seals encoded messages, and decodes messages that pass authentication.
 
-    A fault is logged once for each reason; the counter has the rest.
+    The first fault of each reason is logged; the counter has all of them.
     """
 
     def __init__(
@@ -28,11 +28,11 @@
         self.faults_logged: set[wire_format.CodecFault] = set()
 
     def write_gossip(self, message: messages.Message) -> bytes:
-        """Return a datagram."""
+        """Return the message as a sealed datagram."""
         return self.sealer.seal(self.codec.encode_gossip(message))
 
     def read_gossip(self, data: bytes) -> messages.Message | None:
-        """Read a datagram; None if it was dropped."""
+        """Open and decode a datagram; return None if it was dropped."""
         self._count("received", len(data))
         payload = self.sealer.open(data, wire_format.MAX_DATAGRAM_BYTES)
         if isinstance(payload, wire_format.CodecFault):
@@ -49,7 +49,7 @@
         return self.sealer.seal(self.codec.encode_frame(frame))
 
     def read_frame(self, data: bytes) -> messages.DocumentFrame | None:
-        """Read a sealed document frame; None if it was dropped."""
+        """Open and decode a document frame; return None if it was dropped."""
         self._count("received", len(data))
         payload = self.sealer.open(data, wire_format.MAX_FRAME_BYTES)
         if isinstance(payload, wire_format.CodecFault):
@@ -66,11 +66,11 @@
         self._count("sent", size)
 
     def count_traffic(self, kind: str, distance: str, size: int) -> None:
-        """Count ``size`` bytes by what they were and how far they went."""
+        """Count ``size`` bytes by kind and by the distance to their target."""
         self.metrics.traffic_bytes.labels(kind, distance).inc(size)
 
     def drop(self, fault: wire_format.CodecFault) -> None:
-        """Count bytes that are dropped; log the first of each reason."""
+        """Count a dropped message; log the first of each reason."""
         self.metrics.peer_drops.labels(fault.value).inc()
         if fault not in self.faults_logged:
             self.faults_logged.add(fault)
