--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -27,7 +27,7 @@
 #: Seconds after which a fleet that starts knows itself.
 START_S = 8.0
 #: Seconds after which a region counts as lost everywhere, and as there again.
-LOST_WITHIN_S = region_links.LOST_S + 1.5
+LOST_WITHIN_S = region_links.SUMMARY_EXPIRY_S + 1.5
 BACK_WITHIN_S = 2.0
 ALLOWED_PER_S = 4.0
 
@@ -55,7 +55,7 @@
             links = gateway.state.links
             assert links is not None
             elsewhere = count - len(made.of(gateway.region))
-            heard = links.heard_by_region.values()
+            heard = links.received_by_region.values()
             assert sum(one.summary.member_count for one in heard) == elsewhere
 
 
@@ -107,7 +107,9 @@
                 assert region in gateway.directory(region)
             links = gateway.state.links
             assert links is not None
-            heard = links.young(made.clock.now(), region_links.LOST_S)
+            heard = links.recent_summaries(
+                made.clock.now(), region_links.SUMMARY_EXPIRY_S
+            )
             assert len(heard) == 2, heard
     assert revisions == [g.state.gossip.members_revision for g in made.gateways]
 
@@ -152,7 +154,7 @@
     made.run(2.0)
     before = len(made.of("north")[0].fleet.active_zones())
     made.dead = {g.number for g in made.of("south")}
-    made.run(region_links.DOUBTFUL_S + 1.5)
+    made.run(region_links.SUMMARY_STALE_S + 1.5)
     for gateway in made.alive():
         # Its last gateways may be gone: others are named beside them.
         assert gateway.region in gateway.directory("south")
@@ -263,13 +265,15 @@
     fresh = messages.RegionSummary(south, member_count=5)
     old = messages.RegionSummary(south, member_count=9, age_s=1.0)
     stranger = messages.RegionSummary(ids.RegionName("elsewhere"), member_count=7)
-    links.take((fresh, messages.RegionSummary(north, member_count=3)), kernel.NOW)
-    links.take((old, stranger), ids.later(kernel.NOW, 0.5))
+    links.merge_summaries(
+        (fresh, messages.RegionSummary(north, member_count=3)), kernel.NOW
+    )
+    links.merge_summaries((old, stranger), ids.later(kernel.NOW, 0.5))
     # The third region has not been heard of; the own one tells itself.
-    assert set(links.heard_by_region) == {south}
-    assert links.heard_by_region[south].summary.member_count == 5
-    links.take((msgspec.structs.replace(old, age_s=-5.0),), kernel.NOW)
-    assert links.heard_by_region[south].made_at <= kernel.NOW
+    assert set(links.received_by_region) == {south}
+    assert links.received_by_region[south].summary.member_count == 5
+    links.merge_summaries((msgspec.structs.replace(old, age_s=-5.0),), kernel.NOW)
+    assert links.received_by_region[south].made_at <= kernel.NOW
 
 
 @kernel.PROPERTIES.register("a fleet of one region speaks and answers as before")
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -131,9 +131,9 @@
         " a region that nobody has asked anything yet. One active gateway a region and"
         " period tells one of another region.",
         constants=(
-            "peers/region_links.DOUBTFUL_S",
-            "peers/region_links.LOST_S",
-            "peers/region_links.MOST_INTRODUCED",
+            "peers/region_links.SUMMARY_STALE_S",
+            "peers/region_links.SUMMARY_EXPIRY_S",
+            "peers/region_links.MAX_INTRODUCED",
             "gateway/cluster/failover_demand.EXPECTED_S",
         ),
         events=("REGION_LOST", "REGION_BACK"),
