--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -284,7 +284,7 @@
             made.clock,
         )
         assert again.links is None
-        assert not again.is_far(ids.ZoneName("another"))
+        assert not again.is_remote(ids.ZoneName("another"))
         assert again.gossip.compose().regions == ()
 
 
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -226,6 +226,6 @@
     work_s *= 1.0 + ahead / slots
     if upstream.spec.zone == pool.local_member.zone:
         return work_s
-    if pool.far_order and pool.is_far(upstream):
+    if pool.far_order and pool.is_remote(upstream):
         return overflow.REMOTE_LATENCY_FACTOR * work_s + call.cross_region_s
     return work_s + call.cross_zone_s
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -153,7 +153,7 @@
         ]
         if not able:
             return None
-        near = [u for u in able if not pool.is_far(u)]
+        near = [u for u in able if not pool.is_remote(u)]
         self.sent += 1
         key = call.latency_key
         self._sent_by_route[key] = self._sent_by_route.get(key, 0) + 1
--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -157,7 +157,7 @@
         """Tell whether who reads for this gateway's zone reads for that one too."""
         if self.state.links is None:
             return zone == self.state.config.zone
-        return not self.state.is_far(zone)
+        return not self.state.is_remote(zone)
 
     def _look_at_members(self, least_per_zone: int) -> None:
         records = self._believed_records()
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -126,7 +126,7 @@
             Target(name, service_balancer.pool, upstream)
             for name, service_balancer in self.state.balancer_by_service.items()
             for upstream in service_balancer.pool.usable_order
-            if not self.state.is_far(upstream.spec.zone)
+            if not self.state.is_remote(upstream.spec.zone)
         ]
         specs = [target.upstream.spec for target in usable]
         probers_by_zone = duties.probers(standby_by_zone, specs)
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -243,7 +243,7 @@
         self.duty.peer_heard(now)
         if self.fleet.shares_reader(sender.zone):
             self.duty.zone_peer_heard(sender.host, now, reads=message.reads_source)
-        if not self.state.is_far(sender.zone) or (
+        if not self.state.is_remote(sender.zone) or (
             self.duty.lacks_reader(now) and not self.state.reads_source
         ):
             self.exchange.fetch(sender.peer_address, handled.newer)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -111,7 +111,7 @@
         """Return the region in which this gateway lies."""
         return self.regions.region(self.config.zone)
 
-    def is_far(self, zone: ids.ZoneName) -> bool:
+    def is_remote(self, zone: ids.ZoneName) -> bool:
         """Tell whether a zone lies in another region."""
         return self.regions.region(zone) != self.region
 
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -132,7 +132,7 @@
         self.refresh()
         return True
 
-    def is_far(self, upstream: upstreams.Upstream) -> bool:
+    def is_remote(self, upstream: upstreams.Upstream) -> bool:
         """Tell whether an upstream is in another region."""
         known = self.service.region_map
         distance = known.distance(self.local_member.zone, upstream.spec.zone)
@@ -162,8 +162,8 @@
         ]
         zone = self.local_member.zone
         self.local_order = [u for u in self.usable_order if u.spec.zone == zone]
-        self.near_order = [u for u in self.usable_order if not self.is_far(u)]
-        self.far_order = [u for u in self.usable_order if self.is_far(u)]
+        self.near_order = [u for u in self.usable_order if not self.is_remote(u)]
+        self.far_order = [u for u in self.usable_order if self.is_remote(u)]
         self.ejected = [
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
@@ -207,17 +207,17 @@
         """Recompute what this process may send where all processes share a rate."""
         hosts = tuple(member.host for member in self.views[-1].members)
         for upstream in self.upstream_by_id.values():
-            is_far = self.is_far(upstream)
+            is_remote = self.is_remote(upstream)
             upstream.cold.assumed_duration_s = self.service.cold_start_s
             rate_per_s = cold_start.rate_per_s(
                 upstream.spec.id,
                 self.service.cold_rate_per_s,
-                () if is_far else hosts,
+                () if is_remote else hosts,
                 self.local_member.host,
             )
             upstream.cold.limit(rate_per_s, now)
             # Only processes of its own region share the limit: they know each other.
-            views = (shared_rate.EMPTY_VIEW,) if is_far else self.views
+            views = (shared_rate.EMPTY_VIEW,) if is_remote else self.views
             upstream.backpressure.limit.set_views(views)
 
     def _assign_slots(self) -> None:
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -56,7 +56,7 @@
         self._speakers = 0
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
 
-    def is_far(self, zone: ids.ZoneName) -> bool:
+    def is_remote(self, zone: ids.ZoneName) -> bool:
         """Tell whether a zone lies in another region."""
         return self.known.region(zone) != self.local_region
 
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -72,9 +72,9 @@
         Answers carry the summaries on, with the age that they have by now.
         """
         self.links.take(message.regions, now)
-        if self.links.is_far(message.sender.zone):
+        if self.links.is_remote(message.sender.zone):
             return self._handle_far(message, now)
-        members = tuple(r for r in message.members if not self.links.is_far(r.zone))
+        members = tuple(r for r in message.members if not self.links.is_remote(r.zone))
         near = msgspec.structs.replace(message, members=members)
         handled = super().handle(near, now)
         if handled.reply is None:
@@ -88,7 +88,7 @@
     ) -> gossip.Handled:
         changed = False
         for record in message.members:
-            if not self.links.is_far(record.zone):
+            if not self.links.is_remote(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
         self.links.note_far(message.sender)
         newer = tuple(v for v in message.documents if self._is_newer(v))
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -290,7 +290,7 @@
     Mutant(
         "a reader's word counts in its own zone only",
         "gateway/cluster/fleet",
-        "return not self.state.is_far(zone)",
+        "return not self.state.is_remote(zone)",
         "return zone == self.state.config.zone",
         "each region has one reader of the source",
     ),
@@ -346,7 +346,7 @@
     Mutant(
         "members of other regions become peers",
         "peers/regional_gossip",
-        "if self.links.is_far(message.sender.zone):",
+        "if self.links.is_remote(message.sender.zone):",
         "if False:",
         "a gateway's peers are those of its region, all of them",
     ),
@@ -360,14 +360,14 @@
     Mutant(
         "gateways send to cold upstreams of other regions",
         "kernel/upstream_set",
-        "() if is_far else hosts",
+        "() if is_remote else hosts",
         "hosts",
         "nobody of another region sends to a cold upstream",
     ),
     Mutant(
         "documents are fetched from other regions all the time",
         "gateway/source/relay",
-        "if not self.state.is_far(sender.zone) or (",
+        "if not self.state.is_remote(sender.zone) or (",
         "if True or (",
         "documents of other regions count while no reader is heard",
     ),
