--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -335,7 +335,7 @@
     one = play.gateways[0]
     assert len(one.queue) > 0
     now = ids.later(NOW, END_S)
-    left = [u.spec for u in one.pool.far_order]
+    left = [u.spec for u in one.pool.remote_order]
     one.pool.set_listed(left, now)
     settled = one.settle(now)
     assert len(one.queue) == 0
@@ -379,7 +379,7 @@
 def tried_version() -> None:
     one = Play(even(0.0)).gateways[0]
     target = ids.SoftwareVersion("v2")
-    for upstream in one.pool.far_order:
+    for upstream in one.pool.remote_order:
         upstream.spec = msgspec.structs.replace(upstream.spec, version=target)
     split = traffic_split.TrafficSplit(target, 1.0, "k", _Unheard())
     split.answered = 100
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -164,7 +164,7 @@
             settled.append(verdicts.Settlement(call, grant))
         settled.extend(self._place_remote(now))
         if len(self.queue) and (
-            self.pool.far_order or self._usable_at(None, now) > now
+            self.pool.remote_order or self._usable_at(None, now) > now
         ):
             settled.extend(self.admission.refuse_stranded(self._usable_at, now))
         return settled
@@ -280,7 +280,7 @@
         """
         sent: list[verdicts.Settlement] = []
         full: set[frozenset[ids.RegionName] | None] = set()
-        for call in list(self.queue) if self.pool.far_order else ():
+        for call in list(self.queue) if self.pool.remote_order else ():
             if call.cross_region_from > now or call.allowed_regions in full:
                 continue
             grant = self._grant(call, verdicts.Kind.FIRST, now)
@@ -303,7 +303,7 @@
         self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place a call that its own region would refuse in another region."""
-        if not self.pool.far_order:
+        if not self.pool.remote_order:
             return None
         may_leave = msgspec.structs.replace(call, cross_region_from=now)
         return self._grant(may_leave, verdicts.Kind.FIRST, now)
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -68,7 +68,7 @@
         bytes between zones.
         """
         cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
-        if pool.far_order:
+        if pool.remote_order:
             near_s = min(cost_by_id.values(), default=None)
             far = overflow.candidates(pool, call, near_s, now, exclude)
             cost_by_id |= _costs(pool, call, without_slowed(far, now), now)
@@ -226,6 +226,6 @@
     work_s *= 1.0 + ahead / slots
     if upstream.spec.zone == pool.local_member.zone:
         return work_s
-    if pool.far_order and pool.is_remote(upstream):
+    if pool.remote_order and pool.is_remote(upstream):
         return overflow.REMOTE_LATENCY_FACTOR * work_s + call.cross_region_s
     return work_s + call.cross_zone_s
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -47,7 +47,7 @@
     at most twice that of the better choice. A further try doesn't wait, nor does a call
     whose region has no upstream that may take it.
     """
-    if not pool.far_order:
+    if not pool.remote_order:
         return False
     if now >= call.cross_region_from or exclude:
         return True
@@ -64,7 +64,7 @@
     upstreams are left in the local region that all are slow, while another region is
     much less full.
     """
-    if not pool.far_order or not pool.far_used_by_region:
+    if not pool.remote_order or not pool.far_used_by_region:
         return False
     if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
         return False
@@ -99,7 +99,7 @@
     open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
     allowed = [
         u
-        for u in pool.far_order
+        for u in pool.remote_order
         if pool.region_of(u) in open_regions and pool.allows(call, u)
     ]
     return selection.sample(allowed, MAX_COMPARED, pool.rng, now, exclude)
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -82,7 +82,7 @@
         """
         decay_s = REPORT_DECAY_FACTOR * self.latencies.overall.value
         typical = self.mean_foreign_load.value
-        if self.far_order and self.is_remote(upstream):
+        if self.remote_order and self.is_remote(upstream):
             used = self.far_used_by_region.get(self.region_of(upstream), 0.0)
             typical = used * upstream.slots
         if upstream.owned_slots > 0:
@@ -97,7 +97,7 @@
     ) -> None:
         """Apply a load report that came with a response or a probe."""
         upstream.reported(report, now)
-        if self.far_order and self.is_remote(upstream):
+        if self.remote_order and self.is_remote(upstream):
             # It came with the response to a call that still counts as outstanding
             # here; no later probe will correct the estimate.
             upstream.outstanding_at_report -= 1
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -37,7 +37,7 @@
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
     ``local_order`` those of them in this process's own zone, ``near_order`` in its
-    region and ``far_order`` in others, ``ejected`` those that are ejected; ``owned``
+    region and ``remote_order`` in others, ``ejected`` those that are ejected; ``owned``
     lists those of them in which this process owns slots, ``owned_total`` in all.
     ``revision`` grows with each change of ``usable_order``. ``views`` are the views of
     which processes share rates: recent ones first, the current one last.
@@ -54,7 +54,7 @@
         self.usable_order: list[upstreams.Upstream] = []
         self.local_order: list[upstreams.Upstream] = []
         self.near_order: list[upstreams.Upstream] = []
-        self.far_order: list[upstreams.Upstream] = []
+        self.remote_order: list[upstreams.Upstream] = []
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
@@ -144,7 +144,7 @@
 
     def far_regions(self) -> set[ids.RegionName]:
         """Return the other regions that have upstreams."""
-        return {self.region_of(upstream) for upstream in self.far_order}
+        return {self.region_of(upstream) for upstream in self.remote_order}
 
     def allows(self, call: wait_queue.Call, upstream: upstreams.Upstream) -> bool:
         """Tell whether a call may run in the region of an upstream."""
@@ -163,7 +163,7 @@
         zone = self.local_member.zone
         self.local_order = [u for u in self.usable_order if u.spec.zone == zone]
         self.near_order = [u for u in self.usable_order if not self.is_remote(u)]
-        self.far_order = [u for u in self.usable_order if self.is_remote(u)]
+        self.remote_order = [u for u in self.usable_order if self.is_remote(u)]
         self.ejected = [
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
