--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -225,7 +225,7 @@
                 for region, used in used_by_region.items()
                 if region != self._region(one)
             }
-            for upstream in one.pool.near_order:
+            for upstream in one.pool.local_region_order:
                 running = self.running_by_id.get(upstream.spec.id, 0)
                 one.pool.reported(upstream, upstreams.LoadReport(running, 0), now)
             self._settle(one, one.settle(now), at)
@@ -360,7 +360,7 @@
 
     one.policy.choose = counted  # type: ignore[method-assign]
     one.pool.far_used_by_region = dict.fromkeys(one.pool.far_used_by_region, 1.0)
-    for upstream in one.pool.near_order:
+    for upstream in one.pool.local_region_order:
         full = upstreams.LoadReport(SLOTS, 0)
         one.pool.reported(upstream, full, now)
     assert not one.settle(now)
--- a/features/steps/gateway_regions.py
+++ b/features/steps/gateway_regions.py
@@ -403,9 +403,9 @@
     view = shared_rate.View((state.local_member,))
     pool.set_rate_view(view, made.clock.now())
     for upstream in pool.usable_order:
-        is_near = upstream in pool.near_order
+        is_near = upstream in pool.local_region_order
         assert upstream.cold.rate_per_s == (4.0 if is_near else 0.0)
-    assert {u.spec.zone for u in pool.near_order} == {"north-a", "north-b"}
+    assert {u.spec.zone for u in pool.local_region_order} == {"north-a", "north-b"}
 
 
 @kernel.PROPERTIES.register("no region takes its gateways for most of the fleet")
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -102,10 +102,10 @@
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """Return the upstreams of the local region that are compared."""
-    if len(pool.near_order) > MAX_COMPARED:
+    if len(pool.local_region_order) > MAX_COMPARED:
         options = _sample(pool, now, exclude)
     else:
-        options = selection.eligible_among(pool.near_order, now, exclude)
+        options = selection.eligible_among(pool.local_region_order, now, exclude)
     # After its wait is over, a further try takes a slowed upstream rather than none.
     if exclude and now >= call.wait_until:
         return options
@@ -119,7 +119,7 @@
     rng = pool.rng
     local = selection.sample(pool.local_order, LOCAL_COMPARED, rng, now, exclude)
     count = MAX_COMPARED - len(local)
-    anywhere = selection.sample(pool.near_order, count, rng, now, exclude)
+    anywhere = selection.sample(pool.local_region_order, count, rng, now, exclude)
     sampled_by_id = {u.spec.id: u for u in (*local, *anywhere)}
     return list(sampled_by_id.values())
 
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -136,7 +136,7 @@
     Slots left empty because of crowding don't count, nor do upstreams that are slowed
     or ejected; 1 if there are no others.
     """
-    sound = [u for u in pool.near_order if _is_healthy(u, now)]
+    sound = [u for u in pool.local_region_order if _is_healthy(u, now)]
     crowded = pool.contention
     usable = sum(crowded.usable(u.slots, sample=u.contention_sample) for u in sound)
     if usable <= 0:
@@ -150,4 +150,4 @@
 
 
 def _any_near(pool: upstream_pool.Pool, now: ids.Instant) -> bool:
-    return any(upstream.may_take(now) for upstream in pool.near_order)
+    return any(upstream.may_take(now) for upstream in pool.local_region_order)
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -36,11 +36,11 @@
     The upstreams by id, and those that may be sent requests.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
-    ``local_order`` those of them in this process's own zone, ``near_order`` in its
-    region and ``remote_order`` in others, ``ejected`` those that are ejected; ``owned``
-    lists those of them in which this process owns slots, ``owned_total`` in all.
-    ``revision`` grows with each change of ``usable_order``. ``views`` are the views of
-    which processes share rates: recent ones first, the current one last.
+    ``local_order`` those of them in this process's own zone, ``local_region_order`` in
+    its region and ``remote_order`` in others, ``ejected`` those that are ejected;
+    ``owned`` lists those of them in which this process owns slots, ``owned_total`` in
+    all. ``revision`` grows with each change of ``usable_order``. ``views`` are the
+    views of which processes share rates: recent ones first, the current one last.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.upstream_by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
         self.usable_order: list[upstreams.Upstream] = []
         self.local_order: list[upstreams.Upstream] = []
-        self.near_order: list[upstreams.Upstream] = []
+        self.local_region_order: list[upstreams.Upstream] = []
         self.remote_order: list[upstreams.Upstream] = []
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
@@ -162,7 +162,9 @@
         ]
         zone = self.local_member.zone
         self.local_order = [u for u in self.usable_order if u.spec.zone == zone]
-        self.near_order = [u for u in self.usable_order if not self.is_remote(u)]
+        self.local_region_order = [
+            u for u in self.usable_order if not self.is_remote(u)
+        ]
         self.remote_order = [u for u in self.usable_order if self.is_remote(u)]
         self.ejected = [
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
