--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -117,7 +117,7 @@
 ) -> list[upstreams.Upstream]:
     """Return random upstreams of the local zone, and of the whole local region."""
     rng = pool.rng
-    local = selection.sample(pool.local_order, LOCAL_COMPARED, rng, now, exclude)
+    local = selection.sample(pool.local_zone_order, LOCAL_COMPARED, rng, now, exclude)
     count = MAX_COMPARED - len(local)
     anywhere = selection.sample(pool.local_region_order, count, rng, now, exclude)
     sampled_by_id = {u.spec.id: u for u in (*local, *anywhere)}
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -36,11 +36,12 @@
     The upstreams by id, and those that may be sent requests.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
-    ``local_order`` those of them in this process's own zone, ``local_region_order`` in
-    its region and ``remote_order`` in others, ``ejected`` those that are ejected;
-    ``owned`` lists those of them in which this process owns slots, ``owned_total`` in
-    all. ``revision`` grows with each change of ``usable_order``. ``views`` are the
-    views of which processes share rates: recent ones first, the current one last.
+    ``local_zone_order`` those of them in this process's own zone,
+    ``local_region_order`` in its region and ``remote_order`` in others, ``ejected``
+    those that are ejected; ``owned`` lists those of them in which this process owns
+    slots, ``owned_total`` in all. ``revision`` grows with each change of
+    ``usable_order``. ``views`` are the views of which processes share rates: recent
+    ones first, the current one last.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.members: tuple[ownership.Member, ...] = (local_member,)
         self.upstream_by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
         self.usable_order: list[upstreams.Upstream] = []
-        self.local_order: list[upstreams.Upstream] = []
+        self.local_zone_order: list[upstreams.Upstream] = []
         self.local_region_order: list[upstreams.Upstream] = []
         self.remote_order: list[upstreams.Upstream] = []
         self.owned: list[upstreams.Upstream] = []
@@ -161,7 +162,7 @@
             if u.state is not upstreams.State.LEAVING
         ]
         zone = self.local_member.zone
-        self.local_order = [u for u in self.usable_order if u.spec.zone == zone]
+        self.local_zone_order = [u for u in self.usable_order if u.spec.zone == zone]
         self.local_region_order = [
             u for u in self.usable_order if not self.is_remote(u)
         ]
