--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -95,7 +95,7 @@
         return []
     used_by_region = pool.far_used_by_region
     if not _any_near(pool, now):
-        used_by_region = dict.fromkeys(pool.far_regions(), 0.0) | used_by_region
+        used_by_region = dict.fromkeys(pool.remote_regions(), 0.0) | used_by_region
     open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
     allowed = [
         u
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -143,7 +143,7 @@
         """Return the region of an upstream."""
         return self.service.region_map.region(upstream.spec.zone)
 
-    def far_regions(self) -> set[ids.RegionName]:
+    def remote_regions(self) -> set[ids.RegionName]:
         """Return the other regions that have upstreams."""
         return {self.region_of(upstream) for upstream in self.remote_order}
 
