--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -220,7 +220,7 @@
         used_by_region = self._used_by_region(at)
         for one in self.gateways:
             one.pool.near_used = overflow.used_share(one.pool, now)
-            one.pool.far_used_by_region = {
+            one.pool.used_by_remote_region = {
                 region: used
                 for region, used in used_by_region.items()
                 if region != self._region(one)
@@ -359,7 +359,7 @@
         return choose(*given)
 
     one.policy.choose = counted  # type: ignore[method-assign]
-    one.pool.far_used_by_region = dict.fromkeys(one.pool.far_used_by_region, 1.0)
+    one.pool.used_by_remote_region = dict.fromkeys(one.pool.used_by_remote_region, 1.0)
     for upstream in one.pool.local_region_order:
         full = upstreams.LoadReport(SLOTS, 0)
         one.pool.reported(upstream, full, now)
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -64,9 +64,9 @@
     upstreams are left in the local region that all are slow, while another region is
     much less full.
     """
-    if not pool.remote_order or not pool.far_used_by_region:
+    if not pool.remote_order or not pool.used_by_remote_region:
         return False
-    if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
+    if min(pool.used_by_remote_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
     return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
@@ -93,7 +93,7 @@
         leaves = is_remote_faster(pool, call, near_s)
     if not leaves:
         return []
-    used_by_region = pool.far_used_by_region
+    used_by_region = pool.used_by_remote_region
     if not _any_near(pool, now):
         used_by_region = dict.fromkeys(pool.remote_regions(), 0.0) | used_by_region
     open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -30,7 +30,7 @@
         heard = links.young(now, region_links.LOST_S)
         services = []
         for name, service in self.state.balancer_by_service.items():
-            service.pool.far_used_by_region = _used_by_region(name, heard)
+            service.pool.used_by_remote_region = _used_by_region(name, heard)
             used = overflow.used_share(service.pool, now)
             service.pool.near_used = used
             services.append(messages.ServiceUse(name, round(used, SHARE_DIGITS)))
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -42,7 +42,7 @@
     one) is ejected at a time. ``mean_foreign_load`` is the number of requests
     that other processes have in an upstream where this one owns no slots,
     ``near_used`` the share of the slots in use in this process's own region,
-    ``far_used_by_region`` the same for other regions, as they report it;
+    ``used_by_remote_region`` the same for other regions, as they report it;
     ``refused_share`` is the share of calls refused for overload,
     ``failed_share`` that of requests that failed.
     """
@@ -57,7 +57,7 @@
         self.rng = rng
         self.mean_foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
         self.near_used = 0.0
-        self.far_used_by_region: dict[ids.RegionName, float] = {}
+        self.used_by_remote_region: dict[ids.RegionName, float] = {}
         self.refused_share = latency.Mean(0.0, REFUSED_WEIGHT)
         self.in_flight = 0
         self.waiting = 0
@@ -83,7 +83,7 @@
         decay_s = REPORT_DECAY_FACTOR * self.latencies.overall.value
         typical = self.mean_foreign_load.value
         if self.remote_order and self.is_remote(upstream):
-            used = self.far_used_by_region.get(self.region_of(upstream), 0.0)
+            used = self.used_by_remote_region.get(self.region_of(upstream), 0.0)
             typical = used * upstream.slots
         if upstream.owned_slots > 0:
             typical = upstream.foreign_load.value
