--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -219,7 +219,7 @@
         now = ids.later(NOW, at)
         used_by_region = self._used_by_region(at)
         for one in self.gateways:
-            one.pool.near_used = overflow.used_share(one.pool, now)
+            one.pool.local_region_used = overflow.used_share(one.pool, now)
             one.pool.used_by_remote_region = {
                 region: used
                 for region, used in used_by_region.items()
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -66,7 +66,10 @@
     """
     if not pool.remote_order or not pool.used_by_remote_region:
         return False
-    if min(pool.used_by_remote_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
+    if (
+        min(pool.used_by_remote_region.values())
+        > pool.local_region_used - MIN_USED_DIFFERENCE
+    ):
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
     return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -32,7 +32,7 @@
         for name, service in self.state.balancer_by_service.items():
             service.pool.used_by_remote_region = _used_by_region(name, heard)
             used = overflow.used_share(service.pool, now)
-            service.pool.near_used = used
+            service.pool.local_region_used = used
             services.append(messages.ServiceUse(name, round(used, SHARE_DIGITS)))
         links.describe_services(services)
 
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -41,7 +41,7 @@
     ``wait_queue`` those in the queue; at most ``eject_share`` of the pool (at least
     one) is ejected at a time. ``mean_foreign_load`` is the number of requests
     that other processes have in an upstream where this one owns no slots,
-    ``near_used`` the share of the slots in use in this process's own region,
+    ``local_region_used`` the share of the slots in use in this process's own region,
     ``used_by_remote_region`` the same for other regions, as they report it;
     ``refused_share`` is the share of calls refused for overload,
     ``failed_share`` that of requests that failed.
@@ -56,7 +56,7 @@
         super().__init__(service, local_member)
         self.rng = rng
         self.mean_foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
-        self.near_used = 0.0
+        self.local_region_used = 0.0
         self.used_by_remote_region: dict[ids.RegionName, float] = {}
         self.refused_share = latency.Mean(0.0, REFUSED_WEIGHT)
         self.in_flight = 0
