--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -87,7 +87,7 @@
             # This policy does not divide slots among processes.
             owned_slots=0.0,
         )
-        return selection.Choice(chosen, selection.Rule.SOONEST, (candidate,))
+        return selection.Choice(chosen, selection.Rule.LEAST_LATENCY, (candidate,))
 
     def reported(
         self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -31,7 +31,7 @@
     ROUND_ROBIN = "next in turn"
     LEAST_OUTSTANDING = "fewest own requests in flight"
     TWO_CHOICES = "better of two picked at random"
-    SOONEST = "soonest expected end"
+    LEAST_LATENCY = "soonest expected end"
     CANARY = "within the share of a version that is tried"
 
 
