--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -42,7 +42,7 @@
     until: ids.Instant
     ended: asyncio.Event
     #: Whether this is the single further trial that a quarantined request gets.
-    is_retrial: bool = False
+    is_recheck: bool = False
 
 
 class Trials:
@@ -90,7 +90,7 @@
             return None
         request_fingerprints = job.fingerprints()
         trial = self._trial_by_content.get(request_fingerprints.content)
-        if trial is not None and trial.is_retrial and trial.call == job.call.id:
+        if trial is not None and trial.is_recheck and trial.call == job.call.id:
             return None
         latest = ids.later(self.state.clock.now(), MAX_RETRY_AFTER_S)
         until = min(latest, self.quarantine.until(request_fingerprints))
@@ -102,15 +102,15 @@
         request_fingerprints = job.fingerprints()
         if self.quarantine.take_recheck(request_fingerprints, now):
             self.crash_detector.publish_notes(request_fingerprints)
-            self._start_trial(job, now, is_retrial=True)
+            self._start_trial(job, now, is_recheck=True)
         return self.refusal(job)
 
     def _start_trial(
-        self, job: jobs.Job, now: ids.Instant, *, is_retrial: bool = False
+        self, job: jobs.Job, now: ids.Instant, *, is_recheck: bool = False
     ) -> None:
         until = ids.later(now, EXCLUSIVE_TRIAL_S)
         content = job.fingerprints().content
-        trial = Trial(job.call.id, until, asyncio.Event(), is_retrial)
+        trial = Trial(job.call.id, until, asyncio.Event(), is_recheck)
         self._trial_by_content[content] = trial
         self._content_by_call[job.call.id] = content
 
