--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -90,7 +90,7 @@
 
 
 @kernel.PROPERTIES.register("a quarantined request is sent once more, by one gateway")
-def one_retrial() -> None:
+def one_recheck() -> None:
     request = prints()
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
