--- a/features/support/reborn_reading.py
+++ b/features/support/reborn_reading.py
@@ -56,12 +56,12 @@
             deadline=ids.later(now, 9.0),
         )
         others = set(self.pool.upstream_by_id) - {NAME}
-        self.decider.tried_by_call[call.id] = others
+        self.decider.attempted_by_call[call.id] = others
         grant = self.decider.offer(call, now)
         assert isinstance(grant, verdicts.Grant), grant
         assert grant.upstream is self.upstream
         # It was sent to none of those.
-        self.decider.tried_by_call[call.id] = {NAME}
+        self.decider.attempted_by_call[call.id] = {NAME}
         return grant
 
     def finish(self, grant: verdicts.Grant, result: upstreams.Result) -> None:
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -65,7 +65,7 @@
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
         self.copies = copy_tracker.CopyTracker(self.extra)
-        self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
+        self.attempted_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self._unreached_by_call: collections.Counter[ids.CallId] = collections.Counter()
         self.decisions: collections.deque[verdicts.Decision] = collections.deque(
             maxlen=DECISIONS_KEPT
@@ -149,7 +149,7 @@
 
     def forget(self, call_id: ids.CallId) -> None:
         """Drop the state kept for placing further tries of a call."""
-        self.tried_by_call.pop(call_id, None)
+        self.attempted_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
         self.copies.forget(call_id)
 
@@ -202,7 +202,7 @@
         """
         call = grant.call
         tries = retrying.Tries(
-            sent=len(self.tried_by_call.get(call.id, ())),
+            sent=len(self.attempted_by_call.get(call.id, ())),
             unreached=self._unreached_by_call[call.id],
         )
         allowed = retrying.is_allowed(
@@ -231,7 +231,7 @@
         """Place a second copy of a call whose answer is overdue, if allowed."""
         self._eject_if_frozen(grant, now)
         call = grant.call
-        tries = len(self.tried_by_call.get(call.id, ()))
+        tries = len(self.attempted_by_call.get(call.id, ()))
         if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
             return None
         overdue = hedging.is_overdue(
@@ -345,14 +345,14 @@
     def _grant(
         self, call: wait_queue.Call, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
-        tried = self.tried_by_call.get(call.id, set())
+        tried = self.attempted_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
         choice = self._choose(call, kind, now, tried)
         if choice is None:
             return None
         upstream = choice.upstream
         load = self.pool.estimated_load(upstream, now) + 1
-        self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
+        self.attempted_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
         slowdown = upstream.slowdown(now)
         self.pool.in_flight += 1
