--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -201,7 +201,7 @@
         will, or no connection to it was made.
         """
         call = grant.call
-        tries = retrying.Tries(
+        tries = retrying.Attempts(
             sent=len(self.attempted_by_call.get(call.id, ())),
             unreached=self._unreached_by_call[call.id],
         )
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -18,7 +18,7 @@
 MAX_UNREACHED = 3
 
 
-class Tries(msgspec.Struct, frozen=True):
+class Attempts(msgspec.Struct, frozen=True):
     """The tries of a call: ``unreached`` of those ``sent`` got no connection."""
 
     sent: int
@@ -33,7 +33,7 @@
 def is_allowed(
     pool: upstream_pool.Pool,
     call: wait_queue.Call,
-    tries: Tries,
+    tries: Attempts,
     now: ids.Instant,
     *,
     known_not_run: bool,
