--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -201,12 +201,12 @@
         will, or no connection to it was made.
         """
         call = grant.call
-        tries = retrying.Attempts(
+        attempts = retrying.Attempts(
             sent=len(self.attempted_by_call.get(call.id, ())),
             unreached=self._unreached_by_call[call.id],
         )
         allowed = retrying.is_allowed(
-            self.pool, call, tries, now, known_not_run=known_not_run
+            self.pool, call, attempts, now, known_not_run=known_not_run
         )
         if not allowed:
             return None
@@ -231,8 +231,8 @@
         """Place a second copy of a call whose answer is overdue, if allowed."""
         self._eject_if_frozen(grant, now)
         call = grant.call
-        tries = len(self.attempted_by_call.get(call.id, ()))
-        if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
+        attempts = len(self.attempted_by_call.get(call.id, ()))
+        if not hedging.is_allowed(self.pool, call, attempts, len(self.queue)):
             return None
         overdue = hedging.is_overdue(
             self.pool, grant.upstream, call.latency_key, grant.sent_at, now
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -62,14 +62,14 @@
 
 
 def is_allowed(
-    pool: upstream_pool.Pool, call: wait_queue.Call, tries: int, queued: int
+    pool: upstream_pool.Pool, call: wait_queue.Call, attempts: int, queued: int
 ) -> bool:
     """
-    Return whether a call that was sent to ``tries`` upstreams may be hedged.
+    Return whether a call that was sent to ``attempts`` upstreams may be hedged.
 
     A call has one hedge at most. While calls are ``queued`` or many fail, a hedge
     would only take the slot of a call that has not been sent at all.
     """
-    if not call.repeatable or tries != 1 or tries >= call.most_tries:
+    if not call.repeatable or attempts != 1 or attempts >= call.most_tries:
         return False
     return not queued and not overload.is_failing(pool)
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -33,7 +33,7 @@
 def is_allowed(
     pool: upstream_pool.Pool,
     call: wait_queue.Call,
-    tries: Attempts,
+    attempts: Attempts,
     now: ids.Instant,
     *,
     known_not_run: bool,
@@ -48,7 +48,7 @@
     requests were lost on real gateways, 22 of them because their retry went to an
     upstream that had just gone.
     """
-    if call.deadline <= now or tries.counted >= call.most_tries:
+    if call.deadline <= now or attempts.counted >= call.most_tries:
         return False
     if known_not_run:
         return True
