--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -17,7 +17,7 @@
 #: priority, so that the lowest class never starves.
 OLDEST_FIRST_EVERY = 20
 #: Default bound on the upstreams a call may be sent to: more than there are.
-MAX_TRIES = 1_000
+MAX_ATTEMPTS = 1_000
 #: Default cost in seconds of sending a call to an upstream in another zone, for the
 #: round trip.
 CROSS_ZONE_S = 0.002
@@ -44,7 +44,7 @@
     deadline: ids.Instant
     latency_key: str
     arrived_at: ids.Instant
-    most_tries: int = MAX_TRIES
+    most_tries: int = MAX_ATTEMPTS
     wait_until: ids.Instant = ids.NEVER
     late: bool = False
     cross_zone_s: float = CROSS_ZONE_S
