--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -124,14 +124,14 @@
         self._answered_by_route: dict[str, int] = {}
         self._pool_revision = -1
         self._barred_access = self.access
-        self._barred: frozenset[ids.UpstreamId] = frozenset()
+        self._excluded: frozenset[ids.UpstreamId] = frozenset()
         self._target_order: list[upstreams.Upstream] = []
         self._others = 0
 
     def barred(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
         """Return the upstreams on which the selection policy must not place calls."""
         self._refresh(pool)
-        return self._barred
+        return self._excluded
 
     def excluding(
         self, pool: upstream_pool.Pool, tried: abc.Container[ids.UpstreamId]
@@ -209,9 +209,9 @@
         self._pool_revision = pool.revision
         self._barred_access = self.access
         versions = {u.spec.id: u.spec.version for u in pool.upstream_by_id.values()}
-        self._barred = frozenset(i for i, v in versions.items() if self._is_barred(v))
+        self._excluded = frozenset(i for i, v in versions.items() if self._is_barred(v))
         targets = [u for u in pool.usable_order if u.spec.version == self.target]
-        self._others = sum(u.spec.id not in self._barred for u in pool.usable_order)
+        self._others = sum(u.spec.id not in self._excluded for u in pool.usable_order)
         self._target_order = sorted(targets, key=self._canary_rank, reverse=True)
 
     def _is_barred(self, version: ids.SoftwareVersion) -> bool:
