--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -209,12 +209,14 @@
         self._pool_revision = pool.revision
         self._barred_access = self.access
         versions = {u.spec.id: u.spec.version for u in pool.upstream_by_id.values()}
-        self._excluded = frozenset(i for i, v in versions.items() if self._is_barred(v))
+        self._excluded = frozenset(
+            i for i, v in versions.items() if self._is_excluded(v)
+        )
         targets = [u for u in pool.usable_order if u.spec.version == self.target]
         self._others = sum(u.spec.id not in self._excluded for u in pool.usable_order)
         self._target_order = sorted(targets, key=self._canary_rank, reverse=True)
 
-    def _is_barred(self, version: ids.SoftwareVersion) -> bool:
+    def _is_excluded(self, version: ids.SoftwareVersion) -> bool:
         is_target = version == self.target
         if self.access is Access.TARGET_ONLY:
             return not is_target
