--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -123,7 +123,7 @@
         self._sent_by_route: dict[str, int] = {}
         self._answered_by_route: dict[str, int] = {}
         self._pool_revision = -1
-        self._barred_access = self.access
+        self._excluded_for = self.access
         self._excluded: frozenset[ids.UpstreamId] = frozenset()
         self._target_order: list[upstreams.Upstream] = []
         self._others = 0
@@ -204,10 +204,10 @@
 
     def _refresh(self, pool: upstream_pool.Pool) -> None:
         """Recompute the barred upstreams and canaries if the pool or access changed."""
-        if pool.revision == self._pool_revision and self.access is self._barred_access:
+        if pool.revision == self._pool_revision and self.access is self._excluded_for:
             return
         self._pool_revision = pool.revision
-        self._barred_access = self.access
+        self._excluded_for = self.access
         versions = {u.spec.id: u.spec.version for u in pool.upstream_by_id.values()}
         self._excluded = frozenset(
             i for i, v in versions.items() if self._is_excluded(v)
