--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -86,7 +86,7 @@
     """Classify an attempt by its answer head, as if the body were complete."""
     if answer.not_run:
         return SHED
-    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+    if answer.status >= outcomes.MIN_FAILED_STATUS:
         return FAILED_ANSWER
     return GOOD_ANSWER
 
@@ -101,7 +101,7 @@
     """
     if isinstance(last_chunk, ports.UpstreamFault):
         return upstreams.Result.FAILED
-    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+    if answer.status >= outcomes.MIN_FAILED_STATUS:
         return upstreams.Result.FAILED
     return upstreams.Result.ANSWERED
 
--- a/spindlenotch/gateway/serving/answering.py
+++ b/spindlenotch/gateway/serving/answering.py
@@ -144,7 +144,7 @@
         job = exchange.job
         self._traffic.passed_on(exchange, len(answer.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if answer.status >= outcomes.FIRST_FAILED_STATUS:
+        if answer.status >= outcomes.MIN_FAILED_STATUS:
             self.log.failed_upstream(self._id(request), job, exchange)
         self.log.served(self._id(request), job, exchange)
         return web_response.Response(
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -14,7 +14,7 @@
 
 #: Lowest HTTP status that counts as a failure of the upstream: RFC 9110, section 15.6,
 #: reserves 5xx for servers that failed to fulfil a valid request.
-FIRST_FAILED_STATUS = 500
+MIN_FAILED_STATUS = 500
 
 
 class Outcome(enum.Enum):
