--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -228,7 +228,7 @@
         self,
         number: int,
         known: quarantine.Quarantine,
-        mark: quarantine.Mark,
+        mark: quarantine.CrashSnapshot,
         may_retry: bool,
     ) -> None:
         self.ended_at.append(self.now)
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -63,7 +63,7 @@
     QUARANTINED = 2
 
 
-class Mark(msgspec.Struct, frozen=True):
+class CrashSnapshot(msgspec.Struct, frozen=True):
     """
     What was known of a request when a try of it was sent.
 
@@ -74,7 +74,7 @@
     depth: int = 0
 
 
-UNMARKED = Mark()
+UNMARKED = CrashSnapshot()
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -136,10 +136,12 @@
             if one is not None and one.status is CrashStatus.QUARANTINED
         )
 
-    def mark(self, fingerprint: ids.Fingerprint) -> Mark:
+    def mark(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
         """Return what is known of a request, to be kept with a try that is sent now."""
         note = self.note(fingerprint)
-        return Mark(note.round, note.depth + (fingerprint in self._checks_pending))
+        return CrashSnapshot(
+            note.round, note.depth + (fingerprint in self._checks_pending)
+        )
 
     def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
         """Return what is known of a request, in the form in which peers get it."""
@@ -161,7 +163,7 @@
     def record_crash(
         self,
         fingerprint: ids.Fingerprint,
-        mark: Mark,
+        mark: CrashSnapshot,
         upstream: ids.UpstreamId,
         now: ids.Instant,
     ) -> bool:
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -10,7 +10,7 @@
 from spindlenotch.forwarding import jobs
 
 #: Marks of an attempt, in the order of ``Fingerprints.as_tuple``.
-Marks = tuple[quarantine.Mark, quarantine.Mark]
+Marks = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
 AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
 NO_MARKS: Marks = (quarantine.UNMARKED, quarantine.UNMARKED)
