--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -125,7 +125,7 @@
     struck_in_turn(known, 3)
     for number in range(3 * quarantine.MAX_NOTES):
         one = ids.Fingerprint(f"{number:08x}bb")
-        known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
+        known.record_crash(one, quarantine.EMPTY_SNAPSHOT, upstream(number), NOW)
     assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
     assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.KEEP_SUSPECT_S))
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -74,7 +74,7 @@
     depth: int = 0
 
 
-UNMARKED = CrashSnapshot()
+EMPTY_SNAPSHOT = CrashSnapshot()
 
 
 class Change(msgspec.Struct, frozen=True):
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -13,7 +13,7 @@
 Marks = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
 AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
-NO_MARKS: Marks = (quarantine.UNMARKED, quarantine.UNMARKED)
+NO_MARKS: Marks = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
 
 
 class AttemptMarks:
