--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -50,7 +50,7 @@
 def struck_in_turn(known: quarantine.Quarantine, times: int) -> None:
     """Let upstreams end under a request one after the other."""
     for number in range(times):
-        known.record_crash(PRINT, known.mark(PRINT), upstream(number), NOW)
+        known.record_crash(PRINT, known.snapshot(PRINT), upstream(number), NOW)
 
 
 def status(known: quarantine.Quarantine) -> CrashStatus:
@@ -71,9 +71,9 @@
 @kernel.PROPERTIES.register("upstreams that end together quarantine no request")
 def together() -> None:
     known = quarantine.Quarantine()
-    mark = known.mark(PRINT)
+    snapshot = known.snapshot(PRINT)
     for number in range(20):
-        known.record_crash(PRINT, mark, upstream(number), NOW)
+        known.record_crash(PRINT, snapshot, upstream(number), NOW)
     assert status(known) is CrashStatus.SUSPECT
 
 
@@ -81,11 +81,11 @@
 def answer_clears() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    before, mark = known.note(PRINT), known.mark(PRINT)
+    before, snapshot = known.note(PRINT), known.snapshot(PRINT)
     assert known.clear(PRINT, NOW)
     assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
-    assert not known.record_crash(PRINT, mark, upstream(9), NOW)
+    assert not known.record_crash(PRINT, snapshot, upstream(9), NOW)
     assert status(known) is CrashStatus.CLEAR
 
 
@@ -95,7 +95,7 @@
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
         for one in request.as_tuple():
-            known.record_crash(one, known.mark(one), upstream(number), NOW)
+            known.record_crash(one, known.snapshot(one), upstream(number), NOW)
     for one in request.as_tuple():
         peer.merge(known.note(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
@@ -217,25 +217,25 @@
             self._after(CHECK_S, lambda: self._arrive(number, wait_until))
 
     def _send(self, number: int, *, may_retry: bool) -> None:
-        known, mark = self.known[number], self.known[number].mark(PRINT)
-        if mark.depth:
+        known, snapshot = self.known[number], self.known[number].snapshot(PRINT)
+        if snapshot.depth:
             self.trying_until[number] = self.now + RUN_S
         if self.now - self.started_at[number] >= TOUCH_S:
             self.sent_at.append(self.now)
-        self._after(RUN_S, lambda: self._end(number, known, mark, may_retry))
+        self._after(RUN_S, lambda: self._end(number, known, snapshot, may_retry))
 
     def _end(
         self,
         number: int,
         known: quarantine.Quarantine,
-        mark: quarantine.CrashSnapshot,
+        snapshot: quarantine.CrashSnapshot,
         may_retry: bool,
     ) -> None:
         self.ended_at.append(self.now)
         if known is not self.known[number]:
             return
         known.record_crash(
-            PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now)
+            PRINT, snapshot, upstream(len(self.ended_at)), ids.Instant(self.now)
         )
         for peer in range(len(self.known)):
             self._tell(number, peer)
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -136,7 +136,7 @@
             if one is not None and one.status is CrashStatus.QUARANTINED
         )
 
-    def mark(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
+    def snapshot(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
         """Return what is known of a request, to be kept with a try that is sent now."""
         note = self.note(fingerprint)
         return CrashSnapshot(
@@ -163,7 +163,7 @@
     def record_crash(
         self,
         fingerprint: ids.Fingerprint,
-        mark: CrashSnapshot,
+        snapshot: CrashSnapshot,
         upstream: ids.UpstreamId,
         now: ids.Instant,
     ) -> bool:
@@ -174,7 +174,7 @@
         """
         before = status_of(self.note(fingerprint))
         crash = crash_records.CrashRecord(
-            fingerprint, mark.round, mark.depth + 1, (upstream,)
+            fingerprint, snapshot.round, snapshot.depth + 1, (upstream,)
         )
         is_news = self.merge(crash, now)
         after = status_of(self.note(fingerprint))
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -202,11 +202,11 @@
 
     def _record_crash(self, lost_request: LostRequest) -> None:
         now = self.state.clock.now()
-        for fingerprint, mark in zip(
+        for fingerprint, snapshot in zip(
             lost_request.suspect_fingerprints(), lost_request.marks, strict=False
         ):
             upstream_id = lost_request.upstream.spec.id
-            if self.quarantine.record_crash(fingerprint, mark, upstream_id, now):
+            if self.quarantine.record_crash(fingerprint, snapshot, upstream_id, now):
                 self._publish_note(fingerprint)
 
     def _clear(self, request_fingerprints: fingerprints.Fingerprints) -> None:
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -29,13 +29,16 @@
         """Record the marks of a request when an attempt of it is sent."""
         if self.quarantine.knows_target(job.target):
             content, from_caller = job.fingerprints().as_tuple()
-            marks = (self.quarantine.mark(content), self.quarantine.mark(from_caller))
+            marks = (
+                self.quarantine.snapshot(content),
+                self.quarantine.snapshot(from_caller),
+            )
             self._marks_by_attempt[_key(grant)] = marks
 
     def record_lost(self, grant: verdicts.Grant) -> Marks:
         """Record that an attempt lost its connection; return its marks."""
         marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
-        if any(mark.depth for mark in marks):
+        if any(snapshot.depth for snapshot in marks):
             self._calls_without_retry.add(grant.call.id)
         return marks
 
