--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -51,7 +51,7 @@
     """
 
     request_fingerprints: fingerprints.Fingerprints
-    marks: try_marks.Marks
+    marks: try_marks.Snapshots
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
     kind: verdicts.Kind
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -10,10 +10,10 @@
 from spindlenotch.forwarding import jobs
 
 #: Marks of an attempt, in the order of ``Fingerprints.as_tuple``.
-Marks = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
+Snapshots = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
 AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
-NO_MARKS: Marks = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
+NO_MARKS: Snapshots = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
 
 
 class AttemptMarks:
@@ -21,7 +21,7 @@
 
     def __init__(self, known: quarantine.Quarantine) -> None:
         self.quarantine = known
-        self._marks_by_attempt: dict[AttemptKey, Marks] = {}
+        self._marks_by_attempt: dict[AttemptKey, Snapshots] = {}
         #: Calls that lost their upstream when they were suspect already.
         self._calls_without_retry: set[ids.CallId] = set()
 
@@ -35,7 +35,7 @@
             )
             self._marks_by_attempt[_key(grant)] = marks
 
-    def record_lost(self, grant: verdicts.Grant) -> Marks:
+    def record_lost(self, grant: verdicts.Grant) -> Snapshots:
         """Record that an attempt lost its connection; return its marks."""
         marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
         if any(snapshot.depth for snapshot in marks):
