--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -13,7 +13,7 @@
 Snapshots = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
 AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
-NO_MARKS: Snapshots = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
+EMPTY_SNAPSHOTS: Snapshots = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
 
 
 class AttemptMarks:
@@ -37,7 +37,7 @@
 
     def record_lost(self, grant: verdicts.Grant) -> Snapshots:
         """Record that an attempt lost its connection; return its marks."""
-        marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
+        marks = self._marks_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
         if any(snapshot.depth for snapshot in marks):
             self._calls_without_retry.add(grant.call.id)
         return marks
