--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -85,7 +85,7 @@
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = try_marks.AttemptMarks(known)
+        self.marks = try_marks.AttemptSnapshots(known)
         self._lost_requests_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Lost requests whose upstream appears to have crashed, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -16,7 +16,7 @@
 EMPTY_SNAPSHOTS: Snapshots = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
 
 
-class AttemptMarks:
+class AttemptSnapshots:
     """The marks of the attempts in flight, and the calls that may not be retried."""
 
     def __init__(self, known: quarantine.Quarantine) -> None:
