--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -102,7 +102,7 @@
             self._cancel_remaining()
 
     def _start(self, grant: verdicts.Grant) -> None:
-        self.crash_detector.marks.record_sent(self.job, grant)
+        self.crash_detector.snapshots.record_sent(self.job, grant)
         task = self.sender.start(self.job, grant, self._reason)
         self._grant_by_task[task] = grant
 
@@ -226,7 +226,7 @@
         """Tell whether a retry is allowed if the request may crash its upstream."""
         if self.trials.status(self.job) is quarantine.CrashStatus.CLEAR:
             return True
-        if self._grant_by_task or not self.crash_detector.marks.may_retry(
+        if self._grant_by_task or not self.crash_detector.snapshots.may_retry(
             self.job.call.id
         ):
             return False
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -51,7 +51,7 @@
     """
 
     request_fingerprints: fingerprints.Fingerprints
-    marks: try_marks.Snapshots
+    snapshots: try_marks.Snapshots
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
     kind: verdicts.Kind
@@ -85,7 +85,7 @@
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = try_marks.AttemptSnapshots(known)
+        self.snapshots = try_marks.AttemptSnapshots(known)
         self._lost_requests_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Lost requests whose upstream appears to have crashed, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
@@ -108,7 +108,7 @@
         """Record that an attempt lost its connection after it was sent."""
         lost_request = LostRequest(
             job.fingerprints(),
-            self.marks.record_lost(grant),
+            self.snapshots.record_lost(grant),
             job.balancer,
             grant.upstream,
             grant.kind,
@@ -203,7 +203,7 @@
     def _record_crash(self, lost_request: LostRequest) -> None:
         now = self.state.clock.now()
         for fingerprint, snapshot in zip(
-            lost_request.suspect_fingerprints(), lost_request.marks, strict=False
+            lost_request.suspect_fingerprints(), lost_request.snapshots, strict=False
         ):
             upstream_id = lost_request.upstream.spec.id
             if self.quarantine.record_crash(fingerprint, snapshot, upstream_id, now):
--- a/spindlenotch/forwarding/data_path.py
+++ b/spindlenotch/forwarding/data_path.py
@@ -74,7 +74,7 @@
     def forget(self, job: jobs.Job) -> None:
         """Drop the state that is kept for further attempts of a request."""
         job.balancer.forget(job.call.id)
-        self.crash_detector.marks.forget(job.call.id)
+        self.crash_detector.snapshots.forget(job.call.id)
 
     async def begin(self, job: jobs.Job) -> exchanges.Exchange | outcomes.Refusal:
         """
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -75,7 +75,7 @@
     ) -> None:
         """Return a grant with its result; the slot may go to a waiting call."""
         now = self.state.clock.now()
-        self.crash_detector.marks.drop(grant)
+        self.crash_detector.snapshots.drop(grant)
         self._settle(job.balancer.finish(grant, result, report, now))
 
     def _settle(self, settlements: list[verdicts.Settlement]) -> None:
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -29,18 +29,18 @@
         """Record the marks of a request when an attempt of it is sent."""
         if self.quarantine.knows_target(job.target):
             content, from_caller = job.fingerprints().as_tuple()
-            marks = (
+            snapshots = (
                 self.quarantine.snapshot(content),
                 self.quarantine.snapshot(from_caller),
             )
-            self._marks_by_attempt[_key(grant)] = marks
+            self._marks_by_attempt[_key(grant)] = snapshots
 
     def record_lost(self, grant: verdicts.Grant) -> Snapshots:
         """Record that an attempt lost its connection; return its marks."""
-        marks = self._marks_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
-        if any(snapshot.depth for snapshot in marks):
+        snapshots = self._marks_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
+        if any(snapshot.depth for snapshot in snapshots):
             self._calls_without_retry.add(grant.call.id)
-        return marks
+        return snapshots
 
     def may_retry(self, call_id: ids.CallId) -> bool:
         """
