--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -21,7 +21,7 @@
 
     def __init__(self, known: quarantine.Quarantine) -> None:
         self.quarantine = known
-        self._marks_by_attempt: dict[AttemptKey, Snapshots] = {}
+        self._snapshots_by_attempt: dict[AttemptKey, Snapshots] = {}
         #: Calls that lost their upstream when they were suspect already.
         self._calls_without_retry: set[ids.CallId] = set()
 
@@ -33,11 +33,11 @@
                 self.quarantine.snapshot(content),
                 self.quarantine.snapshot(from_caller),
             )
-            self._marks_by_attempt[_key(grant)] = snapshots
+            self._snapshots_by_attempt[_key(grant)] = snapshots
 
     def record_lost(self, grant: verdicts.Grant) -> Snapshots:
         """Record that an attempt lost its connection; return its marks."""
-        snapshots = self._marks_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
+        snapshots = self._snapshots_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
         if any(snapshot.depth for snapshot in snapshots):
             self._calls_without_retry.add(grant.call.id)
         return snapshots
@@ -53,7 +53,7 @@
 
     def drop(self, grant: verdicts.Grant) -> None:
         """Drop the marks of an attempt."""
-        self._marks_by_attempt.pop(_key(grant), None)
+        self._snapshots_by_attempt.pop(_key(grant), None)
 
     def forget(self, call_id: ids.CallId) -> None:
         """Drop what was recorded of a call."""
