--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -84,7 +84,7 @@
     status: CrashStatus
 
 
-class KeptNote(msgspec.Struct):
+class KeptRecord(msgspec.Struct):
     """A crash note and when it expires."""
 
     note: crash_records.CrashRecord
@@ -109,7 +109,7 @@
 
     def __init__(self, salt: str = "") -> None:
         self.salt = salt
-        self.kept_by_fingerprint: dict[ids.Fingerprint, KeptNote] = {}
+        self.kept_by_fingerprint: dict[ids.Fingerprint, KeptRecord] = {}
         self.changes: list[Change] = []
         self._recheck_at: dict[ids.Fingerprint, ids.Instant] = {}
         self._checks_pending: collections.Counter[ids.Fingerprint] = (
@@ -267,7 +267,7 @@
             self._recheck_at.pop(note.fingerprint, None)
         # Removed first, so that the dict is ordered by the last change.
         self._forget(note.fingerprint)
-        self.kept_by_fingerprint[note.fingerprint] = KeptNote(note, until)
+        self.kept_by_fingerprint[note.fingerprint] = KeptRecord(note, until)
         self._count_target(note.fingerprint, 1)
         if len(self.kept_by_fingerprint) > MAX_NOTES:
             self._forget(self._eviction_candidate())
