--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -33,7 +33,7 @@
 EJECTION_REASON = "gone"
 
 #: Called with each crash note that must be sent to peers.
-NoteListener = abc.Callable[[crash_records.CrashRecord], None]
+CrashRecordListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
 class DetectorState(typing.Protocol):
@@ -91,9 +91,9 @@
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
         self._liveness_checks: set[asyncio.Task[None]] = set()
-        self._listeners: list[NoteListener] = []
+        self._listeners: list[CrashRecordListener] = []
 
-    def add_listener(self, listener: NoteListener) -> None:
+    def add_listener(self, listener: CrashRecordListener) -> None:
         """Call ``listener`` with each note that this process changes."""
         self._listeners.append(listener)
 
