--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -97,7 +97,7 @@
         """Call ``listener`` with each note that this process changes."""
         self._listeners.append(listener)
 
-    def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
+    def publish_records(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         """Pass the crash notes of a request to the listeners."""
         for fingerprint in request_fingerprints.as_tuple():
             self._publish_note(fingerprint)
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -101,7 +101,7 @@
     ) -> outcomes.Refusal | None:
         request_fingerprints = job.fingerprints()
         if self.quarantine.take_recheck(request_fingerprints, now):
-            self.crash_detector.publish_notes(request_fingerprints)
+            self.crash_detector.publish_records(request_fingerprints)
             self._start_trial(job, now, is_recheck=True)
         return self.refusal(job)
 
