--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -100,7 +100,7 @@
     def publish_records(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         """Pass the crash notes of a request to the listeners."""
         for fingerprint in request_fingerprints.as_tuple():
-            self._publish_note(fingerprint)
+            self._publish_record(fingerprint)
 
     # Results of attempts
 
@@ -207,15 +207,15 @@
         ):
             upstream_id = lost_request.upstream.spec.id
             if self.quarantine.record_crash(fingerprint, snapshot, upstream_id, now):
-                self._publish_note(fingerprint)
+                self._publish_record(fingerprint)
 
     def _clear(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
         for fingerprint in request_fingerprints.as_tuple():
             if self.quarantine.clear(fingerprint, now):
-                self._publish_note(fingerprint)
+                self._publish_record(fingerprint)
 
-    def _publish_note(self, fingerprint: ids.Fingerprint) -> None:
+    def _publish_record(self, fingerprint: ids.Fingerprint) -> None:
         note = self.quarantine.note(fingerprint)
         for listener in self._listeners:
             listener(note)
