--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -41,7 +41,7 @@
         self.fleet = gateway_fleet
         self.link = link
         self.crash_detector = crash_detector
-        self._unsent_notes: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
+        self._unsent_records: dict[ids.Fingerprint, crash_records.CrashRecord] = {}
         self._recent_until: dict[ids.Fingerprint, ids.Instant] = {}
         self._sender_by_fingerprint: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
@@ -115,15 +115,15 @@
 
     def _add_note(self, note: crash_records.CrashRecord) -> None:
         """Queue a note of this gateway, to be sent with those of the same moment."""
-        if not self._unsent_notes:
+        if not self._unsent_records:
             asyncio.get_running_loop().call_soon(self._send_unsent_notes)
-        self._unsent_notes[note.fingerprint] = note
+        self._unsent_records[note.fingerprint] = note
         until = ids.later(self.state.clock.now(), RECENT_S)
         self._recent_until[note.fingerprint] = until
 
     def _send_unsent_notes(self) -> None:
-        notes = tuple(self._unsent_notes.values())
-        self._unsent_notes.clear()
+        notes = tuple(self._unsent_records.values())
+        self._unsent_records.clear()
         self._send(notes, self._active_addresses())
 
     def _notes_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
