--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -46,7 +46,7 @@
         self._sender_by_fingerprint: dict[ids.Fingerprint, ids.HostId] = {}
         self._announce_rounds = 0
         self._next_index = 0
-        crash_detector.add_listener(self._add_note)
+        crash_detector.add_listener(self._add_record)
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -113,7 +113,7 @@
 
     # Sending
 
-    def _add_note(self, note: crash_records.CrashRecord) -> None:
+    def _add_record(self, note: crash_records.CrashRecord) -> None:
         """Queue a note of this gateway, to be sent with those of the same moment."""
         if not self._unsent_records:
             asyncio.get_running_loop().call_soon(self._send_unsent_notes)
