--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -116,12 +116,12 @@
     def _add_record(self, note: crash_records.CrashRecord) -> None:
         """Queue a note of this gateway, to be sent with those of the same moment."""
         if not self._unsent_records:
-            asyncio.get_running_loop().call_soon(self._send_unsent_notes)
+            asyncio.get_running_loop().call_soon(self._send_unsent_records)
         self._unsent_records[note.fingerprint] = note
         until = ids.later(self.state.clock.now(), RECENT_S)
         self._recent_until[note.fingerprint] = until
 
-    def _send_unsent_notes(self) -> None:
+    def _send_unsent_records(self) -> None:
         notes = tuple(self._unsent_records.values())
         self._unsent_records.clear()
         self._send(notes, self._active_addresses())
