--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -69,7 +69,7 @@
             outdated for outdated, at in self._recent_until.items() if at <= now
         ]:
             del self._recent_until[fingerprint]
-        self.state.gossip.crashes = self._notes_to_gossip()
+        self.state.gossip.crashes = self._records_to_gossip()
         if self._announce_rounds:
             self._announce_rounds -= 1
             self._send(self.state.gossip.crashes, list(self._all_addresses()))
@@ -126,7 +126,7 @@
         self._unsent_records.clear()
         self._send(notes, self._active_addresses())
 
-    def _notes_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
+    def _records_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
         """Return recently changed notes and one quarantined request in rotation."""
         max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_notes:]
