--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -128,8 +128,8 @@
 
     def _records_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
         """Return recently changed notes and one quarantined request in rotation."""
-        max_notes = messages.CRASH_NOTES_PER_MESSAGE - 1
-        newest = list(self._recent_until)[-max_notes:]
+        max_records = messages.CRASH_NOTES_PER_MESSAGE - 1
+        newest = list(self._recent_until)[-max_records:]
         notes = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
         quarantined = list(self.known.quarantined())
         if quarantined:
@@ -171,12 +171,12 @@
     ) -> None:
         if not targets:
             return
-        max_notes = messages.CRASH_NOTES_PER_MESSAGE
-        for start in range(0, len(notes), max_notes):
+        max_records = messages.CRASH_NOTES_PER_MESSAGE
+        for start in range(0, len(notes), max_records):
             message = messages.Message(
                 self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
-                crashes=notes[start : start + max_notes],
+                crashes=notes[start : start + max_records],
             )
             self.link.send(message, targets)
