--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -122,22 +122,22 @@
         self._recent_until[note.fingerprint] = until
 
     def _send_unsent_records(self) -> None:
-        notes = tuple(self._unsent_records.values())
+        records = tuple(self._unsent_records.values())
         self._unsent_records.clear()
-        self._send(notes, self._active_addresses())
+        self._send(records, self._active_addresses())
 
     def _records_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
         """Return recently changed notes and one quarantined request in rotation."""
         max_records = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_records:]
-        notes = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
+        records = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
         quarantined = list(self.known.quarantined())
         if quarantined:
             self._next_index = (self._next_index + 1) % len(quarantined)
-            notes[quarantined[self._next_index].fingerprint] = quarantined[
+            records[quarantined[self._next_index].fingerprint] = quarantined[
                 self._next_index
             ]
-        return tuple(notes.values())
+        return tuple(records.values())
 
     def _active_addresses(self) -> list[ids.Address]:
         """Return the addresses of the active gateways, as far as they are known."""
@@ -167,16 +167,16 @@
         ]
 
     def _send(
-        self, notes: tuple[crash_records.CrashRecord, ...], targets: list[ids.Address]
+        self, records: tuple[crash_records.CrashRecord, ...], targets: list[ids.Address]
     ) -> None:
         if not targets:
             return
         max_records = messages.CRASH_NOTES_PER_MESSAGE
-        for start in range(0, len(notes), max_records):
+        for start in range(0, len(records), max_records):
             message = messages.Message(
                 self.state.gossip.local,
                 0,
                 reads_source=self.state.reads_source,
-                crashes=notes[start : start + max_records],
+                crashes=records[start : start + max_records],
             )
             self.link.send(message, targets)
