--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -123,10 +123,10 @@
 def bounded() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    for number in range(3 * quarantine.MAX_NOTES):
+    for number in range(3 * quarantine.MAX_RECORDS):
         one = ids.Fingerprint(f"{number:08x}bb")
         known.record_crash(one, quarantine.EMPTY_SNAPSHOT, upstream(number), NOW)
-    assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
+    assert len(known.kept_by_fingerprint) == quarantine.MAX_RECORDS
     assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.KEEP_SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -50,7 +50,7 @@
 #: Most requests that are remembered: each crash adds as many as the upstream was
 #: running, so this has room for some hundred upstreams with six slots. The least
 #: recently changed are evicted first.
-MAX_NOTES = 1_024
+MAX_RECORDS = 1_024
 
 
 class CrashStatus(enum.IntEnum):
@@ -269,7 +269,7 @@
         self._forget(note.fingerprint)
         self.kept_by_fingerprint[note.fingerprint] = KeptRecord(note, until)
         self._count_target(note.fingerprint, 1)
-        if len(self.kept_by_fingerprint) > MAX_NOTES:
+        if len(self.kept_by_fingerprint) > MAX_RECORDS:
             self._forget(self._eviction_candidate())
 
     def _eviction_candidate(self) -> ids.Fingerprint:
--- a/tools/fleet_decision_table.py
+++ b/tools/fleet_decision_table.py
@@ -38,7 +38,7 @@
             "decisions/quarantine.RECHECK_AFTER_S",
             "decisions/quarantine.KEEP_SUSPECT_S",
             "decisions/quarantine.KEEP_ANSWERED_S",
-            "decisions/quarantine.MAX_NOTES",
+            "decisions/quarantine.MAX_RECORDS",
             "forwarding/recent_answers.GENERATION_S",
             "forwarding/crash_watch.LIVENESS_TIMEOUT_S",
             "forwarding/attempts.LIVENESS_RECHECK_S",
