--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -73,7 +73,7 @@
         while (status := self.status(job)) is not quarantine.CrashStatus.CLEAR:
             now = self.state.clock.now()
             if status is quarantine.CrashStatus.QUARANTINED:
-                return self._retry_or_refuse(job, now)
+                return self._recheck_or_refuse(job, now)
             trial = self._trial_by_content.get(job.fingerprints().content)
             if trial is None or trial.until <= now or trial.call == job.call.id:
                 self._start_trial(job, now)
@@ -96,7 +96,7 @@
         until = min(latest, self.quarantine.until(request_fingerprints))
         return outcomes.not_run(outcomes.Reason.QUARANTINED, until)
 
-    def _retry_or_refuse(
+    def _recheck_or_refuse(
         self, job: jobs.Job, now: ids.Instant
     ) -> outcomes.Refusal | None:
         request_fingerprints = job.fingerprints()
