--- a/features/steps/gateway_rollout_orders.py
+++ b/features/steps/gateway_rollout_orders.py
@@ -384,7 +384,7 @@
         assert (split is not None) == has_split, state
         if state is State.ROLLED_BACK:
             assert split is not None
-            barred = split.barred(gateway.balancer.pool)
+            barred = split.excluded(gateway.balancer.pool)
             assert len(barred) == world.plan.news
 
 
--- a/spindlenotch/decisions/availability.py
+++ b/spindlenotch/decisions/availability.py
@@ -15,18 +15,18 @@
 
 def usable_at(
     pool: upstream_pool.Pool,
-    barred: abc.Container[ids.UpstreamId],
+    excluded: abc.Container[ids.UpstreamId],
     call: wait_queue.Call | None,
     now: ids.Instant,
 ) -> ids.Instant:
     """
     Return from when an upstream may take ``call``, or any call if it is None.
 
-    NEVER if none is known to become usable. ``barred`` upstreams are left out.
+    NEVER if none is known to become usable. ``excluded`` upstreams are left out.
     """
     found = ids.NEVER
     for upstream in pool.usable_order:
-        if upstream.spec.id in barred:
+        if upstream.spec.id in excluded:
             continue
         upstream.tick(now)
         if upstream.state is upstreams.State.EJECTED:
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -322,8 +322,8 @@
 
     def _usable_at(self, call: wait_queue.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take ``call``, or any call if None."""
-        barred = () if self.split is None else self.split.barred(self.pool)
-        return availability.usable_at(self.pool, barred, call, now)
+        excluded = () if self.split is None else self.split.excluded(self.pool)
+        return availability.usable_at(self.pool, excluded, call, now)
 
     def _choose(
         self,
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -73,18 +73,18 @@
 class Exclusion:
     """The upstreams that a call was sent to before, and those barred by the split."""
 
-    __slots__ = ("barred", "tried")
+    __slots__ = ("excluded", "tried")
 
     def __init__(
         self,
         tried: abc.Container[ids.UpstreamId],
-        barred: abc.Container[ids.UpstreamId],
+        excluded: abc.Container[ids.UpstreamId],
     ) -> None:
         self.tried = tried
-        self.barred = barred
+        self.excluded = excluded
 
     def __contains__(self, upstream_id: object) -> bool:
-        return upstream_id in self.tried or upstream_id in self.barred
+        return upstream_id in self.tried or upstream_id in self.excluded
 
     def __bool__(self) -> bool:
         """Return whether the call has been sent before."""
@@ -128,7 +128,7 @@
         self._target_order: list[upstreams.Upstream] = []
         self._others = 0
 
-    def barred(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
+    def excluded(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
         """Return the upstreams on which the selection policy must not place calls."""
         self._refresh(pool)
         return self._excluded
@@ -137,7 +137,7 @@
         self, pool: upstream_pool.Pool, tried: abc.Container[ids.UpstreamId]
     ) -> selection.Exclusion:
         """Return the upstreams excluded for a call that the selection policy places."""
-        return Exclusion(tried, self.barred(pool))
+        return Exclusion(tried, self.excluded(pool))
 
     def choose_target(
         self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
--- a/tools/rollout_decision_table.py
+++ b/tools/rollout_decision_table.py
@@ -14,7 +14,7 @@
         question="Which requests go to a version that is tried, and to which upstreams",
         functions=(
             "decisions/traffic_split.TrafficSplit.choose_target",
-            "decisions/traffic_split.TrafficSplit.barred",
+            "decisions/traffic_split.TrafficSplit.excluded",
             "gateway/rollout/registry.Registry.reconcile",
         ),
         inputs="requests of the service, and of each route, that this process saw"
