--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -330,24 +330,24 @@
         call: wait_queue.Call,
         kind: verdicts.Kind,
         now: ids.Instant,
-        tried: set[ids.UpstreamId],
+        attempted: set[ids.UpstreamId],
     ) -> selection.Choice | None:
         """Choose an upstream; a canary version gets first tries only."""
         if self.split is None:
-            return self.policy.choose(self.pool, call, now, tried)
+            return self.policy.choose(self.pool, call, now, attempted)
         if kind is verdicts.Kind.FIRST:
             choice = self.split.choose_target(self.pool, call, now)
             if choice is not None:
                 return choice
-        excluded = self.split.excluding(self.pool, tried)
+        excluded = self.split.excluding(self.pool, attempted)
         return self.policy.choose(self.pool, call, now, excluded)
 
     def _grant(
         self, call: wait_queue.Call, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
-        tried = self.attempted_by_call.get(call.id, set())
+        attempted = self.attempted_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
-        choice = self._choose(call, kind, now, tried)
+        choice = self._choose(call, kind, now, attempted)
         if choice is None:
             return None
         upstream = choice.upstream
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -73,22 +73,22 @@
 class Exclusion:
     """The upstreams that a call was sent to before, and those barred by the split."""
 
-    __slots__ = ("excluded", "tried")
+    __slots__ = ("attempted", "excluded")
 
     def __init__(
         self,
-        tried: abc.Container[ids.UpstreamId],
+        attempted: abc.Container[ids.UpstreamId],
         excluded: abc.Container[ids.UpstreamId],
     ) -> None:
-        self.tried = tried
+        self.attempted = attempted
         self.excluded = excluded
 
     def __contains__(self, upstream_id: object) -> bool:
-        return upstream_id in self.tried or upstream_id in self.excluded
+        return upstream_id in self.attempted or upstream_id in self.excluded
 
     def __bool__(self) -> bool:
         """Return whether the call has been sent before."""
-        return bool(self.tried)
+        return bool(self.attempted)
 
 
 class TrafficSplit:
@@ -134,10 +134,10 @@
         return self._excluded
 
     def excluding(
-        self, pool: upstream_pool.Pool, tried: abc.Container[ids.UpstreamId]
+        self, pool: upstream_pool.Pool, attempted: abc.Container[ids.UpstreamId]
     ) -> selection.Exclusion:
         """Return the upstreams excluded for a call that the selection policy places."""
-        return Exclusion(tried, self.excluded(pool))
+        return Exclusion(attempted, self.excluded(pool))
 
     def choose_target(
         self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
