--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -98,9 +98,9 @@
     Invariants: with ``SHARED``, the calls ``sent`` to the target are at most ``share``
     times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing is placed
     on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing is ever placed on
-    versions that are ``held``. ``deprioritized`` upstreams of the target are canaries
-    only if too few others are left. ``key`` seeds the choice of the canaries; it is the
-    same in all processes.
+    versions that are ``excluded_versions``. ``deprioritized`` upstreams of the target
+    are canaries only if too few others are left. ``key`` seeds the choice of the
+    canaries; it is the same in all processes.
     """
 
     def __init__(
@@ -109,13 +109,13 @@
         share: float,
         key: str,
         observer: Observer,
-        held: frozenset[ids.SoftwareVersion] = frozenset(),
+        excluded_versions: frozenset[ids.SoftwareVersion] = frozenset(),
     ) -> None:
         self.target = target
         self.share = share
         self.key = key
         self.observer = observer
-        self.held = held
+        self.excluded_versions = excluded_versions
         self.access = Access.SHARED
         self.deprioritized: set[ids.UpstreamId] = set()
         self.sent = 0
@@ -220,7 +220,7 @@
         is_target = version == self.target
         if self.access is Access.TARGET_ONLY:
             return not is_target
-        return is_target or version in self.held
+        return is_target or version in self.excluded_versions
 
     def _canary_rank(self, upstream: upstreams.Upstream) -> tuple[int, str]:
         """Return the sort key that decides which upstreams become canaries."""
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -112,8 +112,8 @@
     def _begin(
         self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> runs.Run:
-        held = self._excluded_versions(order, previous)
-        run = runs.Run(order, self.share, held, self.metrics)
+        excluded_versions = self._excluded_versions(order, previous)
+        run = runs.Run(order, self.share, excluded_versions, self.metrics)
         self.run_by_service[order.service] = run
         return run
 
@@ -121,16 +121,19 @@
         self, order: sources.RolloutOrder, previous: runs.Run | None
     ) -> frozenset[ids.SoftwareVersion]:
         """Return the versions of earlier orders that were not completed."""
-        held: set[ids.SoftwareVersion] = set()
+        excluded_versions: set[ids.SoftwareVersion] = set()
         if (
             previous is not None
             and previous.final is not sources.RolloutState.COMPLETED
         ):
-            held |= {previous.order.target, *previous.split.held}
+            excluded_versions |= {
+                previous.order.target,
+                *previous.split.excluded_versions,
+            }
         status = self.orders.status_by_service.get(order.service)
         if status is not None and _is_incomplete(status):
-            held.add(status.target)
-        return frozenset(held - {order.target})
+            excluded_versions.add(status.target)
+        return frozenset(excluded_versions - {order.target})
 
     def _report_begin(self, run: runs.Run) -> None:
         events.emit(
@@ -140,7 +143,7 @@
             by_s=run.order.by_s,
             revision=run.order.revision,
             share=run.split.share,
-            held=",".join(sorted(run.split.held)),
+            held=",".join(sorted(run.split.excluded_versions)),
         )
 
     def _retire_replaced(
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -41,7 +41,7 @@
         self,
         order: sources.RolloutOrder,
         share: float,
-        held: frozenset[ids.SoftwareVersion],
+        excluded_versions: frozenset[ids.SoftwareVersion],
         gateway_metrics: metrics.Metrics,
     ) -> None:
         self.order = order
@@ -54,7 +54,11 @@
         self.merged = evidence_merging.MergedEvidence()
         self.analysis = analysis.Analysis()
         self.split = traffic_split.TrafficSplit(
-            order.target, SHARE_MARGIN * share, f"{order.revision}", self, held
+            order.target,
+            SHARE_MARGIN * share,
+            f"{order.revision}",
+            self,
+            excluded_versions,
         )
         self._number = 0
         self._relative_slowdown = 1.0
@@ -89,7 +93,9 @@
     def is_other(self, upstream: upstreams.Upstream) -> bool:
         """Return whether an upstream may serve calls until the target takes over."""
         version = upstream.spec.version
-        return version != self.order.target and version not in self.split.held
+        return (
+            version != self.order.target and version not in self.split.excluded_versions
+        )
 
     def call_ended(
         self,
--- a/tools/mutant_table.py
+++ b/tools/mutant_table.py
@@ -374,8 +374,8 @@
     Mutant(
         "a version that is tried gets what it can take",
         "gateway/rollout/runs",
-        "order.target, SHARE_MARGIN * share,",
-        "order.target, 10.0 * share,",
+        "SHARE_MARGIN * share,",
+        "10.0 * share,",
         held_by="what all processes send to a version stays in its share",
     ),
     Mutant(
