--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -169,7 +169,7 @@
             deadline=ids.later(now, 4.0),
             latency_key="r",
             arrived_at=now,
-            most_tries=3,
+            max_attempts=3,
             wait_until=wait_until,
             cross_region_s=overflow.cross_region_cost_s(self.size),
             cross_region_from=overflow.leave_region_at(
--- a/features/steps/gateway_policy.py
+++ b/features/steps/gateway_policy.py
@@ -206,9 +206,9 @@
 
 
 @kernel.PROPERTIES.register("no call is sent to more upstreams than it may be")
-def most_tries() -> None:
+def max_attempts() -> None:
     made = paced([4, 4, 4])
-    call = msgspec.structs.replace(kernel.call(0), most_tries=2)
+    call = msgspec.structs.replace(kernel.call(0), max_attempts=2)
     grant = made.offer(call, NOW)
     assert isinstance(grant, verdicts.Grant)
     second = made.retry(grant, NOW, known_not_run=True)
--- a/features/steps/gateway_rollout.py
+++ b/features/steps/gateway_rollout.py
@@ -174,7 +174,7 @@
     gateway.run.split.answered = 100_000
     for number in range(3):
         call = msgspec.structs.replace(
-            kernel.call(number), deadline=ids.later(now, 60.0), most_tries=2
+            kernel.call(number), deadline=ids.later(now, 60.0), max_attempts=2
         )
         grant = gateway.balancer.offer(call, now)
         assert isinstance(grant, verdicts.Grant), grant
@@ -194,7 +194,7 @@
     failed = 0
     for number in range(40):
         call = msgspec.structs.replace(
-            kernel.call(number), deadline=ids.later(now, 60.0), most_tries=2
+            kernel.call(number), deadline=ids.later(now, 60.0), max_attempts=2
         )
         grant = gateway.balancer.offer(call, now)
         assert isinstance(grant, verdicts.Grant), grant
--- a/features/steps/kernel_budgets.py
+++ b/features/steps/kernel_budgets.py
@@ -113,7 +113,7 @@
     # The first try is lost with its upstream; then others turn out to have ended.
     window = extra_budgets.SharedWindow(share=0.05, reserve=20, window_s=10.0)
     made = kernel.loaded(1, 12, extra=window)
-    grant = made.offer(msgspec.structs.replace(kernel.call(0), most_tries=2), NOW)
+    grant = made.offer(msgspec.structs.replace(kernel.call(0), max_attempts=2), NOW)
     assert isinstance(grant, verdicts.Grant), grant
     made.finish(grant, upstreams.Result.FAILED, None, NOW)
     tried = {grant.upstream.spec.id}
@@ -129,7 +129,7 @@
     assert 2 <= unreached <= 5, unreached
     # One that was reached counts, whatever became of it.
     made = kernel.loaded(2, 12, extra=window)
-    grant = made.offer(msgspec.structs.replace(kernel.call(1), most_tries=2), NOW)
+    grant = made.offer(msgspec.structs.replace(kernel.call(1), max_attempts=2), NOW)
     assert isinstance(grant, verdicts.Grant), grant
     made.finish(grant, upstreams.Result.FAILED, None, NOW)
     again = made.retry(grant, NOW)
--- a/features/support/rollout_world.py
+++ b/features/support/rollout_world.py
@@ -325,7 +325,7 @@
             deadline=ids.later(self.now, rollout_service.DEADLINE_S),
             latency_key=route,
             arrived_at=self.now,
-            most_tries=2,
+            max_attempts=2,
             wait_until=ids.later(self.now, 0.5),
         )
         verdict = gateway.balancer.offer(call, self.now)
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -70,6 +70,6 @@
     A call has one hedge at most. While calls are ``queued`` or many fail, a hedge
     would only take the slot of a call that has not been sent at all.
     """
-    if not call.repeatable or attempts != 1 or attempts >= call.most_tries:
+    if not call.repeatable or attempts != 1 or attempts >= call.max_attempts:
         return False
     return not queued and not overload.is_failing(pool)
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -41,14 +41,14 @@
     """
     Return whether a call may get another try.
 
-    Where it is positively known that the failed try has not run and never
-    will, another try cannot run the call twice and adds no work, so neither
-    ``repeatable`` nor failures of the whole service matter. A try without a connection
-    does not count against ``most_tries``: while upstreams were going away, 23 of 1,920
-    requests were lost on real gateways, 22 of them because their retry went to an
-    upstream that had just gone.
+    Where it is positively known that the failed try has not run and never will, another
+    try cannot run the call twice and adds no work, so neither ``repeatable`` nor
+    failures of the whole service matter. A try without a connection does not count
+    against ``max_attempts``: while upstreams were going away, 23 of 1,920 requests were
+    lost on real gateways, 22 of them because their retry went to an upstream that had
+    just gone.
     """
-    if call.deadline <= now or attempts.counted >= call.most_tries:
+    if call.deadline <= now or attempts.counted >= call.max_attempts:
         return False
     if known_not_run:
         return True
--- a/spindlenotch/gateway/serving/job_factory.py
+++ b/spindlenotch/gateway/serving/job_factory.py
@@ -114,7 +114,7 @@
             deadline=deadline(now, timeout_s, route),
             latency_key=route.name,
             arrived_at=now,
-            most_tries=route.most_tries,
+            max_attempts=route.most_tries,
             wait_until=limit.wait_until,
             late=limit.late,
             cross_zone_s=cross_zone_s(body, typical_s),
--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -29,7 +29,7 @@
 
     The lowest ``priority`` goes first. ``latency_key`` is the kind of call whose
     latency is expected: the operation or the route. ``repeatable``: the call is
-    idempotent. ``most_tries`` bounds the upstreams it may be sent to. The call is
+    idempotent. ``max_attempts`` bounds the upstreams it may be sent to. The call is
     refused if it would wait beyond ``wait_until`` for a slot. ``late``: it can no
     longer be answered in time, so calls of its priority that still can are served
     first. An upstream in another zone costs ``cross_zone_s`` seconds more, one in
@@ -44,7 +44,7 @@
     deadline: ids.Instant
     latency_key: str
     arrived_at: ids.Instant
-    most_tries: int = MAX_ATTEMPTS
+    max_attempts: int = MAX_ATTEMPTS
     wait_until: ids.Instant = ids.NEVER
     late: bool = False
     cross_zone_s: float = CROSS_ZONE_S
