--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -55,7 +55,7 @@
 
 def status(known: quarantine.Quarantine) -> CrashStatus:
     """Return what is held of the request."""
-    return quarantine.status_of(known.note(PRINT))
+    return quarantine.status_of(known.record_of(PRINT))
 
 
 @kernel.PROPERTIES.register("a request under which three upstreams end is quarantined")
@@ -81,7 +81,7 @@
 def answer_clears() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    before, snapshot = known.note(PRINT), known.snapshot(PRINT)
+    before, snapshot = known.record_of(PRINT), known.snapshot(PRINT)
     assert known.clear(PRINT, NOW)
     assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
@@ -97,7 +97,7 @@
         for one in request.as_tuple():
             known.record_crash(one, known.snapshot(one), upstream(number), NOW)
     for one in request.as_tuple():
-        peer.merge(known.note(one), NOW)
+        peer.merge(known.record_of(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
     assert not known.take_recheck(
         request, ids.later(NOW, quarantine.RECHECK_AFTER_S / 2)
@@ -105,7 +105,7 @@
     assert known.take_recheck(request, later)
     assert not known.take_recheck(request, later)
     for one in request.as_tuple():
-        assert known.note(one).is_retried
+        assert known.record_of(one).is_retried
     assert not peer.take_recheck(request, later)
 
 
@@ -152,13 +152,13 @@
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     def check(told: list[crash_records.CrashRecord], rng: random.Random) -> None:
         known, peer = quarantine.Quarantine(), quarantine.Quarantine()
-        for note in told:
-            known.merge(note, NOW)
+        for record in told:
+            known.merge(record, NOW)
         shuffled = [*told, *told]
         rng.shuffle(shuffled)
-        for note in shuffled:
-            peer.merge(note, NOW)
-        assert known.note(PRINT) == peer.note(PRINT)
+        for record in shuffled:
+            peer.merge(record, NOW)
+        assert known.record_of(PRINT) == peer.record_of(PRINT)
 
     check()
 
@@ -204,7 +204,7 @@
 
     def _arrive(self, number: int, wait_until: float) -> None:
         known = self.known[number]
-        found = quarantine.status_of(known.note(PRINT))
+        found = quarantine.status_of(known.record_of(PRINT))
         both = fingerprints.Fingerprints(PRINT, PRINT)
         if found is CrashStatus.QUARANTINED:
             if known.take_recheck(both, ids.Instant(self.now)):
@@ -243,18 +243,18 @@
             self._arrive_again(number)
 
     def _arrive_again(self, number: int) -> None:
-        found = quarantine.status_of(self.known[number].note(PRINT))
+        found = quarantine.status_of(self.known[number].record_of(PRINT))
         if found is CrashStatus.SUSPECT and self.trying_until[number] <= self.now:
             self._send(number, may_retry=False)
 
     def _tell(self, number: int, peer: int) -> None:
-        note = self.known[number].note(PRINT)
+        record = self.known[number].record_of(PRINT)
         if peer != number and self.rng.random() >= LOST_SHARE:
             delay_s = self.rng.uniform(0.0, LONGEST_WAY_S)
-            self._after(delay_s, lambda: self._hear(peer, note))
+            self._after(delay_s, lambda: self._hear(peer, record))
 
-    def _hear(self, number: int, note: crash_records.CrashRecord) -> None:
-        self.known[number].merge(note, ids.Instant(self.now))
+    def _hear(self, number: int, record: crash_records.CrashRecord) -> None:
+        self.known[number].merge(record, ids.Instant(self.now))
 
     def _gossip(self, number: int) -> None:
         self._tell(number, self.rng.randrange(len(self.known)))
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -80,20 +80,20 @@
 class Change(msgspec.Struct, frozen=True):
     """A request was quarantined or released; for the log."""
 
-    note: crash_records.CrashRecord
+    record: crash_records.CrashRecord
     status: CrashStatus
 
 
 class KeptRecord(msgspec.Struct):
     """A crash note and when it expires."""
 
-    note: crash_records.CrashRecord
+    record: crash_records.CrashRecord
     until: ids.Instant
 
     @property
     def status(self) -> CrashStatus:
         """Return the status of the request."""
-        return status_of(self.note)
+        return status_of(self.record)
 
 
 class Quarantine:
@@ -138,15 +138,15 @@
 
     def snapshot(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
         """Return what is known of a request, to be kept with a try that is sent now."""
-        note = self.note(fingerprint)
+        record = self.record_of(fingerprint)
         return CrashSnapshot(
-            note.round, note.depth + (fingerprint in self._checks_pending)
+            record.round, record.depth + (fingerprint in self._checks_pending)
         )
 
-    def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
+    def record_of(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
         """Return what is known of a request, in the form in which peers get it."""
         kept = self.kept_by_fingerprint.get(fingerprint)
-        return crash_records.CrashRecord(fingerprint) if kept is None else kept.note
+        return crash_records.CrashRecord(fingerprint) if kept is None else kept.record
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
         """Treat a request as suspect while its upstream is checked for a crash."""
@@ -172,12 +172,12 @@
 
         Return whether that changes what is known, like ``merge``.
         """
-        before = status_of(self.note(fingerprint))
+        before = status_of(self.record_of(fingerprint))
         crash = crash_records.CrashRecord(
             fingerprint, snapshot.round, snapshot.depth + 1, (upstream,)
         )
         is_news = self.merge(crash, now)
-        after = status_of(self.note(fingerprint))
+        after = status_of(self.record_of(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
             self._recheck_at[fingerprint] = ids.later(
                 now, self._recheck_after_s(fingerprint)
@@ -192,16 +192,16 @@
         """
         due = [one for one in known.as_tuple() if self._is_recheck_due(one, now)]
         for fingerprint in due:
-            note = self.note(fingerprint)
-            self.merge(msgspec.structs.replace(note, is_retried=True), now)
+            record = self.record_of(fingerprint)
+            self.merge(msgspec.structs.replace(record, is_retried=True), now)
         return bool(due)
 
     def clear(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         """Record that a request was answered; return whether it was suspect."""
-        note = self.note(fingerprint)
-        if not note.depth:
+        record = self.record_of(fingerprint)
+        if not record.depth:
             return False
-        return self.merge(crash_records.CrashRecord(fingerprint, note.round + 1), now)
+        return self.merge(crash_records.CrashRecord(fingerprint, record.round + 1), now)
 
     def merge(
         self,
@@ -214,7 +214,7 @@
 
         A quarantine that it begins ends at ``until``, or earlier.
         """
-        known = self.note(told.fingerprint)
+        known = self.record_of(told.fingerprint)
         merged = known.merged(told)
         if merged == known:
             return False
@@ -237,7 +237,7 @@
         """Return the notes on all quarantined requests."""
         for kept in self.kept_by_fingerprint.values():
             if kept.status is CrashStatus.QUARANTINED:
-                yield kept.note
+                yield kept.record
 
     def _recheck_after_s(self, fingerprint: ids.Fingerprint) -> float:
         spread = zlib.crc32(f"{self.salt}/{fingerprint}".encode()) / 2**32
@@ -247,28 +247,28 @@
         return self._recheck_at.get(fingerprint, ids.NEVER) <= now
 
     def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
-        status = status_of(self.note(fingerprint))
+        status = status_of(self.record_of(fingerprint))
         if fingerprint in self._checks_pending:
             return max(status, CrashStatus.SUSPECT)
         return status
 
     def _keep(
-        self, note: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
+        self, record: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
     ) -> None:
-        before = status_of(self.note(note.fingerprint))
-        after = status_of(note)
+        before = status_of(self.record_of(record.fingerprint))
+        after = status_of(record)
         until = min(until, ids.later(now, KEEP_S_BY_STATUS[after]))
         if before is CrashStatus.QUARANTINED is after:
-            until = self.kept_by_fingerprint[note.fingerprint].until
+            until = self.kept_by_fingerprint[record.fingerprint].until
         elif CrashStatus.QUARANTINED in (before, after):
-            self.changes.append(Change(note, after))
-            self._recheck_at.pop(note.fingerprint, None)
-        if note.is_retried:
-            self._recheck_at.pop(note.fingerprint, None)
+            self.changes.append(Change(record, after))
+            self._recheck_at.pop(record.fingerprint, None)
+        if record.is_retried:
+            self._recheck_at.pop(record.fingerprint, None)
         # Removed first, so that the dict is ordered by the last change.
-        self._forget(note.fingerprint)
-        self.kept_by_fingerprint[note.fingerprint] = KeptRecord(note, until)
-        self._count_target(note.fingerprint, 1)
+        self._forget(record.fingerprint)
+        self.kept_by_fingerprint[record.fingerprint] = KeptRecord(record, until)
+        self._count_target(record.fingerprint, 1)
         if len(self.kept_by_fingerprint) > MAX_RECORDS:
             self._forget(self._eviction_candidate())
 
@@ -296,10 +296,10 @@
 }
 
 
-def status_of(note: crash_records.CrashRecord) -> CrashStatus:
+def status_of(record: crash_records.CrashRecord) -> CrashStatus:
     """Return the status of a request with this crash note."""
-    if not note.depth:
+    if not record.depth:
         return CrashStatus.CLEAR
-    if note.depth >= MIN_CRASH_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
+    if record.depth >= MIN_CRASH_DEPTH and len(record.ended) >= MIN_CRASHED_UPSTREAMS:
         return CrashStatus.QUARANTINED
     return CrashStatus.SUSPECT
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -184,7 +184,7 @@
                 from_caller=lost_request.request_fingerprints.from_caller,
                 kind=lost_request.kind.value,
                 answered_lately=int(lost_request.answered_lately),
-                depth=self.quarantine.note(
+                depth=self.quarantine.record_of(
                     lost_request.request_fingerprints.from_caller
                 ).depth,
             )
@@ -216,9 +216,9 @@
                 self._publish_record(fingerprint)
 
     def _publish_record(self, fingerprint: ids.Fingerprint) -> None:
-        note = self.quarantine.note(fingerprint)
+        record = self.quarantine.record_of(fingerprint)
         for listener in self._listeners:
-            listener(note)
+            listener(record)
 
 
 def _has_reported_since(lost_request: LostRequest) -> bool:
--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -36,16 +36,16 @@
     def unstored(self) -> list[sources.StoredQuarantine]:
         """Return the quarantines, and ends of quarantines, that the source lacks."""
         missing = [
-            self._to_store(note.fingerprint)
-            for note in self.known.quarantined()
-            if not self._is_stored(note.fingerprint, note.round)
+            self._to_store(record.fingerprint)
+            for record in self.known.quarantined()
+            if not self._is_stored(record.fingerprint, record.round)
         ]
         return missing + [
-            sources.StoredQuarantine(note, self.clock.unix_s(), stored.revision)
+            sources.StoredQuarantine(record, self.clock.unix_s(), stored.revision)
             for stored in self.stored_by_fingerprint.values()
-            if (note := self.known.note(stored.note.fingerprint)).round
+            if (record := self.known.record_of(stored.note.fingerprint)).round
             > stored.note.round
-            and quarantine.status_of(note) is not quarantine.CrashStatus.QUARANTINED
+            and quarantine.status_of(record) is not quarantine.CrashStatus.QUARANTINED
         ]
 
     def _apply(
@@ -72,7 +72,7 @@
         stored = self.stored_by_fingerprint.get(fingerprint)
         remaining_s = kept.until - self.clock.now()
         return sources.StoredQuarantine(
-            kept.note,
+            kept.record,
             self.clock.unix_s() + remaining_s,
             0 if stored is None else stored.revision,
         )
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -79,14 +79,14 @@
     ) -> None:
         """Merge the notes in a peer's message."""
         now = self.state.clock.now()
-        for note in message.crashes:
-            if self.known.merge(note, now):
-                self._sender_by_fingerprint[note.fingerprint] = message.sender.host
-                self._recent_until[note.fingerprint] = ids.later(now, RECENT_S)
+        for record in message.crashes:
+            if self.known.merge(record, now):
+                self._sender_by_fingerprint[record.fingerprint] = message.sender.host
+                self._recent_until[record.fingerprint] = ids.later(now, RECENT_S)
 
     def _process_changes(self, now: ids.Instant) -> None:
         for change in self.known.changes:
-            fingerprint = change.note.fingerprint
+            fingerprint = change.record.fingerprint
             told_by = self._sender_by_fingerprint.pop(fingerprint, None)
             self._report(change, "" if told_by is None else told_by)
             self._recent_until[fingerprint] = ids.later(now, RECENT_S)
@@ -105,21 +105,21 @@
             events.Event.REQUEST_QUARANTINED
             if is_quarantined
             else events.Event.QUARANTINE_ENDED,
-            fingerprint=change.note.fingerprint,
-            depth=change.note.depth,
-            ended=",".join(change.note.ended),
+            fingerprint=change.record.fingerprint,
+            depth=change.record.depth,
+            ended=",".join(change.record.ended),
             told_by=told_by,
         )
 
     # Sending
 
-    def _add_record(self, note: crash_records.CrashRecord) -> None:
+    def _add_record(self, record: crash_records.CrashRecord) -> None:
         """Queue a note of this gateway, to be sent with those of the same moment."""
         if not self._unsent_records:
             asyncio.get_running_loop().call_soon(self._send_unsent_records)
-        self._unsent_records[note.fingerprint] = note
+        self._unsent_records[record.fingerprint] = record
         until = ids.later(self.state.clock.now(), RECENT_S)
-        self._recent_until[note.fingerprint] = until
+        self._recent_until[record.fingerprint] = until
 
     def _send_unsent_records(self) -> None:
         records = tuple(self._unsent_records.values())
@@ -130,7 +130,9 @@
         """Return recently changed notes and one quarantined request in rotation."""
         max_records = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_records:]
-        records = {fingerprint: self.known.note(fingerprint) for fingerprint in newest}
+        records = {
+            fingerprint: self.known.record_of(fingerprint) for fingerprint in newest
+        }
         quarantined = list(self.known.quarantined())
         if quarantined:
             self._next_index = (self._next_index + 1) % len(quarantined)
