--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -69,8 +69,8 @@
         """
         cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
         if pool.remote_order:
-            near_s = min(cost_by_id.values(), default=None)
-            far = overflow.candidates(pool, call, near_s, now, exclude)
+            local_cost_s = min(cost_by_id.values(), default=None)
+            far = overflow.candidates(pool, call, local_cost_s, now, exclude)
             cost_by_id |= _costs(pool, call, without_slowed(far, now), now)
         if not cost_by_id:
             return None
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -55,14 +55,14 @@
 
 
 def is_remote_faster(
-    pool: upstream_pool.Pool, call: wait_queue.Call, near_s: float
+    pool: upstream_pool.Pool, call: wait_queue.Call, local_cost_s: float
 ) -> bool:
     """
     Return whether another region may answer sooner than the best local upstream.
 
-    ``near_s`` is the cost of the local upstream in seconds. This happens where so few
-    upstreams are left in the local region that all are slow, while another region is
-    much less full.
+    ``local_cost_s`` is the cost of the local upstream in seconds. This happens where so
+    few upstreams are left in the local region that all are slow, while another region
+    is much less full.
     """
     if not pool.remote_order or not pool.used_by_remote_region:
         return False
@@ -72,28 +72,28 @@
     ):
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
-    return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
+    return local_cost_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
 
 
 def candidates(
     pool: upstream_pool.Pool,
     call: wait_queue.Call,
-    near_s: float | None,
+    local_cost_s: float | None,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """
     Return upstreams of other regions that are compared, in allowed regions only.
 
-    ``near_s`` is the cost in seconds of the best local upstream, None where none has
-    room. The result is empty while the call should stay in its region. Otherwise it is
-    sampled from the regions that report their load and have room; where no local
+    ``local_cost_s`` is the cost in seconds of the best local upstream, None where none
+    has room. The result is empty while the call should stay in its region. Otherwise it
+    is sampled from the regions that report their load and have room; where no local
     upstream may take the call, from any region that does not report to be full.
     """
-    if near_s is None:
+    if local_cost_s is None:
         leaves = may_leave_region(pool, call, now, exclude)
     else:
-        leaves = is_remote_faster(pool, call, near_s)
+        leaves = is_remote_faster(pool, call, local_cost_s)
     if not leaves:
         return []
     used_by_region = pool.used_by_remote_region
