--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -51,7 +51,7 @@
         return False
     if now >= call.cross_region_from or exclude:
         return True
-    return not _any_near(pool, now)
+    return not _any_local_may_take(pool, now)
 
 
 def is_remote_faster(
@@ -97,7 +97,7 @@
     if not leaves:
         return []
     used_by_region = pool.used_by_remote_region
-    if not _any_near(pool, now):
+    if not _any_local_may_take(pool, now):
         used_by_region = dict.fromkeys(pool.remote_regions(), 0.0) | used_by_region
     open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
     allowed = [
@@ -152,5 +152,5 @@
     return upstream.state is upstreams.State.ACTIVE and not slowed
 
 
-def _any_near(pool: upstream_pool.Pool, now: ids.Instant) -> bool:
+def _any_local_may_take(pool: upstream_pool.Pool, now: ids.Instant) -> bool:
     return any(upstream.may_take(now) for upstream in pool.local_region_order)
