--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -156,10 +156,10 @@
 
 
 def has_room(
-    upstream: upstreams.Upstream, load: float, crowded: contention.Contention
+    upstream: upstreams.Upstream, load: float, pool_contention: contention.Contention
 ) -> bool:
     """Return whether one more request would start at once without slowing others."""
-    usable = crowded.usable(upstream.slots, sample=upstream.contention_sample)
+    usable = pool_contention.usable(upstream.slots, sample=upstream.contention_sample)
     return load + 1 <= usable + ROOM_MARGIN
 
 
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -140,8 +140,10 @@
     or ejected; 1 if there are no others.
     """
     sound = [u for u in pool.local_region_order if _is_healthy(u, now)]
-    crowded = pool.contention
-    usable = sum(crowded.usable(u.slots, sample=u.contention_sample) for u in sound)
+    pool_contention = pool.contention
+    usable = sum(
+        pool_contention.usable(u.slots, sample=u.contention_sample) for u in sound
+    )
     if usable <= 0:
         return 1.0
     return sum(min(u.slots, pool.estimated_load(u, now)) for u in sound) / usable
