--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -110,7 +110,7 @@
         typical_s = self.pool.latencies.typical_s(grant.call.latency_key)
         if report is not None:
             if answered:
-                self._learn_crowding(grant, report, took_s / typical_s)
+                self._record_contention(grant, report, took_s / typical_s)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
         # The slowdown may have changed while the call ran: take the mean of both ends.
@@ -136,7 +136,7 @@
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
-    def _learn_crowding(
+    def _record_contention(
         self, grant: verdicts.Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
         self.pool.contention.add(
