--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -42,7 +42,7 @@
 #: the pool.
 MAX_COMPARED = 40
 #: How many of them are drawn from the local zone.
-LOCAL_COMPARED = 24
+MAX_LOCAL_ZONE_COMPARED = 24
 
 
 @selection.POLICIES.register(NAME)
@@ -117,7 +117,9 @@
 ) -> list[upstreams.Upstream]:
     """Return random upstreams of the local zone, and of the whole local region."""
     rng = pool.rng
-    local = selection.sample(pool.local_zone_order, LOCAL_COMPARED, rng, now, exclude)
+    local = selection.sample(
+        pool.local_zone_order, MAX_LOCAL_ZONE_COMPARED, rng, now, exclude
+    )
     count = MAX_COMPARED - len(local)
     anywhere = selection.sample(pool.local_region_order, count, rng, now, exclude)
     sampled_by_id = {u.spec.id: u for u in (*local, *anywhere)}
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -76,7 +76,7 @@
             "decisions/least_latency.ANSWERS_TRUSTED",
             "decisions/least_latency.EQUAL_COST_SHARE",
             "decisions/least_latency.MAX_COMPARED",
-            "decisions/least_latency.LOCAL_COMPARED",
+            "decisions/least_latency.MAX_LOCAL_ZONE_COMPARED",
             "decisions/least_latency.REPEATABLE_COST",
             "decisions/least_latency.UNREPEATABLE_COST",
             "kernel/failure_share.DECAY_S",
