--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -70,8 +70,8 @@
         cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
         if pool.remote_order:
             local_cost_s = min(cost_by_id.values(), default=None)
-            far = overflow.candidates(pool, call, local_cost_s, now, exclude)
-            cost_by_id |= _costs(pool, call, without_slowed(far, now), now)
+            remote = overflow.candidates(pool, call, local_cost_s, now, exclude)
+            cost_by_id |= _costs(pool, call, without_slowed(remote, now), now)
         if not cost_by_id:
             return None
         limit = min(cost_by_id.values()) * (1.0 + EQUAL_COST_SHARE)
