--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -75,10 +75,12 @@
         if not cost_by_id:
             return None
         limit = min(cost_by_id.values()) * (1.0 + EQUAL_COST_SHARE)
-        near = [name for name, cost in cost_by_id.items() if cost <= limit]
+        cheapest = [name for name, cost in cost_by_id.items() if cost <= limit]
         zone = pool.local_member.zone
-        local = [name for name in near if pool.upstream_by_id[name].spec.zone == zone]
-        chosen = pool.upstream_by_id[pool.rng.choice(local or near)]
+        local = [
+            name for name in cheapest if pool.upstream_by_id[name].spec.zone == zone
+        ]
+        chosen = pool.upstream_by_id[pool.rng.choice(local or cheapest)]
         candidate = selection.Candidate(
             upstream=chosen.spec.id,
             cost=cost_by_id[chosen.spec.id],
