--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -153,11 +153,13 @@
         ]
         if not able:
             return None
-        near = [u for u in able if not pool.is_remote(u)]
+        in_local_region = [u for u in able if not pool.is_remote(u)]
         self.sent += 1
         key = call.latency_key
         self._sent_by_route[key] = self._sent_by_route.get(key, 0) + 1
-        return selection.Choice(pool.rng.choice(near or able), selection.Rule.CANARY)
+        return selection.Choice(
+            pool.rng.choice(in_local_region or able), selection.Rule.CANARY
+        )
 
     def ended(
         self,
