--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -172,8 +172,8 @@
 
     def holders(self, view: View, most: int) -> list[ids.HostId]:
         """Return at most ``most`` holders, the same for equal views."""
-        near = [member for member in view.members if member.zone == self.zone]
-        hosts = [member.host for member in near or view.members]
+        in_zone = [member for member in view.members if member.zone == self.zone]
+        hosts = [member.host for member in in_zone or view.members]
         hosts.sort(key=lambda host: rendezvous.score(self.upstream, host), reverse=True)
         return hosts[:most]
 
