--- a/spindlenotch/gateway/cluster/peer_distance.py
+++ b/spindlenotch/gateway/cluster/peer_distance.py
@@ -30,7 +30,7 @@
             return self.state.regions.distance(self.state.config.zone, zone).value
         links = self.state.links
         if links is not None and links.names_far(address):
-            return regions.Distance.FAR.value
+            return regions.Distance.REMOTE.value
         return UNKNOWN
 
     def _look_up(self) -> None:
--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -19,7 +19,7 @@
 
     ZONE = "zone"
     REGION = "region"
-    FAR = "far"
+    REMOTE = "far"
 
 
 class Regions(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
             return Distance.ZONE
         if self.region(zone) == self.region(other):
             return Distance.REGION
-        return Distance.FAR
+        return Distance.REMOTE
 
 
 ONE_REGION = Regions()
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -137,7 +137,7 @@
         """Tell whether an upstream is in another region."""
         known = self.service.region_map
         distance = known.distance(self.local_member.zone, upstream.spec.zone)
-        return distance is regions.Distance.FAR
+        return distance is regions.Distance.REMOTE
 
     def region_of(self, upstream: upstreams.Upstream) -> ids.RegionName:
         """Return the region of an upstream."""
