--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -49,7 +49,7 @@
     return None
 
 
-def is_frozen(silent_s: float, p95_s: float) -> bool:
+def is_hung(silent_s: float, p95_s: float) -> bool:
     """Tell whether only a hung upstream explains such a silence."""
     return silent_s > max(MIN_FROZEN_S, FROZEN_P95_FACTOR * p95_s)
 
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -167,7 +167,7 @@
         self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
         """Tell whether only a hung upstream explains its silence."""
-        return ejection.is_frozen(
+        return ejection.is_hung(
             upstream.silent_s(now), self.latencies.p95_s(latency_key)
         )
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -383,7 +383,7 @@
         question="When an upstream is ejected and comes back",
         functions=(
             "kernel/ejection.reason_to_eject",
-            "kernel/ejection.is_frozen",
+            "kernel/ejection.is_hung",
             "kernel/ejection.duration_s",
             "kernel/ejection.may_eject",
             "kernel/hearing.Liveness.silent_s",
