--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -312,7 +312,7 @@
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
-        if self.pool.frozen(upstream, grant.call.latency_key, now):
+        if self.pool.is_hung(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, ejection.SILENT, now)
 
     def next_retry_at(self, call: wait_queue.Call, now: ids.Instant) -> ids.Instant:
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -163,7 +163,7 @@
         self.refresh()
         return True
 
-    def frozen(
+    def is_hung(
         self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
         """Tell whether only a hung upstream explains its silence."""
