--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -229,7 +229,7 @@
 
     def hedge(self, grant: verdicts.Grant, now: ids.Instant) -> verdicts.Grant | None:
         """Place a second copy of a call whose answer is overdue, if allowed."""
-        self._eject_if_frozen(grant, now)
+        self._eject_if_hung(grant, now)
         call = grant.call
         attempts = len(self.attempted_by_call.get(call.id, ()))
         if not hedging.is_allowed(self.pool, call, attempts, len(self.queue)):
@@ -308,7 +308,7 @@
         may_leave = msgspec.structs.replace(call, cross_region_from=now)
         return self._grant(may_leave, verdicts.Kind.FIRST, now)
 
-    def _eject_if_frozen(self, grant: verdicts.Grant, now: ids.Instant) -> None:
+    def _eject_if_hung(self, grant: verdicts.Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
