--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -398,7 +398,7 @@
             "kernel/ejection.CONSECUTIVE_FAILURES",
             "kernel/ejection.BASE_EJECTION_S",
             "kernel/ejection.MAX_EJECTION_S",
-            "kernel/ejection.FROZEN_P95_FACTOR",
+            "kernel/ejection.HUNG_P95_FACTOR",
             "kernel/ejection.MIN_FROZEN_S",
             "kernel/ejection.MIN_POOL_SIZE",
             "kernel/hearing.REPORT_LAG_S",
