--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -20,7 +20,7 @@
 #: percentile of the latency.
 HUNG_P95_FACTOR = 3.0
 #: Shortest silence after which an upstream counts as frozen, in seconds.
-MIN_FROZEN_S = 0.25
+MIN_HUNG_SILENCE_S = 0.25
 #: Reason to eject an upstream whose responses are overdue for too long.
 SILENT = "silent"
 #: Reason to eject an upstream whose request on probation failed, or was cancelled late.
@@ -51,7 +51,7 @@
 
 def is_hung(silent_s: float, p95_s: float) -> bool:
     """Tell whether only a hung upstream explains such a silence."""
-    return silent_s > max(MIN_FROZEN_S, HUNG_P95_FACTOR * p95_s)
+    return silent_s > max(MIN_HUNG_SILENCE_S, HUNG_P95_FACTOR * p95_s)
 
 
 def may_eject(ejected: int, usable: int, eject_share: float) -> bool:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -399,7 +399,7 @@
             "kernel/ejection.BASE_EJECTION_S",
             "kernel/ejection.MAX_EJECTION_S",
             "kernel/ejection.HUNG_P95_FACTOR",
-            "kernel/ejection.MIN_FROZEN_S",
+            "kernel/ejection.MIN_HUNG_SILENCE_S",
             "kernel/ejection.MIN_POOL_SIZE",
             "kernel/hearing.REPORT_LAG_S",
             "kernel/hearing.REPORTED_WITHIN_S",
