--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -119,7 +119,7 @@
         upstream_id, zone=None, local_host=shared_rate.NO_HOST
     )
     members = tuple(ownership.Member(ANY_ZONE, host) for host in hosts)
-    holders = participant.holders(shared_rate.View(members), most=1)
+    holders = participant.holders(shared_rate.View(members), max_count=1)
     return holders[0] if holders else None
 
 
--- a/spindlenotch/kernel/named_limit.py
+++ b/spindlenotch/kernel/named_limit.py
@@ -116,13 +116,14 @@
             self._update_isolated_part(per_s, view)
             return
         # At least one request per second each: every holder may be one request ahead.
-        most = max(1, int(per_s))
-        holders = self.participant.holders(view, most)
+        max_count = max(1, int(per_s))
+        holders = self.participant.holders(view, max_count)
         if self.participant.local_host not in holders:
             self._pacer.set_part(0.0)
             return
         since = max(
-            self._advertised_at, self.participant.held_since(self._views, most, WINDOW)
+            self._advertised_at,
+            self.participant.held_since(self._views, max_count, WINDOW),
         )
         # The holders begin one after the other, and at another time for each upstream:
         # otherwise upstreams that advertise limits at the same time would all become
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -100,8 +100,8 @@
             return True
         if now < self.next_at:
             return False
-        most = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
-        if self._count_in_window(now, read_until) <= most:
+        max_count = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
+        if self._count_in_window(now, read_until) <= max_count:
             return True
         return now >= ids.later(self._sent_at, self.window.trial_after_s)
 
@@ -170,15 +170,15 @@
         score, _ = rendezvous.score(self.upstream, self.local_host)
         return score / rendezvous.SCORE_COUNT
 
-    def holders(self, view: View, most: int) -> list[ids.HostId]:
-        """Return at most ``most`` holders, the same for equal views."""
+    def holders(self, view: View, max_count: int) -> list[ids.HostId]:
+        """Return at most ``max_count`` holders, the same for equal views."""
         in_zone = [member for member in view.members if member.zone == self.zone]
         hosts = [member.host for member in in_zone or view.members]
         hosts.sort(key=lambda host: rendezvous.score(self.upstream, host), reverse=True)
-        return hosts[:most]
+        return hosts[:max_count]
 
     def held_since(
-        self, views: abc.Iterable[View], most: int, window: Window
+        self, views: abc.Iterable[View], max_count: int, window: Window
     ) -> ids.Instant:
         """
         Return when this process may start sending if it is one of the holders.
@@ -189,6 +189,6 @@
         free_at = LONG_AGO
         for view in views:
             is_former = view.until != ids.NEVER
-            if is_former and self.local_host not in self.holders(view, most):
+            if is_former and self.local_host not in self.holders(view, max_count):
                 free_at = max(free_at, ids.later(view.until, window.seconds))
         return free_at
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -53,7 +53,7 @@
     mutant_table.Mutant(
         "a cold upstream gets more while what it got lies unread",
         "kernel/shared_rate",
-        "if self._count_in_window(now, read_until) <= most:",
+        "if self._count_in_window(now, read_until) <= max_count:",
         "if True:",
         "a cold upstream that stands still reads what it bears",
     ),
--- a/tools/limit_mutants.py
+++ b/tools/limit_mutants.py
@@ -19,7 +19,7 @@
     mutant_table.Mutant(
         "a limit that sinks does not count what was sent before",
         "kernel/shared_rate",
-        "if self._count_in_window(now, read_until) <= most:",
+        "if self._count_in_window(now, read_until) <= max_count:",
         "if True:",
         "limits hold where upstreams stand still, and read on",
     ),
