--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -139,14 +139,14 @@
     Slots left empty because of crowding don't count, nor do upstreams that are slowed
     or ejected; 1 if there are no others.
     """
-    sound = [u for u in pool.local_region_order if _is_healthy(u, now)]
+    healthy = [u for u in pool.local_region_order if _is_healthy(u, now)]
     pool_contention = pool.contention
     usable = sum(
-        pool_contention.usable(u.slots, sample=u.contention_sample) for u in sound
+        pool_contention.usable(u.slots, sample=u.contention_sample) for u in healthy
     )
     if usable <= 0:
         return 1.0
-    return sum(min(u.slots, pool.estimated_load(u, now)) for u in sound) / usable
+    return sum(min(u.slots, pool.estimated_load(u, now)) for u in healthy) / usable
 
 
 def _is_healthy(upstream: upstreams.Upstream, now: ids.Instant) -> bool:
