--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -12,7 +12,7 @@
 
 #: Missed answers above which an upstream counts as stuck: if answers came at random, a
 #: healthy one would miss that many with probability exp(-4), about 2 in 100.
-MISSED_ANSWERS = 4.0
+MAX_MISSED_ANSWERS = 4.0
 #: A call at a slowed upstream is hedged after this share of its typical latency.
 SLOWED_AGE_SHARE = 0.6
 #: Interval of the checks where upstreams report slowdowns, as a share of the typical
@@ -58,7 +58,7 @@
     if slowed and age_s > SLOWED_AGE_SHARE * pool.latencies.typical_s(latency_key):
         return True
     missed = silence.missed_answers(upstream, pool.latencies.overall.value, now)
-    return missed > MISSED_ANSWERS
+    return missed > MAX_MISSED_ANSWERS
 
 
 def is_allowed(
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -294,7 +294,7 @@
         " chance explains, or the call is slower than 95 in 100; never with calls"
         " waiting.",
         constants=(
-            "decisions/hedging.MISSED_ANSWERS",
+            "decisions/hedging.MAX_MISSED_ANSWERS",
             "decisions/hedging.SLOWED_AGE_SHARE",
             "decisions/hedging.SLOWDOWN_CHECK_SHARE",
         ),
