--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -9,7 +9,7 @@
 from spindlenotch.kernel import upstream_pool
 
 #: Share of recently offered calls refused above which a service is overloaded.
-REFUSED_SHARE = 0.05
+MAX_REFUSED_SHARE = 0.05
 #: Queued calls per owned slot above which a service is overloaded.
 QUEUED_PER_SLOT = 5.0
 #: Share of recent answers that are failures above which retries and hedges would only
@@ -19,7 +19,7 @@
 
 def is_overloaded(pool: upstream_pool.Pool) -> bool:
     """Return whether too many calls are being refused or queued."""
-    if pool.refused_share.value > REFUSED_SHARE:
+    if pool.refused_share.value > MAX_REFUSED_SHARE:
         return True
     return pool.waiting > QUEUED_PER_SLOT * pool.owned_total
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -129,7 +129,7 @@
             "decisions/owned_slots.QUEUE_TARGET",
             "kernel/wait_queue.CROSS_ZONE_S",
             "decisions/queueing_cost.MIN_LATENCY_RATIO",
-            "decisions/overload.REFUSED_SHARE",
+            "decisions/overload.MAX_REFUSED_SHARE",
             "decisions/overload.QUEUED_PER_SLOT",
         ),
         tests=(
