--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -14,7 +14,7 @@
 QUEUED_PER_SLOT = 5.0
 #: Share of recent answers that are failures above which retries and hedges would only
 #: add load.
-FAILED_SHARE = 0.3
+MAX_FAILED_SHARE = 0.3
 
 
 def is_overloaded(pool: upstream_pool.Pool) -> bool:
@@ -26,4 +26,4 @@
 
 def is_failing(pool: upstream_pool.Pool) -> bool:
     """Return whether so many calls fail that extra ones only add load."""
-    return pool.failed_share.value > FAILED_SHARE
+    return pool.failed_share.value > MAX_FAILED_SHARE
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -268,7 +268,7 @@
         " try that reached nobody does not use up the route's tries; what a draining"
         " upstream turned away takes nothing from an entry's budget.",
         constants=(
-            "decisions/overload.FAILED_SHARE",
+            "decisions/overload.MAX_FAILED_SHARE",
             "decisions/retrying.MAX_UNREACHED",
         ),
         events=("REQUEST_SENT_AGAIN",),
