--- a/spindlenotch/decisions/overload.py
+++ b/spindlenotch/decisions/overload.py
@@ -11,7 +11,7 @@
 #: Share of recently offered calls refused above which a service is overloaded.
 MAX_REFUSED_SHARE = 0.05
 #: Queued calls per owned slot above which a service is overloaded.
-QUEUED_PER_SLOT = 5.0
+MAX_QUEUED_PER_SLOT = 5.0
 #: Share of recent answers that are failures above which retries and hedges would only
 #: add load.
 MAX_FAILED_SHARE = 0.3
@@ -21,7 +21,7 @@
     """Return whether too many calls are being refused or queued."""
     if pool.refused_share.value > MAX_REFUSED_SHARE:
         return True
-    return pool.waiting > QUEUED_PER_SLOT * pool.owned_total
+    return pool.waiting > MAX_QUEUED_PER_SLOT * pool.owned_total
 
 
 def is_failing(pool: upstream_pool.Pool) -> bool:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -130,7 +130,7 @@
             "kernel/wait_queue.CROSS_ZONE_S",
             "decisions/queueing_cost.MIN_LATENCY_RATIO",
             "decisions/overload.MAX_REFUSED_SHARE",
-            "decisions/overload.QUEUED_PER_SLOT",
+            "decisions/overload.MAX_QUEUED_PER_SLOT",
         ),
         tests=(
             Scenario("kernel", "own slots of all entries add up to all slots"),
