--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -19,7 +19,7 @@
 from spindlenotch.kernel import hearing, service_policy, upstream_pool, upstreams
 
 #: Longest wait for the answer to a probe, in seconds.
-PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
+PROBE_TIMEOUT_S = hearing.MAX_REPORT_LAG_S
 #: Time between two looks at which upstreams fall to this gateway.
 MATCH_PERIOD_S = 0.2
 #: A probing task ends after about this long and is begun anew with the settings of that
--- a/spindlenotch/kernel/hearing.py
+++ b/spindlenotch/kernel/hearing.py
@@ -11,7 +11,7 @@
 
 #: Longest time between sending a probe and the report that it returns, in seconds: the
 #: probe times out after that.
-REPORT_LAG_S = 0.3
+MAX_REPORT_LAG_S = 0.3
 #: Longest time between two reports of a probed upstream, in seconds: a probe every
 #: 0.25 s, forwarded every 0.2 s by two gateways, with one of these messages lost.
 REPORTED_WITHIN_S = 1.0
@@ -89,7 +89,7 @@
 
     def reported(self, at: ids.Instant) -> None:
         """Record that it reported its load at ``at``, and so was not hung then."""
-        self.read_until = max(self.read_until, ids.Instant(at - REPORT_LAG_S))
+        self.read_until = max(self.read_until, ids.Instant(at - MAX_REPORT_LAG_S))
         self.heard_at = max(self.heard_at, at)
         if at > self._unanswered_since:
             self._cancelled_wait_s = 0.0
