--- a/spindlenotch/kernel/hearing.py
+++ b/spindlenotch/kernel/hearing.py
@@ -14,7 +14,7 @@
 MAX_REPORT_LAG_S = 0.3
 #: Longest time between two reports of a probed upstream, in seconds: a probe every
 #: 0.25 s, forwarded every 0.2 s by two gateways, with one of these messages lost.
-REPORTED_WITHIN_S = 1.0
+MAX_REPORT_INTERVAL_S = 1.0
 #: Seconds after its last report for which an upstream is assumed to be probed while
 #: others are: its own silence must not make it look like one that nobody probes.
 PROBED_WITHIN_S = 30.0
@@ -34,7 +34,7 @@
 
     def is_recent(self, now: ids.Instant) -> bool:
         """Tell whether upstreams are being probed, as far as this process knows."""
-        return now - self.probed_at <= REPORTED_WITHIN_S
+        return now - self.probed_at <= MAX_REPORT_INTERVAL_S
 
 
 class Liveness:
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -402,7 +402,7 @@
             "kernel/ejection.MIN_HUNG_SILENCE_S",
             "kernel/ejection.MIN_POOL_SIZE",
             "kernel/hearing.MAX_REPORT_LAG_S",
-            "kernel/hearing.REPORTED_WITHIN_S",
+            "kernel/hearing.MAX_REPORT_INTERVAL_S",
             "kernel/hearing.PROBED_WITHIN_S",
             "kernel/hearing.CANCELLED_WAIT_DECAY_S",
         ),
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -75,7 +75,7 @@
         "an upstream that has long been silent counts as one that nobody probes",
         "kernel/hearing",
         "return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S",
-        "return self.probed_at >= self._unanswered_since - REPORTED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - MAX_REPORT_INTERVAL_S",
         "so does one that is sent to long after probes miss it",
     ),
 )
