--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -22,7 +22,7 @@
 SAMPLE_SIZE = 8
 #: Owned upstreams with room that are compared, and owned ones when all are busy.
 #: Bounds the time of a decision where an entry owns slots in many upstreams.
-OWN_COMPARED = 4
+MAX_OWN_COMPARED = 4
 OWN_COMPARED_BUSY = 4
 #: Cost (a multiple of the typical latency) above which an owned upstream is compared
 #: with others.
@@ -107,7 +107,7 @@
             if best is None or candidate.cost < best.cost:
                 best = candidate
             compared += 1
-            if compared == OWN_COMPARED:
+            if compared == MAX_OWN_COMPARED:
                 break
         return best
 
