--- a/spindlenotch/decisions/owned_slots.py
+++ b/spindlenotch/decisions/owned_slots.py
@@ -23,7 +23,7 @@
 #: Owned upstreams with room that are compared, and owned ones when all are busy.
 #: Bounds the time of a decision where an entry owns slots in many upstreams.
 MAX_OWN_COMPARED = 4
-OWN_COMPARED_BUSY = 4
+MAX_OWN_COMPARED_BUSY = 4
 #: Cost (a multiple of the typical latency) above which an owned upstream is compared
 #: with others.
 SLOW_COST = 1.6
@@ -119,7 +119,7 @@
         exclude: selection.Exclusion,
     ) -> list[upstreams.Upstream]:
         options = selection.sample(pool.usable_order, sampled, pool.rng, now, exclude)
-        for upstream in itertools.islice(_own_rotated(pool), OWN_COMPARED_BUSY):
+        for upstream in itertools.islice(_own_rotated(pool), MAX_OWN_COMPARED_BUSY):
             if upstream in options or upstream.spec.id in exclude:
                 continue
             if upstream.may_take(now):
