--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -10,7 +10,7 @@
 from spindlenotch.kernel import upstreams
 
 #: Missed answers that add no cost.
-TOLERATED_MISSED_ANSWERS = 3.0
+MAX_TOLERATED_MISSED_ANSWERS = 3.0
 #: Cost of each further missed answer, as a share of the typical latency.
 COST_PER_MISSED_ANSWER = 0.3
 
@@ -49,4 +49,4 @@
     if not upstream.sent_at_by_call and not upstream.liveness.has_unanswered_attempts:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
-    return COST_PER_MISSED_ANSWER * max(0.0, missed - TOLERATED_MISSED_ANSWERS)
+    return COST_PER_MISSED_ANSWER * max(0.0, missed - MAX_TOLERATED_MISSED_ANSWERS)
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -88,7 +88,7 @@
             "kernel/contention.MAX_SAMPLE_SLOWDOWN",
             "kernel/contention.MIN_SAMPLES",
             "kernel/contention.CONTENTION_RATIO",
-            "decisions/silence.TOLERATED_MISSED_ANSWERS",
+            "decisions/silence.MAX_TOLERATED_MISSED_ANSWERS",
             "decisions/silence.COST_PER_MISSED_ANSWER",
             "gateway/serving/job_factory.CROSS_ZONE_S",
             "gateway/serving/job_factory.CROSS_ZONE_S_PER_BYTE",
