--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -15,7 +15,7 @@
 
 #: Lower bound of the back-off before a write is retried, in seconds: half a second is
 #: far above a store's usual response time.
-MIN_PAUSE_S = 0.3
+MIN_BACKOFF_S = 0.3
 #: Upper bound of that back-off, in seconds: some retries fit into an order's last
 #: seconds.
 MAX_PAUSE_S = 2.0
@@ -52,7 +52,7 @@
         self._tasks = tasks
         self._is_writing = False
         self._next_at = ids.Instant(float("-inf"))
-        self._pauses = backoff.Backoff(gateway_state.rng, MIN_PAUSE_S, MAX_PAUSE_S)
+        self._pauses = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_PAUSE_S)
 
     @property
     def pending_state(self) -> sources.RolloutState | None:
