--- a/spindlenotch/gateway/rollout/status_writer.py
+++ b/spindlenotch/gateway/rollout/status_writer.py
@@ -18,7 +18,7 @@
 MIN_BACKOFF_S = 0.3
 #: Upper bound of that back-off, in seconds: some retries fit into an order's last
 #: seconds.
-MAX_PAUSE_S = 2.0
+MAX_BACKOFF_S = 2.0
 #: Seconds in which a written status should be read back from the source before it is
 #: written again, which would only cause a conflict.
 READ_BACK_S = 3.0
@@ -52,7 +52,7 @@
         self._tasks = tasks
         self._is_writing = False
         self._next_at = ids.Instant(float("-inf"))
-        self._pauses = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_PAUSE_S)
+        self._pauses = backoff.Backoff(gateway_state.rng, MIN_BACKOFF_S, MAX_BACKOFF_S)
 
     @property
     def pending_state(self) -> sources.RolloutState | None:
