--- a/spindlenotch/decisions/__init__.py
+++ b/spindlenotch/decisions/__init__.py
@@ -1,6 +1,6 @@
 """
 The decision logic: upstream selection, queueing, refusals, retries and hedges.
 
-Pure like ``spindlenotch.kernel``, whose state it uses; the selection policies register
-themselves in ``spindlenotch.selection``.
+Performs no I/O and reads no clock, like ``spindlenotch.kernel``, whose state it uses;
+the selection policies register themselves in ``spindlenotch.selection``.
 """
--- a/spindlenotch/decisions/admission.py
+++ b/spindlenotch/decisions/admission.py
@@ -1,9 +1,9 @@
 """
 Admission control: which calls wait, and which are refused on arrival or while queued.
 
-Applies the rules of ``queueing`` to the queue of one service and gives each
-refusal its reason and the instant from which to try again. Owns nothing: pool and
-queue belong to the balancer.
+Applies the rules of ``queueing`` to the queue of one service and gives each refusal its
+reason and the instant from which to retry. Owns nothing: pool and queue belong to the
+balancer.
 """
 
 from collections import abc
--- a/spindlenotch/decisions/availability.py
+++ b/spindlenotch/decisions/availability.py
@@ -1,9 +1,9 @@
 """
-When an upstream may take a call, and when a refused caller may try again.
+When an upstream may take a call, and when a refused caller may retry.
 
-Pure rules on the pool and the instant. Free slots are not considered: calls wait for
-one. What counts is whether an upstream is ejected, is cold, has asked for a pause or
-names a rate limit.
+Performs no I/O and reads no clock. Free slots are not considered: calls wait for one.
+What counts is whether an upstream is ejected, is cold, has asked for a backoff or
+advertises a rate limit.
 """
 
 from collections import abc
@@ -44,7 +44,7 @@
     pool: upstream_pool.Pool, free_at: ids.Instant, queued: int, now: ids.Instant
 ) -> ids.Instant:
     """
-    Return when the caller of a call that no upstream took may try again.
+    Return when the caller of a call that no upstream took may retry.
 
     ``free_at`` is from when an upstream is usable, NEVER if that is not known.
     """
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -148,7 +148,7 @@
         )
 
     def forget(self, call_id: ids.CallId) -> None:
-        """Drop the state kept for placing further tries of a call."""
+        """Drop the state kept for placing further attempts of a call."""
         self.attempted_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
         self.copies.forget(call_id)
@@ -174,8 +174,8 @@
         Refuse the waiting calls that will not get a slot in time.
 
         Called periodically while calls wait. They get their final answer now rather
-        than at the deadline, with the instant from which to try again. A call for
-        which another region has room is sent there instead.
+        than at the deadline, with the instant from which to retry. A call for which
+        another region has room is sent there instead.
         """
         return [
             self._remote_instead(settlement, now)
@@ -195,9 +195,9 @@
         self, grant: verdicts.Grant, now: ids.Instant, *, known_not_run: bool = False
     ) -> verdicts.Grant | None:
         """
-        Place another try of a failed call, if it is allowed one.
+        Place another attempt of a failed call, if it is allowed one.
 
-        ``known_not_run``: the upstream said that this try has not run and never
+        ``known_not_run``: the upstream said that this attempt has not run and never
         will, or no connection to it was made.
         """
         call = grant.call
@@ -251,7 +251,8 @@
         if again is None:
             return None
         call_id = before.call.id
-        # A retry follows a try that has ended; a hedge runs beside one that has not.
+        # A retry follows an attempt that has ended; a hedge runs beside one that has
+        # not.
         is_read = kind is verdicts.Kind.RETRY
         self.copies.record_first(
             call_id, before.upstream, before.sent_at, is_read=is_read
@@ -316,7 +317,7 @@
             self.pool.eject(upstream, ejection.SILENT, now)
 
     def next_retry_at(self, call: wait_queue.Call, now: ids.Instant) -> ids.Instant:
-        """Return when the caller of a call that no upstream took may try again."""
+        """Return when the caller of a call that no upstream took may retry."""
         free_at = self._usable_at(call, now)
         return availability.next_retry_at(self.pool, free_at, len(self.queue), now)
 
@@ -332,7 +333,7 @@
         now: ids.Instant,
         attempted: set[ids.UpstreamId],
     ) -> selection.Choice | None:
-        """Choose an upstream; a canary version gets first tries only."""
+        """Choose an upstream; a canary version gets first attempts only."""
         if self.split is None:
             return self.policy.choose(self.pool, call, now, attempted)
         if kind is verdicts.Kind.FIRST:
--- a/spindlenotch/decisions/evacuation.py
+++ b/spindlenotch/decisions/evacuation.py
@@ -4,7 +4,7 @@
 Handles the loss of a third of the upstreams at once while the others are busy. If all
 requests moved in one instant, they would be placed before the load reports of the other
 upstreams reflect them; spread over part of the operator's bound, they follow these
-reports. Pure.
+reports. Performs no I/O and reads no clock.
 """
 
 import zlib
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -10,7 +10,7 @@
 from spindlenotch.decisions import overload, silence
 from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
-#: Missed answers above which an upstream counts as stuck: if answers came at random, a
+#: Missed answers above which an upstream counts as hung: if answers came at random, a
 #: healthy one would miss that many with probability exp(-4), about 2 in 100.
 MAX_MISSED_ANSWERS = 4.0
 #: A call at a slowed upstream is hedged after this share of its typical latency.
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -29,9 +29,9 @@
 #: Answers at which an upstream's own latency ratio weighs as much as the mean of all.
 ANSWERS_TRUSTED = 10.0
 #: Cost of a failure for a repeatable call, as a multiple of its expected latency: the
-#: time until the failure is known, and another try. With a higher cost no repeatable
-#: call would try a failing upstream, and calls that may not be repeated would be the
-#: ones to detect that it fails.
+#: time until the failure is known, and another attempt. With a higher cost no
+#: repeatable call would be sent to a failing upstream, and calls that may not be
+#: repeated would be the ones to detect that it fails.
 REPEATABLE_COST = 0.7
 #: The same for a call that may not be repeated, and is lost.
 UNREPEATABLE_COST = 15.0
@@ -108,7 +108,8 @@
         options = _sample(pool, now, exclude)
     else:
         options = selection.eligible_among(pool.local_region_order, now, exclude)
-    # After its wait is over, a further try takes a slowed upstream rather than none.
+    # After its wait is over, a further attempt takes a slowed upstream rather than
+    # none.
     if exclude and now >= call.wait_until:
         return options
     return without_slowed(options, now)
@@ -152,8 +153,8 @@
     Return the upstreams that are not slowed, or all if all are slowed.
 
     While one that is not slowed may get room, a call waits for it, and is refused at
-    the end of its wait: otherwise a quarter of the first tries of a saturated service
-    would go to slowed upstreams.
+    the end of its wait: otherwise a quarter of the first attempts of a saturated
+    service would go to slowed upstreams.
     """
     others = [u for u in options if u.slowdown(now) <= upstreams.SLOWED_FACTOR]
     return others or options
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -3,8 +3,8 @@
 
 Handles a burst that fills the upstreams of one region while others have room. Of the
 upstreams in other regions only the mean load of the region is known, seconds old, and
-each byte sent there costs many times as much. Pure rules; ``least_latency`` applies
-them where the local region has no room.
+each byte sent there costs many times as much. Performs no I/O and reads no clock;
+``least_latency`` applies the rules where the local region has no room.
 """
 
 from spindlenotch import ids, selection
@@ -44,8 +44,8 @@
     Return whether a call that finds no room in its region may leave it.
 
     It may once it has waited as long as the cost of crossing, so that the total cost is
-    at most twice that of the better choice. A further try doesn't wait, nor does a call
-    whose region has no upstream that may take it.
+    at most twice that of the better choice. A further attempt doesn't wait, nor does a
+    call whose region has no upstream that may take it.
     """
     if not pool.remote_order:
         return False
@@ -136,7 +136,7 @@
     """
     Return the share of the local region's usable slots that are in use.
 
-    Slots left empty because of crowding don't count, nor do upstreams that are slowed
+    Slots left empty because of contention don't count, nor do upstreams that are slowed
     or ejected; 1 if there are no others.
     """
     healthy = [u for u in pool.local_region_order if _is_healthy(u, now)]
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -4,12 +4,12 @@
 An upstream may crash for unrelated reasons while it runs any request. A request that
 causes crashes does so each time: it is never answered, and each retry crashes another
 upstream. So a request is taken to be the cause once three upstreams have crashed while
-running it, not all of them during concurrent tries, and none has answered it since. A
-request that was lost in a crash is suspect until it is answered; meanwhile only one
-call at a time may try it.
+running it, not all of them during concurrent attempts, and none has answered it since.
+A request that was lost in a crash is suspect until it is answered; meanwhile only one
+call of it is sent at a time.
 
-Pure. Owns what this process knows of such requests; the crash notes of peers are merged
-into it.
+Performs no I/O and reads no clock. Owns what this process knows of such requests; the
+crash records of peers are merged into it.
 """
 
 import collections
@@ -23,13 +23,13 @@
 from spindlenotch.kernel import crash_records, fingerprints
 
 #: Crashed upstreams from which a request is quarantined: the smallest number that
-#: chance does not explain. Where 3 in 100 tries lose their upstream, as happens while
-#: such a request is sent, three in a row hit a harmless request with a probability of
-#: 3 in 10^5.
+#: chance does not explain. Where 3 in 100 attempts lose their upstream, as happens
+#: while such a request is sent, three in a row hit a harmless request with a
+#: probability of 3 in 10^5.
 MIN_CRASHED_UPSTREAMS = 3
-#: Crashes among these that must have happened one after the other, each during a try
-#: sent when the previous crash was known: upstreams that fail together, with their host
-#: or zone, fail during many concurrent tries of a popular request.
+#: Crashes among these that must have happened one after the other, each during an
+#: attempt sent when the previous crash was known: upstreams that fail together, with
+#: their host or zone, fail during many concurrent attempts of a popular request.
 MIN_CRASH_DEPTH = 2
 #: Seconds for which a request is quarantined: a day, in which operators see the event
 #: and can fix the upstreams.
@@ -42,9 +42,9 @@
 #: that detected it together one informs the others first.
 RECHECK_AFTER_S = 10.0
 #: Seconds for which a suspect request is remembered while nobody sends it: a rare one
-#: is identified from few tries, but tries an hour apart are weak evidence.
+#: is identified from few attempts, but attempts an hour apart are weak evidence.
 KEEP_SUSPECT_S = 3_600.0
-#: Seconds for which an answer to a request is remembered, so that crash notes of the
+#: Seconds for which an answer to a request is remembered, so that crash records of the
 #: previous round, which may be in transit for as long as gossip takes, do not count.
 KEEP_ANSWERED_S = 30.0
 #: Most requests that are remembered: each crash adds as many as the upstream was
@@ -65,7 +65,7 @@
 
 class CrashSnapshot(msgspec.Struct, frozen=True):
     """
-    What was known of a request when a try of it was sent.
+    What was known of a request when an attempt of it was sent.
 
     ``round`` and ``depth`` are those of its ``CrashRecord``.
     """
@@ -85,7 +85,7 @@
 
 
 class KeptRecord(msgspec.Struct):
-    """A crash note and when it expires."""
+    """A crash record and when it expires."""
 
     record: crash_records.CrashRecord
     until: ids.Instant
@@ -103,7 +103,7 @@
     ``changes`` are kept until they are taken out for the log. ``salt`` varies the delay
     of rechecks from process to process.
 
-    Invariant: while a note on a fingerprint is kept, its round never decreases, and
+    Invariant: while a record of a fingerprint is kept, its round never decreases, and
     within a round its depth never decreases.
     """
 
@@ -137,7 +137,9 @@
         )
 
     def snapshot(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
-        """Return what is known of a request, to be kept with a try that is sent now."""
+        """
+        Return what is known of a request, to be kept with an attempt that is sent now.
+        """
         record = self.record_of(fingerprint)
         return CrashSnapshot(
             record.round, record.depth + (fingerprint in self._checks_pending)
@@ -168,7 +170,7 @@
         now: ids.Instant,
     ) -> bool:
         """
-        Record that an upstream crashed during a try with this mark.
+        Record that an upstream crashed during an attempt with this snapshot.
 
         Return whether that changes what is known, like ``merge``.
         """
@@ -210,7 +212,7 @@
         until: ids.Instant = ids.NEVER,
     ) -> bool:
         """
-        Merge a crash note; return whether it changes what is known.
+        Merge a crash record; return whether it changes what is known.
 
         A quarantine that it begins ends at ``until``, or earlier.
         """
@@ -222,19 +224,19 @@
         return True
 
     def expire(self, now: ids.Instant) -> None:
-        """Drop expired notes and release requests whose quarantine is over."""
+        """Drop expired records and release requests whose quarantine is over."""
         kept = self.kept_by_fingerprint
         over = [name for name, one in kept.items() if one.until <= now]
         for fingerprint in over:
             if kept[fingerprint].status is CrashStatus.QUARANTINED:
-                # Begins a new round, so that notes of peers that have not released
+                # Begins a new round, so that records of peers that have not released
                 # the request yet do not quarantine it again.
                 self.clear(fingerprint, now)
             else:
                 self._forget(fingerprint)
 
     def quarantined(self) -> abc.Iterator[crash_records.CrashRecord]:
-        """Return the notes on all quarantined requests."""
+        """Return the records of all quarantined requests."""
         for kept in self.kept_by_fingerprint.values():
             if kept.status is CrashStatus.QUARANTINED:
                 yield kept.record
@@ -288,7 +290,7 @@
             del self._count_by_target[digits]
 
 
-#: Seconds for which a note is kept after its last change.
+#: Seconds for which a record is kept after its last change.
 KEEP_S_BY_STATUS = {
     CrashStatus.CLEAR: KEEP_ANSWERED_S,
     CrashStatus.SUSPECT: KEEP_SUSPECT_S,
@@ -297,7 +299,7 @@
 
 
 def status_of(record: crash_records.CrashRecord) -> CrashStatus:
-    """Return the status of a request with this crash note."""
+    """Return the status of a request with this crash record."""
     if not record.depth:
         return CrashStatus.CLEAR
     if record.depth >= MIN_CRASH_DEPTH and len(record.ended) >= MIN_CRASHED_UPSTREAMS:
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -1,16 +1,16 @@
 """
-When a call is queued, for how long, and when a refused caller should try again.
+When a call is queued, for how long, and when a refused caller should retry.
 
-Pure rules on the pool, queue, call and instant. They rely on ``upstream_pool`` for
-typical latencies and the completion rate, and on ``wait_queue`` for the order of the
-queue. ``Balancer`` applies them when a call is offered, when a slot becomes free and
-at each queue check.
+Performs no I/O and reads no clock. Relies on ``upstream_pool`` for typical latencies
+and the completion rate, and on ``wait_queue`` for the order of the queue. ``Balancer``
+applies the rules when a call is offered, when a slot becomes free and at each queue
+check.
 """
 
 from spindlenotch import ids
 from spindlenotch.kernel import outcomes, upstream_pool, wait_queue
 
-#: Shortest delay in seconds that a refused caller is given before it tries again.
+#: Shortest delay in seconds that a refused caller is given before it retries.
 MIN_RETRY_AFTER_S = 0.05
 #: Lowest completion rate, per second, that the estimate of a wait divides by, so that
 #: the estimate stays finite when nothing completes.
@@ -25,7 +25,7 @@
     Estimate the wait in seconds behind ``ahead`` calls.
 
     Calls get their turn as calls of this process complete, or, where all upstreams
-    name rate limits, at the rate that these allow. Zero until that rate is known.
+    advertise rate limits, at the rate that these allow. Zero until that rate is known.
     """
     turns = pool.dispatch_schedule(now)
     if turns is not None:
@@ -83,7 +83,7 @@
 
 def retry_at(pool: upstream_pool.Pool, queued: int, now: ids.Instant) -> ids.Instant:
     """
-    Return when a refused caller should try again.
+    Return when a refused caller should retry.
 
     That is when ``queued`` calls and one more are expected to have been served.
     """
--- a/spindlenotch/decisions/queueing_cost.py
+++ b/spindlenotch/decisions/queueing_cost.py
@@ -2,7 +2,7 @@
 The queueing cost model of the ``owned_slots`` policy.
 
 Unlike ``least_latency.expected_s`` it does not need reports of slowdowns: it uses
-queue, latency ratio, silence and zone only. Pure.
+queue, latency ratio, silence and zone only. Performs no I/O and reads no clock.
 """
 
 from spindlenotch import ids, selection
--- a/spindlenotch/decisions/retrying.py
+++ b/spindlenotch/decisions/retrying.py
@@ -12,21 +12,20 @@
 from spindlenotch.decisions import overload
 from spindlenotch.kernel import upstream_pool, wait_queue
 
-#: Tries without a connection that do not count against a call's limit. Not more,
-#: as each takes time, and where many upstreams have gone the news of that arrives
-#: sooner.
+#: Attempts without a connection that do not count against a call's limit. Not more, as
+#: each takes time, and where many upstreams have left or crashed, that is known sooner.
 MAX_UNREACHED = 3
 
 
 class Attempts(msgspec.Struct, frozen=True):
-    """The tries of a call: ``unreached`` of those ``sent`` got no connection."""
+    """The attempts of a call: ``unreached`` of those ``sent`` got no connection."""
 
     sent: int
     unreached: int
 
     @property
     def counted(self) -> int:
-        """Return how many tries count against the limit of the call."""
+        """Return how many attempts count against the limit of the call."""
         return self.sent - min(self.unreached, MAX_UNREACHED)
 
 
@@ -39,14 +38,14 @@
     known_not_run: bool,
 ) -> bool:
     """
-    Return whether a call may get another try.
-
-    Where it is positively known that the failed try has not run and never will, another
-    try cannot run the call twice and adds no work, so neither ``repeatable`` nor
-    failures of the whole service matter. A try without a connection does not count
-    against ``max_attempts``: while upstreams were going away, 23 of 1,920 requests were
-    lost on real gateways, 22 of them because their retry went to an upstream that had
-    just gone.
+    Return whether a call may get another attempt.
+
+    Where it is positively known that the failed attempt has not run and never will,
+    another attempt cannot run the call twice and adds no work, so neither
+    ``repeatable`` nor failures of the whole service matter. An attempt without a
+    connection does not count against ``max_attempts``: while upstreams were leaving, 23
+    of 1,920 requests were lost on real gateways, 22 of them because their retry went to
+    an upstream that had just left.
     """
     if call.deadline <= now or attempts.counted >= call.max_attempts:
         return False
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -33,7 +33,8 @@
     now: ids.Instant,
 ) -> bool:
     """
-    Return whether an upstream may have crashed since a try was sent at ``sent_at``.
+    Return whether an upstream may have crashed since an attempt was sent at
+    ``sent_at``.
 
     It may have if nothing was heard of it for longer than ``p95_s``, the 95th
     percentile of the latency in seconds: an upstream whose host fails closes no
--- a/spindlenotch/decisions/start_limit.py
+++ b/spindlenotch/decisions/start_limit.py
@@ -2,9 +2,9 @@
 How long a request may wait for an upstream, and whether it can meet its latency target.
 
 A request meets its target if it is answered within the target of its route, counted
-from its caller's first try. While it can, it may wait until the target would be missed,
-and it goes before requests that can't. Pure; used by the gateway, whose routes have
-targets.
+from its caller's first attempt. While it can, it may wait until the target would be
+missed, and it goes before requests that can't. Performs no I/O and reads no clock. Used
+by the gateway, whose routes have targets.
 """
 
 import msgspec
@@ -56,7 +56,7 @@
     Return the start limit of a request that arrives now.
 
     ``target_s`` is the route's target, ``age_s`` the time since the caller's first
-    try, ``typical_s`` the typical latency of such requests; all in seconds.
+    attempt, ``typical_s`` the typical latency of such requests; all in seconds.
 
     The wait is what remains of the target after the typical latency.
     """
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -1,15 +1,15 @@
 """
 Traffic split between versions of a service during a canary rollout.
 
-The version that is rolled out (the target) gets a bounded share of first tries. Each
+The version that is rolled out (the target) gets a bounded share of first attempts. Each
 process counts from zero and never resets the counts: as the bound holds in each process
 at any time, it holds for their sum without any coordination. A few upstreams of the
 target (the canaries), the same in all processes, get those calls, so that each carries
 as much as one of the others does; with a small fraction of that, nothing would be
 learnt of its behaviour under load.
 
-Pure. Owns the counts of one service and one target in one process. Results of calls are
-passed to an ``Observer``, which evaluates the target.
+Performs no I/O and reads no clock. Owns the counts of one service and one target in one
+process. Results of calls are passed to an ``Observer``, which evaluates the target.
 """
 
 import enum
@@ -71,7 +71,7 @@
 
 
 class Exclusion:
-    """The upstreams that a call was sent to before, and those barred by the split."""
+    """The upstreams that a call was sent to before, and those excluded by the split."""
 
     __slots__ = ("attempted", "excluded")
 
@@ -98,9 +98,9 @@
     Invariants: with ``SHARED``, the calls ``sent`` to the target are at most ``share``
     times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing is placed
     on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing is ever placed on
-    versions that are ``excluded_versions``. ``deprioritized`` upstreams of the target
-    are canaries only if too few others are left. ``key`` seeds the choice of the
-    canaries; it is the same in all processes.
+    ``excluded_versions``. ``deprioritized`` upstreams of the target are canaries only
+    if too few others are left. ``key`` seeds the choice of the canaries; it is the same
+    in all processes.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
     def choose_target(
         self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
     ) -> selection.Choice | None:
-        """Choose a canary for a call's first try, if the target is due a call."""
+        """Choose a canary for a call's first attempt, if the target is due a call."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
             return None
         self._refresh(pool)
@@ -205,7 +205,9 @@
         return usable[:count]
 
     def _refresh(self, pool: upstream_pool.Pool) -> None:
-        """Recompute the barred upstreams and canaries if the pool or access changed."""
+        """
+        Recompute the excluded upstreams and canaries if the pool or access changed.
+        """
         if pool.revision == self._pool_revision and self.access is self._excluded_for:
             return
         self._pool_revision = pool.revision
--- a/spindlenotch/decisions/verdicts.py
+++ b/spindlenotch/decisions/verdicts.py
@@ -16,7 +16,7 @@
 
 
 class Kind(enum.Enum):
-    """The kind of try that a grant is for."""
+    """The kind of attempt that a grant is for."""
 
     FIRST = "first"
     RETRY = "retry"
@@ -30,7 +30,7 @@
     The state of the upstream is that at ``sent_at``: ``slowdown`` is the factor by
     which it was slowed, ``load`` the estimated number of requests in it, this one
     included, ``to_cold`` whether it counted as cold. ``taken_from`` is the part of the
-    budget that a retry or a hedge was taken from; None for a first try, and for a
+    budget that a retry or a hedge was taken from; None for a first attempt, and for a
     retry that takes nothing from a budget.
     """
 
