--- a/spindlenotch/forwarding/attempts.py
+++ b/spindlenotch/forwarding/attempts.py
@@ -41,7 +41,7 @@
     def leave_upstream(
         self, service: ids.ServiceName, spec: upstreams.UpstreamSpec, reason: str
     ) -> bool:
-        """Stop sending an upstream new requests; tell whether it got any before."""
+        """Stop sending an upstream new requests; return whether it got any before."""
 
 
 class Attempts:
@@ -202,7 +202,7 @@
             self._reason = end.reason
 
     async def _retry(self, grant: verdicts.Grant, *, known_not_run: bool) -> bool:
-        """Retry a failed attempt if that is allowed; tell whether it was."""
+        """Retry a failed attempt if that is allowed; return whether it was."""
         retry = await self.next_grant(grant, known_not_run=known_not_run)
         if retry is None:
             return False
@@ -223,7 +223,7 @@
         return self.job.balancer.retry(failed, now, known_not_run=known_not_run)
 
     async def _may_retry_suspect(self) -> bool:
-        """Tell whether a retry is allowed if the request may crash its upstream."""
+        """Return whether a retry is allowed if the request may crash its upstream."""
         if self.trials.status(self.job) is quarantine.CrashStatus.CLEAR:
             return True
         if self._grant_by_task or not self.crash_detector.snapshots.may_retry(
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -3,7 +3,7 @@
 
 The only place that decides whether an attempt was answered, definitely did not run or
 may have run, which reason a refusal then gives, and which result the balancer records
-for the upstream. Pure: no input or output, no clock.
+for the upstream. Performs no I/O and reads no clock.
 """
 
 import msgspec
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -32,7 +32,7 @@
 #: Logged reason for ejecting a crashed upstream.
 EJECTION_REASON = "gone"
 
-#: Called with each crash note that must be sent to peers.
+#: Called with each crash record that must be sent to peers.
 CrashRecordListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
@@ -94,11 +94,11 @@
         self._listeners: list[CrashRecordListener] = []
 
     def add_listener(self, listener: CrashRecordListener) -> None:
-        """Call ``listener`` with each note that this process changes."""
+        """Call ``listener`` with each record that this process changes."""
         self._listeners.append(listener)
 
     def publish_records(self, request_fingerprints: fingerprints.Fingerprints) -> None:
-        """Pass the crash notes of a request to the listeners."""
+        """Pass the crash records of a request to the listeners."""
         for fingerprint in request_fingerprints.as_tuple():
             self._publish_record(fingerprint)
 
--- a/spindlenotch/forwarding/jobs.py
+++ b/spindlenotch/forwarding/jobs.py
@@ -64,7 +64,7 @@
 
     @property
     def is_body_buffered(self) -> bool:
-        """Tell whether the whole body is in memory, so that it can be sent again."""
+        """Return whether the whole body is in memory, so that it can be sent again."""
         return self.body is None or isinstance(self.body, bytes)
 
 
--- a/spindlenotch/forwarding/recent_answers.py
+++ b/spindlenotch/forwarding/recent_answers.py
@@ -4,7 +4,7 @@
 A request that crashes its upstreams is never answered. One that was answered a moment
 ago is therefore not the cause of a crash: frequent requests are often in flight at an
 upstream that another request crashes. Entries are held in two generations; the older
-one is dropped periodically. Pure.
+one is dropped periodically. Performs no I/O and reads no clock.
 """
 
 from spindlenotch import ids
@@ -33,7 +33,7 @@
         self._new.add(_key(job))
 
     def contains(self, job: jobs.Job, now: ids.Instant) -> bool:
-        """Tell whether an identical request was answered recently."""
+        """Return whether an identical request was answered recently."""
         if now >= self._rotate_at:
             self._rotate(now)
         key = _key(job)
--- a/spindlenotch/forwarding/sending.py
+++ b/spindlenotch/forwarding/sending.py
@@ -77,7 +77,7 @@
             needs_new_connection=job.needs_new_connection,
             may_send=lambda: (
                 steady_clock.now() < deadline
-                # The upstream may have asked for a pause while connecting.
+                # The upstream may have asked for a backoff while connecting.
                 and not grant.upstream.backpressure.in_backoff(steady_clock.now())
             ),
         )
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -41,7 +41,7 @@
     call: ids.CallId
     until: ids.Instant
     ended: asyncio.Event
-    #: Whether this is the single further trial that a quarantined request gets.
+    #: Whether this is the recheck, the one further call of a quarantined request.
     is_recheck: bool = False
 
 
--- a/spindlenotch/gateway/quarantine/registry.py
+++ b/spindlenotch/gateway/quarantine/registry.py
@@ -2,8 +2,8 @@
 The quarantined requests of one gateway, kept in step with those in the source.
 
 Owns the copy of the records that the source holds; the rules are in
-``decisions.quarantine``. No I/O except reading the clock: records carry the wall-clock
-time at which they expire.
+``decisions.quarantine``. Performs no I/O but reads the clock, as records carry the
+wall-clock time at which they expire.
 """
 
 from collections import abc
@@ -56,7 +56,7 @@
             self.stored_by_fingerprint[stored.note.fingerprint] = stored
             remaining_s = stored.until_unix_s - self.clock.unix_s()
             if not stored.note.depth:
-                # The quarantine has ended: older notes of it no longer count.
+                # The quarantine has ended: older records of it no longer count.
                 self.known.merge(stored.note, now)
             elif remaining_s > 0.0:
                 self.known.merge(stored.note, now, ids.later(now, remaining_s))
--- a/spindlenotch/gateway/quarantine/sharing.py
+++ b/spindlenotch/gateway/quarantine/sharing.py
@@ -1,11 +1,12 @@
 """
-Exchanges notes on requests that crash upstreams with other gateways.
-
-A new note is sent at once to the active gateways, those of other regions included, and
-goes with all gossip for some seconds. A new quarantine is announced to every gateway by
-those that detected it. After that each message carries one quarantined request in
-rotation, so that a gateway that was partitioned or has just started learns all of them.
-Relies on ``forwarding.crash_watch`` for the crashes that this gateway observes itself.
+Exchanges crash records with other gateways.
+
+A new record is sent at once to the active gateways, those of other regions included,
+and goes with all gossip for some seconds. A new quarantine is announced to every
+gateway by those that detected it. After that each message carries one quarantined
+request in rotation, so that a gateway that was partitioned or has just started learns
+all of them. Relies on ``forwarding.crash_watch`` for the crashes that this gateway
+observes itself.
 """
 
 import asyncio
@@ -20,15 +21,15 @@
 
 #: Seconds between two updates: the period of the shortest loops, which wake together.
 PERIOD_S = 0.2
-#: Seconds for which all messages carry a note that has changed: several gossip periods,
-#: in which every member of a large fleet is contacted by several others.
+#: Seconds for which all messages carry a record that has changed: several gossip
+#: periods, in which every member of a large fleet is contacted by several others.
 RECENT_S = 5.0
 #: Updates in which a quarantine is announced to every gateway, as datagrams get lost.
 ANNOUNCE_ROUNDS = 2
 
 
 class QuarantineSharing:
-    """Sends and receives crash notes; logs which requests are quarantined."""
+    """Sends and receives crash records; logs which requests are quarantined."""
 
     def __init__(
         self,
@@ -60,7 +61,9 @@
             await self.state.wakeups.sleep(PERIOD_S)
 
     def update(self) -> None:
-        """Expire old notes, log changes and choose the notes that gossip carries."""
+        """
+        Expire old records, log changes and choose the records that gossip carries.
+        """
         now = self.state.clock.now()
         self.known.expire(now)
         self.crash_detector.clear_false_alarms()
@@ -77,7 +80,7 @@
     def message_received(
         self, message: messages.Message, handled: gossip.Handled
     ) -> None:
-        """Merge the notes in a peer's message."""
+        """Merge the records in a peer's message."""
         now = self.state.clock.now()
         for record in message.crashes:
             if self.known.merge(record, now):
@@ -114,7 +117,7 @@
     # Sending
 
     def _add_record(self, record: crash_records.CrashRecord) -> None:
-        """Queue a note of this gateway, to be sent with those of the same moment."""
+        """Queue a record of this gateway, to be sent with those of the same moment."""
         if not self._unsent_records:
             asyncio.get_running_loop().call_soon(self._send_unsent_records)
         self._unsent_records[record.fingerprint] = record
@@ -127,7 +130,7 @@
         self._send(records, self._active_addresses())
 
     def _records_to_gossip(self) -> tuple[crash_records.CrashRecord, ...]:
-        """Return recently changed notes and one quarantined request in rotation."""
+        """Return recently changed records and one quarantined request in rotation."""
         max_records = messages.CRASH_NOTES_PER_MESSAGE - 1
         newest = list(self._recent_until)[-max_records:]
         records = {
