--- a/spindlenotch/gateway/cluster/report_filter.py
+++ b/spindlenotch/gateway/cluster/report_filter.py
@@ -17,7 +17,7 @@
 #: then the slowdown that it told counts for two thirds (``SLOWDOWN_DECAY_S``).
 REPEAT_S = 0.2
 #: Slowdowns within this share of each other count as the same. Below
-#: ``soonest.EQUAL_COST_SHARE`` they never decide.
+#: ``least_latency.EQUAL_COST_SHARE`` they never decide.
 SAME_SLOWDOWN_SHARE = 0.08
 #: Reports older than this are not passed on.
 MOST_AGE_S = 0.5
--- a/spindlenotch/gateway/rollout/analysis.py
+++ b/spindlenotch/gateway/rollout/analysis.py
@@ -6,7 +6,7 @@
 (``others_rates``). So faults that affect all versions, and a gateway with a bad link,
 are no evidence against the target.
 
-Pure. ``evidence_merging`` provides the new counts.
+Performs no I/O and reads no clock. ``evidence_merging`` provides the new counts.
 """
 
 import msgspec
--- a/spindlenotch/gateway/rollout/decider_rules.py
+++ b/spindlenotch/gateway/rollout/decider_rules.py
@@ -1,9 +1,10 @@
 """
 Which gateway decides on an order, and which status it writes.
 
-Pure. The decider is the first by rendezvous hashing of the ready gateways, standby ones
-before active ones. Different views may give two deciders for a while, which does no
-harm: status writes are conditional, and states only move forward.
+Performs no I/O and reads no clock. The decider is the first by rendezvous hashing of
+the ready gateways, standby ones before active ones. Different views may give two
+deciders for a while, which does no harm: status writes are conditional, and states only
+move forward.
 """
 
 import random
--- a/spindlenotch/gateway/rollout/evidence.py
+++ b/spindlenotch/gateway/rollout/evidence.py
@@ -1,9 +1,9 @@
 """
 Counts of a service's calls in one process since an order, by version and route.
 
-Pure. Owns the counts and the record in which they are sent to peers. Each upstream of
-the target is counted separately, so that a few bad ones are not mistaken for a bad
-version.
+Performs no I/O and reads no clock. Owns the counts and the record in which they are
+sent to peers. Each upstream of the target is counted separately, so that a few bad ones
+are not mistaken for a bad version.
 """
 
 import statistics
--- a/spindlenotch/gateway/rollout/evidence_merging.py
+++ b/spindlenotch/gateway/rollout/evidence_merging.py
@@ -1,9 +1,9 @@
 """
 Combines the evidence of all gateways, counting none of it twice.
 
-Pure. Records are cumulative since the order, so the newest record of each process
-replaces its earlier ones and only the difference is new; a restarted process is another
-process. Owns the newest record of each process.
+Performs no I/O and reads no clock. Records are cumulative since the order, so the
+newest record of each process replaces its earlier ones and only the difference is new;
+a restarted process is another process. Owns the newest record of each process.
 """
 
 from collections import abc
--- a/spindlenotch/gateway/rollout/orders.py
+++ b/spindlenotch/gateway/rollout/orders.py
@@ -3,7 +3,8 @@
 
 Owns the deadline of each order as an instant of this host's clock: the source states
 for how long an order may run, peers how much of that is left. Converts orders and
-statuses to marks on the upstream list that is sent to peers, and back. Pure.
+statuses to marks on the upstream list that is sent to peers, and back. Performs no I/O
+and reads no clock.
 """
 
 from collections import abc
--- a/spindlenotch/gateway/rollout/others_rates.py
+++ b/spindlenotch/gateway/rollout/others_rates.py
@@ -1,10 +1,11 @@
 """
 Baseline rates of failures and slow answers: those of the other versions now.
 
-Pure. The rate is the higher of two: on the same route in the fleet, and at the
-reporting gateway, whose link may be bad. One such gateway is left out of the fleet's
-rate, or it would hide what a bad version does elsewhere. Rates follow short-term
-changes, up and down; the long-term rate is bounded, so that a past fault hides nothing.
+Performs no I/O and reads no clock. The rate is the higher of two: on the same route in
+the fleet, and at the reporting gateway, whose link may be bad. One such gateway is left
+out of the fleet's rate, or it would hide what a bad version does elsewhere. Rates
+follow short-term changes, up and down; the long-term rate is bounded, so that a past
+fault hides nothing.
 """
 
 import enum
--- a/spindlenotch/gateway/rollout/promotion.py
+++ b/spindlenotch/gateway/rollout/promotion.py
@@ -1,9 +1,9 @@
 """
 When a service's calls move to the target of an order, and when that is completed.
 
-Pure. Promotion is as late as possible: until then a target that turns bad has had no
-more than its share. It is early enough for the others' calls in flight to end within
-the order's time.
+Performs no I/O and reads no clock. Promotion is as late as possible: until then a
+target that turns bad has had no more than its share. It is early enough for the others'
+calls in flight to end within the order's time.
 """
 
 import enum
--- a/spindlenotch/gateway/rollout/registry.py
+++ b/spindlenotch/gateway/rollout/registry.py
@@ -2,7 +2,7 @@
 The rollout runs of this process, in step with orders, statuses and balancers.
 
 Owns one run for each service that has an order, or whose order was withdrawn while
-upstreams of its target are left. No I/O except log events.
+upstreams of its target are left. Performs no I/O except for log events.
 """
 
 from collections import abc
--- a/spindlenotch/gateway/rollout/runs.py
+++ b/spindlenotch/gateway/rollout/runs.py
@@ -3,7 +3,7 @@
 
 Owns the split of the service's calls, the counts since the order and the phase. Phases
 only move forward: running, promoting, rolled back; a final status of the source comes
-last. No I/O; ``registry`` creates runs, ``loop`` drives them.
+last. Performs no I/O; ``registry`` creates runs, ``loop`` drives them.
 """
 
 import msgspec
--- a/spindlenotch/gateway/rollout/sequential_test.py
+++ b/spindlenotch/gateway/rollout/sequential_test.py
@@ -2,7 +2,8 @@
 A sequential test whether a version fails more often than the others: CUSUM.
 
 Sums the log-likelihood ratio of "the version is bad" to "it is as good as the others",
-and restarts at zero whenever the sum favours the version. Pure.
+and restarts at zero whenever the sum favours the version. Performs no I/O and reads no
+clock.
 """
 
 import math
--- a/spindlenotch/gateway/rollout/usual_times.py
+++ b/spindlenotch/gateway/rollout/usual_times.py
@@ -1,8 +1,9 @@
 """
 Mean latency of a service's calls at the versions that an order replaces.
 
-Pure. The target must not be measured against its own answers, nor for long against the
-default that a process starts with. Owns one estimate for each route.
+Performs no I/O and reads no clock. The target must not be measured against its own
+answers, nor for long against the default that a process starts with. Owns one estimate
+for each route.
 """
 
 from spindlenotch.kernel import latency
--- a/spindlenotch/kernel/__init__.py
+++ b/spindlenotch/kernel/__init__.py
@@ -1,5 +1,5 @@
 """
 The kernel: the state of upstreams and services, and the pure rules over it.
 
-Nothing here does I/O or reads a clock; the caller passes in the current instant.
+Performs no I/O and reads no clock; the caller passes in the current instant.
 """
--- a/spindlenotch/kernel/backoff.py
+++ b/spindlenotch/kernel/backoff.py
@@ -1,8 +1,8 @@
 """
 Exponential backoff with jitter.
 
-The jitter keeps the processes of a fleet from retrying at the same moment. Pure
-except for the random number generator that the caller passes in.
+The jitter keeps the processes of a fleet from retrying at the same moment. Performs no
+I/O and reads no clock; the caller passes in the random number generator.
 """
 
 import random
--- a/spindlenotch/kernel/backpressure.py
+++ b/spindlenotch/kernel/backpressure.py
@@ -2,8 +2,8 @@
 Backpressure that an upstream signals in its responses.
 
 ``Signals`` are the signals of one response, decoded by the protocol's dialect;
-``Backpressure`` is what one process has learned from those of one upstream. Pure:
-every method takes the instant.
+``Backpressure`` is what one process has learned from those of one upstream. Performs no
+I/O and reads no clock: every method takes the instant.
 """
 
 import enum
@@ -62,7 +62,7 @@
     """
     The backpressure of one upstream as one process knows it.
 
-    Once set, ``is_leaving`` holds for the rest of this start of the upstream.
+    Once set, ``is_leaving`` holds for the rest of this incarnation of the upstream.
     ``backoff_until`` is when it may be sent requests again.
     """
 
@@ -74,12 +74,12 @@
         self._unreadable_names: set[str] = set()
 
     def in_backoff(self, now: ids.Instant) -> bool:
-        """Tell whether it has asked this process to send nothing for now."""
+        """Return whether it has asked this process to send nothing for now."""
         return now < self.backoff_until
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether it may be sent one more request.
+        Return whether it may be sent one more request.
 
         An upstream that rejects requests responds at once, and would otherwise seem to
         have all its slots free. ``read_until``: the upstream has read everything sent
--- a/spindlenotch/kernel/budgets.py
+++ b/spindlenotch/kernel/budgets.py
@@ -1,8 +1,8 @@
 """
 Budgets: upper bounds that hold for any order of events.
 
-Pure arithmetic over instants that the caller passes in. Retries and hedges are
-bounded to a share of ordinary traffic, probes and claims to a rate.
+Performs no I/O and reads no clock: the caller passes in the instants. Retries and
+hedges are bounded to a share of ordinary traffic, probes and claims to a rate.
 """
 
 import collections
@@ -39,7 +39,7 @@
 
 
 class ExtraBudget(typing.Protocol):
-    """Bounds the requests sent beyond the first try of each: retries and hedges."""
+    """Bounds the requests sent beyond the first attempt of each: retries and hedges."""
 
     @property
     def balance(self) -> float:
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -49,16 +49,16 @@
         return self._pacer.part_per_s
 
     def is_cold(self, now: ids.Instant) -> bool:
-        """Tell whether it is cold."""
+        """Return whether it is cold."""
         return now < self.until
 
     def may_ever_send(self, now: ids.Instant) -> bool:
-        """Tell whether this process may send it requests in its present state."""
+        """Return whether this process may send it requests in its present state."""
         return now >= self.until or self.rate_per_s > 0.0
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether this process may send it one more request.
+        Return whether this process may send it one more request.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
--- a/spindlenotch/kernel/completion_rate.py
+++ b/spindlenotch/kernel/completion_rate.py
@@ -2,8 +2,8 @@
 The completion rate of one service's requests in this process.
 
 While requests are queued, the rate at which others complete is the rate at which the
-queue is served, whatever share of the upstreams' slots other processes take. Pure;
-the balancer reports each completion.
+queue is served, whatever share of the upstreams' slots other processes take. Performs
+no I/O and reads no clock; the balancer reports each completion.
 """
 
 from spindlenotch import ids
--- a/spindlenotch/kernel/contention.py
+++ b/spindlenotch/kernel/contention.py
@@ -1,10 +1,10 @@
 """
 Learns whether the upstreams of a service are slower when nearly full.
 
-Pure. Compares the latency of requests that began and ended at a nearly full
-upstream with that of requests that began and ended at a less loaded one, both only
-while the upstream reported no slowdown. Where using the last slots slows all
-requests down so much that throughput drops, they are better left empty.
+Performs no I/O and reads no clock. Compares the latency of requests that began and
+ended at a nearly full upstream with that of requests that began and ended at a less
+loaded one, both only while the upstream reported no slowdown. Where using the last
+slots slows all requests down so much that throughput drops, they are better left empty.
 
 When a service is saturated, all its upstreams are full and there is nothing to
 compare with: until there are enough samples, the last slots of every other upstream
@@ -14,7 +14,7 @@
 from spindlenotch.kernel import latency
 
 #: Share of its slots in use above which an upstream counts as nearly full. This is
-#: where slots stop being used, unlike the share from which ``soonest`` expects a
+#: where slots stop being used, unlike the share from which ``least_latency`` expects a
 #: slowdown (``SLOWER_FROM_SHARE``).
 NEARLY_FULL = 0.75
 #: Highest reported slowdown, as a factor, at which a request is a sample.
--- a/spindlenotch/kernel/copy_tracker.py
+++ b/spindlenotch/kernel/copy_tracker.py
@@ -5,8 +5,8 @@
 reads what was sent to it when it resumes, even over a connection that was closed or
 reset in the meantime: a copy cannot be recalled. So the repeats of a request, its
 copies beyond the first, have all arrived only once all copies but one are known to be
-read; until then they may arrive at any time. Pure; relies on ``upstreams`` for what
-has been read.
+read; until then they may arrive at any time. Performs no I/O and reads no clock. Relies
+on ``upstreams`` for what has been read.
 """
 
 import msgspec
--- a/spindlenotch/kernel/crash_records.py
+++ b/spindlenotch/kernel/crash_records.py
@@ -19,7 +19,7 @@
     A request and the upstreams that crashed under it.
 
     An answer begins a new ``round``: what was known before counts no longer. ``depth``
-    is the length of the chain of crashes, each under a try that was sent when
+    is the length of the chain of crashes, each under an attempt sent when
     the one before was known. ``ended`` are some upstreams that ended in this round.
     ``is_retried``: since then the request was sent once more, to test it.
     """
--- a/spindlenotch/kernel/ejection.py
+++ b/spindlenotch/kernel/ejection.py
@@ -16,10 +16,10 @@
 #: Consecutive ejections are counted up to this number: the duration has long reached
 #: ``MAX_EJECTION_S`` by then, and the power of two stays small.
 MAX_EJECTIONS_COUNTED = 10
-#: Silence after which an upstream counts as frozen, as a multiple of the 95th
-#: percentile of the latency.
+#: Silence after which an upstream counts as hung, as a multiple of the 95th percentile
+#: of the latency.
 HUNG_P95_FACTOR = 3.0
-#: Shortest silence after which an upstream counts as frozen, in seconds.
+#: Shortest silence after which an upstream counts as hung, in seconds.
 MIN_HUNG_SILENCE_S = 0.25
 #: Reason to eject an upstream whose responses are overdue for too long.
 SILENT = "silent"
@@ -50,13 +50,13 @@
 
 
 def is_hung(silent_s: float, p95_s: float) -> bool:
-    """Tell whether only a hung upstream explains such a silence."""
+    """Return whether only a hung upstream explains such a silence."""
     return silent_s > max(MIN_HUNG_SILENCE_S, HUNG_P95_FACTOR * p95_s)
 
 
 def may_eject(ejected: int, usable: int, eject_share: float) -> bool:
     """
-    Tell whether one more may be ejected besides ``ejected`` of ``usable``.
+    Return whether one more may be ejected besides ``ejected`` of ``usable``.
 
     When most of a pool seems bad, the cause is rarely the upstreams, and the
     rest could not carry the load.
--- a/spindlenotch/kernel/failure_share.py
+++ b/spindlenotch/kernel/failure_share.py
@@ -1,9 +1,9 @@
 """
 The share of its recent requests that an upstream fails.
 
-Covers an upstream that fails some of its requests while it answers its probes:
-ejection needs several consecutive failures, which such an upstream seldom shows. Pure;
-times come from the caller.
+Covers an upstream that fails some of its requests while it answers its probes: ejection
+needs several consecutive failures, which such an upstream seldom shows. Performs no I/O
+and reads no clock: the caller passes in the instants.
 """
 
 from spindlenotch import ids
--- a/spindlenotch/kernel/fingerprints.py
+++ b/spindlenotch/kernel/fingerprints.py
@@ -2,7 +2,8 @@
 Fingerprints that identify a request across resends.
 
 A resent request has a new id and may come over another connection or to another
-process. Its method, host, target and body stay the same, and usually its caller. Pure.
+process. Its method, host, target and body stay the same, and usually its caller.
+Performs no I/O and reads no clock.
 """
 
 import hashlib
--- a/spindlenotch/kernel/hearing.py
+++ b/spindlenotch/kernel/hearing.py
@@ -2,8 +2,8 @@
 When one process last heard from an upstream, and how long a response is overdue.
 
 A cancelled attempt leaves behind the time for which it waited: otherwise, where
-requests have short deadlines, a hung upstream would never be seen as silent. Pure;
-every method takes the instant.
+requests have short deadlines, a hung upstream would never be seen as silent. Performs
+no I/O and reads no clock: every method takes the instant.
 """
 
 from spindlenotch import ids
@@ -33,7 +33,7 @@
         self.probed_at = LONG_AGO
 
     def is_recent(self, now: ids.Instant) -> bool:
-        """Tell whether upstreams are being probed, as far as this process knows."""
+        """Return whether upstreams are being probed, as far as this process knows."""
         return now - self.probed_at <= MAX_REPORT_INTERVAL_S
 
 
@@ -109,15 +109,15 @@
 
     @property
     def has_unanswered_attempts(self) -> bool:
-        """Tell whether attempts were cancelled since the upstream last responded."""
+        """Return whether attempts were cancelled since the upstream last responded."""
         return self._cancelled_wait_s > 0.0
 
     def was_probed(self) -> bool:
-        """Tell whether probes reported it shortly before its response became due."""
+        """Return whether probes reported it shortly before its response became due."""
         return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S
 
     def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
-        """Tell whether probes report others, but not this one after ``since``."""
+        """Return whether probes report others, but not this one after ``since``."""
         return self.probed_at <= since and self.probing.is_recent(now)
 
     def _decayed_wait_s(self, now: ids.Instant) -> float:
--- a/spindlenotch/kernel/hostlist.py
+++ b/spindlenotch/kernel/hostlist.py
@@ -2,7 +2,8 @@
 The platform's host list: the hosts and their states.
 
 The list lags behind the hosts: an upstream that reports that it is draining, or for
-which a peer has sent a drain notice, is leaving whatever the list says. Pure.
+which a peer has sent a drain notice, is leaving whatever the list says. Performs no I/O
+and reads no clock.
 """
 
 import enum
--- a/spindlenotch/kernel/named_limit.py
+++ b/spindlenotch/kernel/named_limit.py
@@ -3,7 +3,7 @@
 
 The limit applies to all processes together, for as long as the upstream's responses
 advertise it. Processes that learn of it notify the others; ``shared_rate`` decides who
-sends how much. Pure.
+sends how much. Performs no I/O and reads no clock.
 """
 
 from spindlenotch import ids
@@ -86,7 +86,7 @@
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may be sent.
+        Return whether one more request may be sent.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -61,7 +61,7 @@
     REGION_NOT_ALLOWED = "region-not-allowed"
     #: Upstreams crash when they run the request.
     QUARANTINED = "quarantined"
-    #: An upstream crashed on the request, and another call is still trying it.
+    #: An upstream crashed on the request, and another call of it is on trial.
     ON_TRIAL = "on-trial"
 
 
--- a/spindlenotch/kernel/ownership.py
+++ b/spindlenotch/kernel/ownership.py
@@ -1,11 +1,11 @@
 """
 Deterministic subsetting: which slots of which upstreams a member owns.
 
-All members sort the same upstreams in the same order and divide their slots into
-equal parts, so that nearly all work in a slot comes from one member, whose own
-count of outstanding requests is then nearly exact. Ownership is a preference and not
-exclusive: members with different lists share some slots, which shows in the load
-reports. A wrong division is safe. Pure.
+All members sort the same upstreams in the same order and divide their slots into equal
+parts, so that nearly all work in a slot comes from one member, whose own count of
+outstanding requests is then nearly exact. Ownership is a preference and not exclusive:
+members with different lists share some slots, which shows in the load reports. A wrong
+division is safe. Performs no I/O and reads no clock.
 """
 
 from collections import abc
--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -1,7 +1,8 @@
 """
-Regions: groups of availability zones that are near each other.
+Regions: groups of availability zones that are close to each other.
 
-Pure values from the settings. If no region is set, all zones are in the same one.
+Performs no I/O and reads no clock: the regions are values from the settings. If no
+region is set, all zones are in the same one.
 """
 
 import enum
--- a/spindlenotch/kernel/rendezvous.py
+++ b/spindlenotch/kernel/rendezvous.py
@@ -1,9 +1,9 @@
 """
 Assignment of tasks to hosts by rendezvous hashing.
 
-Pure. Processes with the same view of the members compute the same assignment. While
-views differ, too many or too few hosts may have a task: every task that is assigned
-here must be harmless then.
+Performs no I/O and reads no clock. Processes with the same view of the members compute
+the same assignment. While views differ, too many or too few hosts may have a task:
+every task that is assigned here must be harmless then.
 """
 
 import functools
--- a/spindlenotch/kernel/said.py
+++ b/spindlenotch/kernel/said.py
@@ -2,7 +2,8 @@
 Backpressure signals of upstreams, kept independently of their entries in the host list.
 
 An entry disappears while the source is unavailable or rewrites it, and returns later;
-what the upstream signalled still holds then. Owns the signals by upstream. Pure.
+what the upstream signalled still holds then. Owns the signals by upstream. Performs no
+I/O and reads no clock.
 """
 
 from collections import abc
@@ -18,7 +19,7 @@
 
 
 class _Entry(msgspec.Struct):
-    """The signals of one start of an upstream, and until when they are kept."""
+    """The signals of one incarnation of an upstream, and until when they are kept."""
 
     born: int | None
     pressure: backpressure.Backpressure
@@ -26,14 +27,14 @@
 
 
 class BackpressureRegistry:
-    """The signals to ``local_host`` of each start of the upstreams of one service."""
+    """The signals to ``local_host``, by incarnation of one service's upstreams."""
 
     def __init__(self, local_host: ids.HostId) -> None:
         self.local_host = local_host
         self._entry_by_id: dict[ids.UpstreamId, _Entry] = {}
 
     def get(self, spec: upstreams.UpstreamSpec) -> backpressure.Backpressure:
-        """Return the signals of this start of an upstream; none if it is new."""
+        """Return the signals of this incarnation of an upstream; none if it is new."""
         entry = self._entry_by_id.get(spec.id)
         if entry is None or entry.born != spec.born:
             participant = shared_rate.Participant(spec.id, spec.zone, self.local_host)
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -6,7 +6,8 @@
 rendezvous hashing. A process that becomes a holder waits until the requests of the
 earlier one no longer count, so that the total holds while views differ for as long as
 that. Unused capacity is lost, and requests that the upstream has not read still count,
-as it may hang and then read them all at once. Pure; relies on ``rendezvous``.
+as it may hang and then read them all at once. Performs no I/O and reads no clock.
+Relies on ``rendezvous``.
 """
 
 import collections
@@ -92,7 +93,7 @@
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may be sent.
+        Return whether one more request may be sent.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
--- a/spindlenotch/kernel/slot_division.py
+++ b/spindlenotch/kernel/slot_division.py
@@ -2,7 +2,8 @@
 The slots of a pool's upstreams that are divided among the members.
 
 Prepares the input of ``ownership``, which divides the slots: leaves out ejected
-upstreams and applies the scheduled zone weights (``zone_schedule``). Pure.
+upstreams and applies the scheduled zone weights (``zone_schedule``). Performs no I/O
+and reads no clock.
 """
 
 from collections import abc
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -37,14 +37,13 @@
     """
     The upstreams by id, and the running means of the service as a whole.
 
-    Invariants: ``in_flight`` counts the calls sent and not ended,
-    ``wait_queue`` those in the queue; at most ``eject_share`` of the pool (at least
-    one) is ejected at a time. ``mean_foreign_load`` is the number of requests
-    that other processes have in an upstream where this one owns no slots,
-    ``local_region_used`` the share of the slots in use in this process's own region,
-    ``used_by_remote_region`` the same for other regions, as they report it;
-    ``refused_share`` is the share of calls refused for overload,
-    ``failed_share`` that of requests that failed.
+    Invariants: ``in_flight`` counts the calls sent and not ended, ``waiting`` those in
+    the queue; at most ``eject_share`` of the pool (at least one) is ejected at a time.
+    ``mean_foreign_load`` is the number of requests that other processes have in an
+    upstream where this one owns no slots, ``local_region_used`` the share of the slots
+    in use in this process's region, ``used_by_remote_region`` the same for other
+    regions, as they report it; ``refused_share`` is the share of calls refused for
+    overload, ``failed_share`` that of requests that failed.
     """
 
     def __init__(
@@ -147,7 +146,7 @@
     def _was_overdue_on_probation(
         self, upstream: upstreams.Upstream, latency_key: str, took_s: float
     ) -> bool:
-        """Tell whether the cancelled request on probation had waited too long."""
+        """Return whether the cancelled request on probation had waited too long."""
         on_probation = upstream.state is upstreams.State.PROBATION
         return on_probation and took_s > self.latencies.p95_s(latency_key)
 
@@ -166,7 +165,7 @@
     def is_hung(
         self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
-        """Tell whether only a hung upstream explains its silence."""
+        """Return whether only a hung upstream explains its silence."""
         return ejection.is_hung(
             upstream.silent_s(now), self.latencies.p95_s(latency_key)
         )
@@ -185,7 +184,7 @@
             self.refresh()
 
     def busy(self) -> int:
-        """Count the calls in flight except those stuck in ejected upstreams."""
+        """Count the calls in flight except those waiting in ejected upstreams."""
         return self.in_flight - sum(u.outstanding for u in self.ejected)
 
     def dispatch_schedule(
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -36,12 +36,12 @@
     The upstreams by id, and those that may be sent requests.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
-    ``local_zone_order`` those of them in this process's own zone,
-    ``local_region_order`` in its region and ``remote_order`` in others, ``ejected``
-    those that are ejected; ``owned`` lists those of them in which this process owns
-    slots, ``owned_total`` in all. ``revision`` grows with each change of
-    ``usable_order``. ``views`` are the views of which processes share rates: recent
-    ones first, the current one last.
+    ``local_zone_order`` those of them in this process's zone, ``local_region_order`` in
+    its region and ``remote_order`` in other regions, ``ejected`` those that are
+    ejected; ``owned`` lists those of them in which this process owns slots,
+    ``owned_total`` in all. ``revision`` grows with each change of ``usable_order``.
+    ``views`` are the views of which processes share rates: recent ones first, the
+    current one last.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
                 self.upstream_by_id[spec.id] = self._create(spec, known, now)
             else:
                 if known.spec.born != spec.born:
-                    # It is the same start, which could not be identified before.
+                    # It is the same incarnation, which could not be identified before.
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
         self._remove_unlisted(spec_by_id)
@@ -134,7 +134,7 @@
         return True
 
     def is_remote(self, upstream: upstreams.Upstream) -> bool:
-        """Tell whether an upstream is in another region."""
+        """Return whether an upstream is in another region."""
         known = self.service.region_map
         distance = known.distance(self.local_member.zone, upstream.spec.zone)
         return distance is regions.Distance.REMOTE
@@ -148,7 +148,7 @@
         return {self.region_of(upstream) for upstream in self.remote_order}
 
     def allows(self, call: wait_queue.Call, upstream: upstreams.Upstream) -> bool:
-        """Tell whether a call may run in the region of an upstream."""
+        """Return whether a call may run in the region of an upstream."""
         allowed = call.allowed_regions
         return allowed is None or self.region_of(upstream) in allowed
 
--- a/spindlenotch/kernel/upstreams.py
+++ b/spindlenotch/kernel/upstreams.py
@@ -2,9 +2,9 @@
 What one process knows of each upstream, and how old that knowledge is.
 
 The balancer updates it with requests sent and completed, load reports that come with
-responses and probes, drain notices, and the host list. Selection reads it.
-Relies on ``ejection`` for how long an ejection lasts and on ``cold_start`` for what a
-cold upstream may be sent. No input or output happens here; every method takes the
+responses and probes, drain notices, and the host list. Selection reads it. Relies on
+``ejection`` for how long an ejection lasts and on ``cold_start`` for what a cold
+upstream may be sent. Performs no I/O and reads no clock: every method takes the
 instant.
 """
 
@@ -92,8 +92,8 @@
 
     ``slots`` is None if it has as many as the service's policy says;
     ``warming_up_until`` is when it has warmed up after its start. ``born`` identifies
-    that start among others of the same id, None if it is not known. ``version`` is that
-    of its software, empty if not known.
+    this incarnation among others of the same id, None if it is not known. ``version``
+    is that of its software, empty if not known.
     """
 
     id: ids.UpstreamId
@@ -110,13 +110,13 @@
     """
     State and estimates of one upstream.
 
-    Invariants: ``sent_at_by_call`` holds exactly the calls that this process has
-    sent and that have not ended, oldest first; only a higher generation ends
-    ``LEAVING``; ``latency_ratio`` is the mean ratio of observed to typical
-    latency; ``contention_sample`` holds for about half of all upstreams, the same in
-    every process (``contention``). ``cold`` limits what it is sent while it is cold;
-    ``ejected_at`` is when it was last ejected, ``known_since`` when this process
-    learnt of this start of it, ``backpressure`` the signals of this start.
+    Invariants: ``sent_at_by_call`` holds exactly the calls that this process has sent
+    and that have not ended, oldest first; only a higher generation ends ``LEAVING``;
+    ``latency_ratio`` is the mean ratio of observed to typical latency;
+    ``contention_sample`` holds for about half of all upstreams, the same in every
+    process (``contention``). ``cold`` limits what it is sent while it is cold;
+    ``ejected_at`` is when it was last ejected, ``known_since`` when this process learnt
+    of this incarnation of it, ``backpressure`` its signals.
     """
 
     def __init__(
@@ -286,7 +286,7 @@
 
     def _is_still_silent(self, now: ids.Instant) -> bool:
         """
-        Tell whether probes show that an upstream ejected as silent is still hung.
+        Return whether probes show that an upstream ejected as silent is still hung.
 
         An attempt there would cost its request that time, and a hedge.
         """
@@ -295,7 +295,7 @@
         return self.liveness.is_missing_from_probes(self.ejected_at, now)
 
     def may_take(self, now: ids.Instant) -> bool:
-        """Tell whether it may be sent one more request."""
+        """Return whether it may be sent one more request."""
         read_until = self.liveness.read_until
         if not self.cold.may_send(now, read_until):
             return False
--- a/spindlenotch/selection.py
+++ b/spindlenotch/selection.py
@@ -4,7 +4,7 @@
 A policy is registered by name; the bundle names the one a service uses. All
 are pure: pool, call, instant and the pool's seeded random numbers in, a
 decision with its reason out. The policies are in ``decisions``: ``owned_slots``
-(recommended for bundles), ``soonest`` (the gateway's) and ``baselines``.
+(recommended for bundles), ``least_latency`` (the gateway's) and ``baselines``.
 """
 
 import enum
