--- a/features/steps/gateway_failing.py
+++ b/features/steps/gateway_failing.py
@@ -121,7 +121,7 @@
         deadline=ids.later(now, 30.0),
         arrived_at=now,
         cross_zone_s=0.03,
-        most_tries=2,
+        max_attempts=2,
     )
 
 
