--- a/features/steps/gateway_overflow.py
+++ b/features/steps/gateway_overflow.py
@@ -169,7 +169,7 @@
             deadline=ids.later(now, 4.0),
             latency_key="r",
             arrived_at=now,
-            most_tries=3,
+            max_attempts=3,
             wait_until=wait_until,
             cross_region_s=overflow.cross_region_cost_s(self.size),
             cross_region_from=overflow.leave_region_at(
@@ -219,13 +219,13 @@
         now = ids.later(NOW, at)
         used_by_region = self._used_by_region(at)
         for one in self.gateways:
-            one.pool.near_used = overflow.used_share(one.pool, now)
-            one.pool.far_used_by_region = {
+            one.pool.local_region_used = overflow.used_share(one.pool, now)
+            one.pool.used_by_remote_region = {
                 region: used
                 for region, used in used_by_region.items()
                 if region != self._region(one)
             }
-            for upstream in one.pool.near_order:
+            for upstream in one.pool.local_region_order:
                 running = self.running_by_id.get(upstream.spec.id, 0)
                 one.pool.reported(upstream, upstreams.LoadReport(running, 0), now)
             self._settle(one, one.settle(now), at)
@@ -335,7 +335,7 @@
     one = play.gateways[0]
     assert len(one.queue) > 0
     now = ids.later(NOW, END_S)
-    left = [u.spec for u in one.pool.far_order]
+    left = [u.spec for u in one.pool.remote_order]
     one.pool.set_listed(left, now)
     settled = one.settle(now)
     assert len(one.queue) == 0
@@ -359,8 +359,8 @@
         return choose(*given)
 
     one.policy.choose = counted  # type: ignore[method-assign]
-    one.pool.far_used_by_region = dict.fromkeys(one.pool.far_used_by_region, 1.0)
-    for upstream in one.pool.near_order:
+    one.pool.used_by_remote_region = dict.fromkeys(one.pool.used_by_remote_region, 1.0)
+    for upstream in one.pool.local_region_order:
         full = upstreams.LoadReport(SLOTS, 0)
         one.pool.reported(upstream, full, now)
     assert not one.settle(now)
@@ -379,7 +379,7 @@
 def tried_version() -> None:
     one = Play(even(0.0)).gateways[0]
     target = ids.SoftwareVersion("v2")
-    for upstream in one.pool.far_order:
+    for upstream in one.pool.remote_order:
         upstream.spec = msgspec.structs.replace(upstream.spec, version=target)
     split = traffic_split.TrafficSplit(target, 1.0, "k", _Unheard())
     split.answered = 100
--- a/features/steps/poison_properties.py
+++ b/features/steps/poison_properties.py
@@ -50,12 +50,12 @@
 def struck_in_turn(known: quarantine.Quarantine, times: int) -> None:
     """Let upstreams end under a request one after the other."""
     for number in range(times):
-        known.record_crash(PRINT, known.mark(PRINT), upstream(number), NOW)
+        known.record_crash(PRINT, known.snapshot(PRINT), upstream(number), NOW)
 
 
 def status(known: quarantine.Quarantine) -> CrashStatus:
     """Return what is held of the request."""
-    return quarantine.status_of(known.note(PRINT))
+    return quarantine.status_of(known.record_of(PRINT))
 
 
 @kernel.PROPERTIES.register("a request under which three upstreams end is quarantined")
@@ -71,9 +71,9 @@
 @kernel.PROPERTIES.register("upstreams that end together quarantine no request")
 def together() -> None:
     known = quarantine.Quarantine()
-    mark = known.mark(PRINT)
+    snapshot = known.snapshot(PRINT)
     for number in range(20):
-        known.record_crash(PRINT, mark, upstream(number), NOW)
+        known.record_crash(PRINT, snapshot, upstream(number), NOW)
     assert status(known) is CrashStatus.SUSPECT
 
 
@@ -81,23 +81,23 @@
 def answer_clears() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    before, mark = known.note(PRINT), known.mark(PRINT)
+    before, snapshot = known.record_of(PRINT), known.snapshot(PRINT)
     assert known.clear(PRINT, NOW)
     assert status(known) is CrashStatus.CLEAR
     assert not known.merge(before, NOW)
-    assert not known.record_crash(PRINT, mark, upstream(9), NOW)
+    assert not known.record_crash(PRINT, snapshot, upstream(9), NOW)
     assert status(known) is CrashStatus.CLEAR
 
 
 @kernel.PROPERTIES.register("a quarantined request is sent once more, by one gateway")
-def one_retrial() -> None:
+def one_recheck() -> None:
     request = prints()
     known, peer = quarantine.Quarantine(), quarantine.Quarantine()
     for number in range(3):
         for one in request.as_tuple():
-            known.record_crash(one, known.mark(one), upstream(number), NOW)
+            known.record_crash(one, known.snapshot(one), upstream(number), NOW)
     for one in request.as_tuple():
-        peer.merge(known.note(one), NOW)
+        peer.merge(known.record_of(one), NOW)
     later = ids.later(NOW, 2 * quarantine.RECHECK_AFTER_S)
     assert not known.take_recheck(
         request, ids.later(NOW, quarantine.RECHECK_AFTER_S / 2)
@@ -105,7 +105,7 @@
     assert known.take_recheck(request, later)
     assert not known.take_recheck(request, later)
     for one in request.as_tuple():
-        assert known.note(one).is_retried
+        assert known.record_of(one).is_retried
     assert not peer.take_recheck(request, later)
 
 
@@ -123,10 +123,10 @@
 def bounded() -> None:
     known = quarantine.Quarantine()
     struck_in_turn(known, 3)
-    for number in range(3 * quarantine.MAX_NOTES):
+    for number in range(3 * quarantine.MAX_RECORDS):
         one = ids.Fingerprint(f"{number:08x}bb")
-        known.record_crash(one, quarantine.UNMARKED, upstream(number), NOW)
-    assert len(known.kept_by_fingerprint) == quarantine.MAX_NOTES
+        known.record_crash(one, quarantine.EMPTY_SNAPSHOT, upstream(number), NOW)
+    assert len(known.kept_by_fingerprint) == quarantine.MAX_RECORDS
     assert status(known) is CrashStatus.QUARANTINED
     known.expire(ids.later(NOW, quarantine.KEEP_SUSPECT_S))
     assert list(known.kept_by_fingerprint) == [PRINT]
@@ -152,13 +152,13 @@
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     def check(told: list[crash_records.CrashRecord], rng: random.Random) -> None:
         known, peer = quarantine.Quarantine(), quarantine.Quarantine()
-        for note in told:
-            known.merge(note, NOW)
+        for record in told:
+            known.merge(record, NOW)
         shuffled = [*told, *told]
         rng.shuffle(shuffled)
-        for note in shuffled:
-            peer.merge(note, NOW)
-        assert known.note(PRINT) == peer.note(PRINT)
+        for record in shuffled:
+            peer.merge(record, NOW)
+        assert known.record_of(PRINT) == peer.record_of(PRINT)
 
     check()
 
@@ -204,7 +204,7 @@
 
     def _arrive(self, number: int, wait_until: float) -> None:
         known = self.known[number]
-        found = quarantine.status_of(known.note(PRINT))
+        found = quarantine.status_of(known.record_of(PRINT))
         both = fingerprints.Fingerprints(PRINT, PRINT)
         if found is CrashStatus.QUARANTINED:
             if known.take_recheck(both, ids.Instant(self.now)):
@@ -217,25 +217,25 @@
             self._after(CHECK_S, lambda: self._arrive(number, wait_until))
 
     def _send(self, number: int, *, may_retry: bool) -> None:
-        known, mark = self.known[number], self.known[number].mark(PRINT)
-        if mark.depth:
+        known, snapshot = self.known[number], self.known[number].snapshot(PRINT)
+        if snapshot.depth:
             self.trying_until[number] = self.now + RUN_S
         if self.now - self.started_at[number] >= TOUCH_S:
             self.sent_at.append(self.now)
-        self._after(RUN_S, lambda: self._end(number, known, mark, may_retry))
+        self._after(RUN_S, lambda: self._end(number, known, snapshot, may_retry))
 
     def _end(
         self,
         number: int,
         known: quarantine.Quarantine,
-        mark: quarantine.Mark,
+        snapshot: quarantine.CrashSnapshot,
         may_retry: bool,
     ) -> None:
         self.ended_at.append(self.now)
         if known is not self.known[number]:
             return
         known.record_crash(
-            PRINT, mark, upstream(len(self.ended_at)), ids.Instant(self.now)
+            PRINT, snapshot, upstream(len(self.ended_at)), ids.Instant(self.now)
         )
         for peer in range(len(self.known)):
             self._tell(number, peer)
@@ -243,18 +243,18 @@
             self._arrive_again(number)
 
     def _arrive_again(self, number: int) -> None:
-        found = quarantine.status_of(self.known[number].note(PRINT))
+        found = quarantine.status_of(self.known[number].record_of(PRINT))
         if found is CrashStatus.SUSPECT and self.trying_until[number] <= self.now:
             self._send(number, may_retry=False)
 
     def _tell(self, number: int, peer: int) -> None:
-        note = self.known[number].note(PRINT)
+        record = self.known[number].record_of(PRINT)
         if peer != number and self.rng.random() >= LOST_SHARE:
             delay_s = self.rng.uniform(0.0, LONGEST_WAY_S)
-            self._after(delay_s, lambda: self._hear(peer, note))
+            self._after(delay_s, lambda: self._hear(peer, record))
 
-    def _hear(self, number: int, note: crash_records.CrashRecord) -> None:
-        self.known[number].merge(note, ids.Instant(self.now))
+    def _hear(self, number: int, record: crash_records.CrashRecord) -> None:
+        self.known[number].merge(record, ids.Instant(self.now))
 
     def _gossip(self, number: int) -> None:
         self._tell(number, self.rng.randrange(len(self.known)))
--- a/spindlenotch/decisions/availability.py
+++ b/spindlenotch/decisions/availability.py
@@ -1,9 +1,9 @@
 """
-When an upstream may take a call, and when a refused caller may try again.
+When an upstream may take a call, and when a refused caller may retry.
 
-Pure rules on the pool and the instant. Free slots are not considered: calls wait for
-one. What counts is whether an upstream is ejected, is cold, has asked for a pause or
-names a rate limit.
+Performs no I/O and reads no clock. Free slots are not considered: calls wait for one.
+What counts is whether an upstream is ejected, is cold, has asked for a backoff or
+advertises a rate limit.
 """
 
 from collections import abc
@@ -15,18 +15,18 @@
 
 def usable_at(
     pool: upstream_pool.Pool,
-    barred: abc.Container[ids.UpstreamId],
+    excluded: abc.Container[ids.UpstreamId],
     call: wait_queue.Call | None,
     now: ids.Instant,
 ) -> ids.Instant:
     """
     Return from when an upstream may take ``call``, or any call if it is None.
 
-    NEVER if none is known to become usable. ``barred`` upstreams are left out.
+    NEVER if none is known to become usable. ``excluded`` upstreams are left out.
     """
     found = ids.NEVER
     for upstream in pool.usable_order:
-        if upstream.spec.id in barred:
+        if upstream.spec.id in excluded:
             continue
         upstream.tick(now)
         if upstream.state is upstreams.State.EJECTED:
@@ -44,7 +44,7 @@
     pool: upstream_pool.Pool, free_at: ids.Instant, queued: int, now: ids.Instant
 ) -> ids.Instant:
     """
-    Return when the caller of a call that no upstream took may try again.
+    Return when the caller of a call that no upstream took may retry.
 
     ``free_at`` is from when an upstream is usable, NEVER if that is not known.
     """
--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -65,7 +65,7 @@
         self.retries = self.extra.retries
         self.hedges = self.extra.hedges
         self.copies = copy_tracker.CopyTracker(self.extra)
-        self.tried_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
+        self.attempted_by_call: dict[ids.CallId, set[ids.UpstreamId]] = {}
         self._unreached_by_call: collections.Counter[ids.CallId] = collections.Counter()
         self.decisions: collections.deque[verdicts.Decision] = collections.deque(
             maxlen=DECISIONS_KEPT
@@ -110,7 +110,7 @@
         typical_s = self.pool.latencies.typical_s(grant.call.latency_key)
         if report is not None:
             if answered:
-                self._learn_crowding(grant, report, took_s / typical_s)
+                self._record_contention(grant, report, took_s / typical_s)
             self.pool.reported(upstream, report, now)
             self.policy.reported(self.pool, upstream, report.queued)
         # The slowdown may have changed while the call ran: take the mean of both ends.
@@ -136,7 +136,7 @@
         self.pool.record_result(upstream, grant.call.latency_key, result, took_s, now)
         return self.settle(now)
 
-    def _learn_crowding(
+    def _record_contention(
         self, grant: verdicts.Grant, report: upstreams.LoadReport, latency_ratio: float
     ) -> None:
         self.pool.contention.add(
@@ -148,8 +148,8 @@
         )
 
     def forget(self, call_id: ids.CallId) -> None:
-        """Drop the state kept for placing further tries of a call."""
-        self.tried_by_call.pop(call_id, None)
+        """Drop the state kept for placing further attempts of a call."""
+        self.attempted_by_call.pop(call_id, None)
         self._unreached_by_call.pop(call_id, None)
         self.copies.forget(call_id)
 
@@ -164,7 +164,7 @@
             settled.append(verdicts.Settlement(call, grant))
         settled.extend(self._place_remote(now))
         if len(self.queue) and (
-            self.pool.far_order or self._usable_at(None, now) > now
+            self.pool.remote_order or self._usable_at(None, now) > now
         ):
             settled.extend(self.admission.refuse_stranded(self._usable_at, now))
         return settled
@@ -174,8 +174,8 @@
         Refuse the waiting calls that will not get a slot in time.
 
         Called periodically while calls wait. They get their final answer now rather
-        than at the deadline, with the instant from which to try again. A call for
-        which another region has room is sent there instead.
+        than at the deadline, with the instant from which to retry. A call for which
+        another region has room is sent there instead.
         """
         return [
             self._remote_instead(settlement, now)
@@ -195,18 +195,18 @@
         self, grant: verdicts.Grant, now: ids.Instant, *, known_not_run: bool = False
     ) -> verdicts.Grant | None:
         """
-        Place another try of a failed call, if it is allowed one.
+        Place another attempt of a failed call, if it is allowed one.
 
-        ``known_not_run``: the upstream said that this try has not run and never
+        ``known_not_run``: the upstream said that this attempt has not run and never
         will, or no connection to it was made.
         """
         call = grant.call
-        tries = retrying.Tries(
-            sent=len(self.tried_by_call.get(call.id, ())),
+        attempts = retrying.Attempts(
+            sent=len(self.attempted_by_call.get(call.id, ())),
             unreached=self._unreached_by_call[call.id],
         )
         allowed = retrying.is_allowed(
-            self.pool, call, tries, now, known_not_run=known_not_run
+            self.pool, call, attempts, now, known_not_run=known_not_run
         )
         if not allowed:
             return None
@@ -229,10 +229,10 @@
 
     def hedge(self, grant: verdicts.Grant, now: ids.Instant) -> verdicts.Grant | None:
         """Place a second copy of a call whose answer is overdue, if allowed."""
-        self._eject_if_frozen(grant, now)
+        self._eject_if_hung(grant, now)
         call = grant.call
-        tries = len(self.tried_by_call.get(call.id, ()))
-        if not hedging.is_allowed(self.pool, call, tries, len(self.queue)):
+        attempts = len(self.attempted_by_call.get(call.id, ()))
+        if not hedging.is_allowed(self.pool, call, attempts, len(self.queue)):
             return None
         overdue = hedging.is_overdue(
             self.pool, grant.upstream, call.latency_key, grant.sent_at, now
@@ -251,7 +251,8 @@
         if again is None:
             return None
         call_id = before.call.id
-        # A retry follows a try that has ended; a hedge runs beside one that has not.
+        # A retry follows an attempt that has ended; a hedge runs beside one that has
+        # not.
         is_read = kind is verdicts.Kind.RETRY
         self.copies.record_first(
             call_id, before.upstream, before.sent_at, is_read=is_read
@@ -280,7 +281,7 @@
         """
         sent: list[verdicts.Settlement] = []
         full: set[frozenset[ids.RegionName] | None] = set()
-        for call in list(self.queue) if self.pool.far_order else ():
+        for call in list(self.queue) if self.pool.remote_order else ():
             if call.cross_region_from > now or call.allowed_regions in full:
                 continue
             grant = self._grant(call, verdicts.Kind.FIRST, now)
@@ -303,56 +304,56 @@
         self, call: wait_queue.Call, now: ids.Instant
     ) -> verdicts.Grant | None:
         """Place a call that its own region would refuse in another region."""
-        if not self.pool.far_order:
+        if not self.pool.remote_order:
             return None
         may_leave = msgspec.structs.replace(call, cross_region_from=now)
         return self._grant(may_leave, verdicts.Kind.FIRST, now)
 
-    def _eject_if_frozen(self, grant: verdicts.Grant, now: ids.Instant) -> None:
+    def _eject_if_hung(self, grant: verdicts.Grant, now: ids.Instant) -> None:
         upstream = grant.upstream
         if upstream.state in (upstreams.State.EJECTED, upstreams.State.LEAVING):
             return
-        if self.pool.frozen(upstream, grant.call.latency_key, now):
+        if self.pool.is_hung(upstream, grant.call.latency_key, now):
             self.pool.eject(upstream, ejection.SILENT, now)
 
     def next_retry_at(self, call: wait_queue.Call, now: ids.Instant) -> ids.Instant:
-        """Return when the caller of a call that no upstream took may try again."""
+        """Return when the caller of a call that no upstream took may retry."""
         free_at = self._usable_at(call, now)
         return availability.next_retry_at(self.pool, free_at, len(self.queue), now)
 
     def _usable_at(self, call: wait_queue.Call | None, now: ids.Instant) -> ids.Instant:
         """Return from when an upstream may take ``call``, or any call if None."""
-        barred = () if self.split is None else self.split.barred(self.pool)
-        return availability.usable_at(self.pool, barred, call, now)
+        excluded = () if self.split is None else self.split.excluded(self.pool)
+        return availability.usable_at(self.pool, excluded, call, now)
 
     def _choose(
         self,
         call: wait_queue.Call,
         kind: verdicts.Kind,
         now: ids.Instant,
-        tried: set[ids.UpstreamId],
+        attempted: set[ids.UpstreamId],
     ) -> selection.Choice | None:
-        """Choose an upstream; a canary version gets first tries only."""
+        """Choose an upstream; a canary version gets first attempts only."""
         if self.split is None:
-            return self.policy.choose(self.pool, call, now, tried)
+            return self.policy.choose(self.pool, call, now, attempted)
         if kind is verdicts.Kind.FIRST:
             choice = self.split.choose_target(self.pool, call, now)
             if choice is not None:
                 return choice
-        excluded = self.split.excluding(self.pool, tried)
+        excluded = self.split.excluding(self.pool, attempted)
         return self.policy.choose(self.pool, call, now, excluded)
 
     def _grant(
         self, call: wait_queue.Call, kind: verdicts.Kind, now: ids.Instant
     ) -> verdicts.Grant | None:
-        tried = self.tried_by_call.get(call.id, set())
+        attempted = self.attempted_by_call.get(call.id, set())
         self.pool.waiting = len(self.queue)
-        choice = self._choose(call, kind, now, tried)
+        choice = self._choose(call, kind, now, attempted)
         if choice is None:
             return None
         upstream = choice.upstream
         load = self.pool.estimated_load(upstream, now) + 1
-        self.tried_by_call.setdefault(call.id, set()).add(upstream.spec.id)
+        self.attempted_by_call.setdefault(call.id, set()).add(upstream.spec.id)
         upstream.sent(call.id, now)
         slowdown = upstream.slowdown(now)
         self.pool.in_flight += 1
--- a/spindlenotch/decisions/hedging.py
+++ b/spindlenotch/decisions/hedging.py
@@ -10,9 +10,9 @@
 from spindlenotch.decisions import overload, silence
 from spindlenotch.kernel import upstream_pool, upstreams, wait_queue
 
-#: Missed answers above which an upstream counts as stuck: if answers came at random, a
+#: Missed answers above which an upstream counts as hung: if answers came at random, a
 #: healthy one would miss that many with probability exp(-4), about 2 in 100.
-MISSED_ANSWERS = 4.0
+MAX_MISSED_ANSWERS = 4.0
 #: A call at a slowed upstream is hedged after this share of its typical latency.
 SLOWED_AGE_SHARE = 0.6
 #: Interval of the checks where upstreams report slowdowns, as a share of the typical
@@ -58,18 +58,18 @@
     if slowed and age_s > SLOWED_AGE_SHARE * pool.latencies.typical_s(latency_key):
         return True
     missed = silence.missed_answers(upstream, pool.latencies.overall.value, now)
-    return missed > MISSED_ANSWERS
+    return missed > MAX_MISSED_ANSWERS
 
 
 def is_allowed(
-    pool: upstream_pool.Pool, call: wait_queue.Call, tries: int, queued: int
+    pool: upstream_pool.Pool, call: wait_queue.Call, attempts: int, queued: int
 ) -> bool:
     """
-    Return whether a call that was sent to ``tries`` upstreams may be hedged.
+    Return whether a call that was sent to ``attempts`` upstreams may be hedged.
 
     A call has one hedge at most. While calls are ``queued`` or many fail, a hedge
     would only take the slot of a call that has not been sent at all.
     """
-    if not call.repeatable or tries != 1 or tries >= call.most_tries:
+    if not call.repeatable or attempts != 1 or attempts >= call.max_attempts:
         return False
     return not queued and not overload.is_failing(pool)
--- a/spindlenotch/decisions/least_latency.py
+++ b/spindlenotch/decisions/least_latency.py
@@ -29,9 +29,9 @@
 #: Answers at which an upstream's own latency ratio weighs as much as the mean of all.
 ANSWERS_TRUSTED = 10.0
 #: Cost of a failure for a repeatable call, as a multiple of its expected latency: the
-#: time until the failure is known, and another try. With a higher cost no repeatable
-#: call would try a failing upstream, and calls that may not be repeated would be the
-#: ones to detect that it fails.
+#: time until the failure is known, and another attempt. With a higher cost no
+#: repeatable call would be sent to a failing upstream, and calls that may not be
+#: repeated would be the ones to detect that it fails.
 REPEATABLE_COST = 0.7
 #: The same for a call that may not be repeated, and is lost.
 UNREPEATABLE_COST = 15.0
@@ -42,7 +42,7 @@
 #: the pool.
 MAX_COMPARED = 40
 #: How many of them are drawn from the local zone.
-LOCAL_COMPARED = 24
+MAX_LOCAL_ZONE_COMPARED = 24
 
 
 @selection.POLICIES.register(NAME)
@@ -68,17 +68,19 @@
         bytes between zones.
         """
         cost_by_id = _costs(pool, call, _options(pool, call, now, exclude), now)
-        if pool.far_order:
-            near_s = min(cost_by_id.values(), default=None)
-            far = overflow.candidates(pool, call, near_s, now, exclude)
-            cost_by_id |= _costs(pool, call, without_slowed(far, now), now)
+        if pool.remote_order:
+            local_cost_s = min(cost_by_id.values(), default=None)
+            remote = overflow.candidates(pool, call, local_cost_s, now, exclude)
+            cost_by_id |= _costs(pool, call, without_slowed(remote, now), now)
         if not cost_by_id:
             return None
         limit = min(cost_by_id.values()) * (1.0 + EQUAL_COST_SHARE)
-        near = [name for name, cost in cost_by_id.items() if cost <= limit]
+        cheapest = [name for name, cost in cost_by_id.items() if cost <= limit]
         zone = pool.local_member.zone
-        local = [name for name in near if pool.upstream_by_id[name].spec.zone == zone]
-        chosen = pool.upstream_by_id[pool.rng.choice(local or near)]
+        local = [
+            name for name in cheapest if pool.upstream_by_id[name].spec.zone == zone
+        ]
+        chosen = pool.upstream_by_id[pool.rng.choice(local or cheapest)]
         candidate = selection.Candidate(
             upstream=chosen.spec.id,
             cost=cost_by_id[chosen.spec.id],
@@ -87,7 +89,7 @@
             # This policy does not divide slots among processes.
             owned_slots=0.0,
         )
-        return selection.Choice(chosen, selection.Rule.SOONEST, (candidate,))
+        return selection.Choice(chosen, selection.Rule.LEAST_LATENCY, (candidate,))
 
     def reported(
         self, pool: upstream_pool.Pool, upstream: upstreams.Upstream, queued: int
@@ -102,11 +104,12 @@
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """Return the upstreams of the local region that are compared."""
-    if len(pool.near_order) > MAX_COMPARED:
+    if len(pool.local_region_order) > MAX_COMPARED:
         options = _sample(pool, now, exclude)
     else:
-        options = selection.eligible_among(pool.near_order, now, exclude)
-    # After its wait is over, a further try takes a slowed upstream rather than none.
+        options = selection.eligible_among(pool.local_region_order, now, exclude)
+    # After its wait is over, a further attempt takes a slowed upstream rather than
+    # none.
     if exclude and now >= call.wait_until:
         return options
     return without_slowed(options, now)
@@ -117,9 +120,11 @@
 ) -> list[upstreams.Upstream]:
     """Return random upstreams of the local zone, and of the whole local region."""
     rng = pool.rng
-    local = selection.sample(pool.local_order, LOCAL_COMPARED, rng, now, exclude)
+    local = selection.sample(
+        pool.local_zone_order, MAX_LOCAL_ZONE_COMPARED, rng, now, exclude
+    )
     count = MAX_COMPARED - len(local)
-    anywhere = selection.sample(pool.near_order, count, rng, now, exclude)
+    anywhere = selection.sample(pool.local_region_order, count, rng, now, exclude)
     sampled_by_id = {u.spec.id: u for u in (*local, *anywhere)}
     return list(sampled_by_id.values())
 
@@ -148,18 +153,18 @@
     Return the upstreams that are not slowed, or all if all are slowed.
 
     While one that is not slowed may get room, a call waits for it, and is refused at
-    the end of its wait: otherwise a quarter of the first tries of a saturated service
-    would go to slowed upstreams.
+    the end of its wait: otherwise a quarter of the first attempts of a saturated
+    service would go to slowed upstreams.
     """
     others = [u for u in options if u.slowdown(now) <= upstreams.SLOWED_FACTOR]
     return others or options
 
 
 def has_room(
-    upstream: upstreams.Upstream, load: float, crowded: contention.Contention
+    upstream: upstreams.Upstream, load: float, pool_contention: contention.Contention
 ) -> bool:
     """Return whether one more request would start at once without slowing others."""
-    usable = crowded.usable(upstream.slots, sample=upstream.contention_sample)
+    usable = pool_contention.usable(upstream.slots, sample=upstream.contention_sample)
     return load + 1 <= usable + ROOM_MARGIN
 
 
@@ -226,6 +231,6 @@
     work_s *= 1.0 + ahead / slots
     if upstream.spec.zone == pool.local_member.zone:
         return work_s
-    if pool.far_order and pool.is_far(upstream):
+    if pool.remote_order and pool.is_remote(upstream):
         return overflow.REMOTE_LATENCY_FACTOR * work_s + call.cross_region_s
     return work_s + call.cross_zone_s
--- a/spindlenotch/decisions/overflow.py
+++ b/spindlenotch/decisions/overflow.py
@@ -3,8 +3,8 @@
 
 Handles a burst that fills the upstreams of one region while others have room. Of the
 upstreams in other regions only the mean load of the region is known, seconds old, and
-each byte sent there costs many times as much. Pure rules; ``least_latency`` applies
-them where the local region has no room.
+each byte sent there costs many times as much. Performs no I/O and reads no clock;
+``least_latency`` applies the rules where the local region has no room.
 """
 
 from spindlenotch import ids, selection
@@ -44,62 +44,65 @@
     Return whether a call that finds no room in its region may leave it.
 
     It may once it has waited as long as the cost of crossing, so that the total cost is
-    at most twice that of the better choice. A further try doesn't wait, nor does a call
-    whose region has no upstream that may take it.
+    at most twice that of the better choice. A further attempt doesn't wait, nor does a
+    call whose region has no upstream that may take it.
     """
-    if not pool.far_order:
+    if not pool.remote_order:
         return False
     if now >= call.cross_region_from or exclude:
         return True
-    return not _any_near(pool, now)
+    return not _any_local_may_take(pool, now)
 
 
 def is_remote_faster(
-    pool: upstream_pool.Pool, call: wait_queue.Call, near_s: float
+    pool: upstream_pool.Pool, call: wait_queue.Call, local_cost_s: float
 ) -> bool:
     """
     Return whether another region may answer sooner than the best local upstream.
 
-    ``near_s`` is the cost of the local upstream in seconds. This happens where so few
-    upstreams are left in the local region that all are slow, while another region is
-    much less full.
+    ``local_cost_s`` is the cost of the local upstream in seconds. This happens where so
+    few upstreams are left in the local region that all are slow, while another region
+    is much less full.
     """
-    if not pool.far_order or not pool.far_used_by_region:
+    if not pool.remote_order or not pool.used_by_remote_region:
         return False
-    if min(pool.far_used_by_region.values()) > pool.near_used - MIN_USED_DIFFERENCE:
+    if (
+        min(pool.used_by_remote_region.values())
+        > pool.local_region_used - MIN_USED_DIFFERENCE
+    ):
         return False
     typical_s = pool.latencies.typical_s(call.latency_key)
-    return near_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
+    return local_cost_s > REMOTE_LATENCY_FACTOR * typical_s + call.cross_region_s
 
 
 def candidates(
     pool: upstream_pool.Pool,
     call: wait_queue.Call,
-    near_s: float | None,
+    local_cost_s: float | None,
     now: ids.Instant,
     exclude: selection.Exclusion,
 ) -> list[upstreams.Upstream]:
     """
     Return upstreams of other regions that are compared, in allowed regions only.
 
-    ``near_s`` is the cost in seconds of the best local upstream, None where none has
-    room. The result is empty while the call should stay in its region. Otherwise it is
-    sampled from the regions that report their load and have room; where no local
+    ``local_cost_s`` is the cost in seconds of the best local upstream, None where none
+    has room. The result is empty while the call should stay in its region. Otherwise it
+    is sampled from the regions that report their load and have room; where no local
     upstream may take the call, from any region that does not report to be full.
     """
-    if near_s is None:
+    if local_cost_s is None:
         leaves = may_leave_region(pool, call, now, exclude)
     else:
-        leaves = is_remote_faster(pool, call, near_s)
+        leaves = is_remote_faster(pool, call, local_cost_s)
     if not leaves:
         return []
-    used_by_region = pool.far_used_by_region
-    if not _any_near(pool, now):
-        used_by_region = dict.fromkeys(pool.far_regions(), 0.0) | used_by_region
+    used_by_region = pool.used_by_remote_region
+    if not _any_local_may_take(pool, now):
+        used_by_region = dict.fromkeys(pool.remote_regions(), 0.0) | used_by_region
     open_regions = {r for r, used in used_by_region.items() if used <= MAX_USED_SHARE}
     allowed = [
         u
-        for u in pool.far_order
+        for u in pool.remote_order
         if pool.region_of(u) in open_regions and pool.allows(call, u)
     ]
     return selection.sample(allowed, MAX_COMPARED, pool.rng, now, exclude)
@@ -133,15 +136,17 @@
     """
     Return the share of the local region's usable slots that are in use.
 
-    Slots left empty because of crowding don't count, nor do upstreams that are slowed
+    Slots left empty because of contention don't count, nor do upstreams that are slowed
     or ejected; 1 if there are no others.
     """
-    sound = [u for u in pool.near_order if _is_healthy(u, now)]
-    crowded = pool.contention
-    usable = sum(crowded.usable(u.slots, sample=u.contention_sample) for u in sound)
+    healthy = [u for u in pool.local_region_order if _is_healthy(u, now)]
+    pool_contention = pool.contention
+    usable = sum(
+        pool_contention.usable(u.slots, sample=u.contention_sample) for u in healthy
+    )
     if usable <= 0:
         return 1.0
-    return sum(min(u.slots, pool.estimated_load(u, now)) for u in sound) / usable
+    return sum(min(u.slots, pool.estimated_load(u, now)) for u in healthy) / usable
 
 
 def _is_healthy(upstream: upstreams.Upstream, now: ids.Instant) -> bool:
@@ -149,5 +154,5 @@
     return upstream.state is upstreams.State.ACTIVE and not slowed
 
 
-def _any_near(pool: upstream_pool.Pool, now: ids.Instant) -> bool:
-    return any(upstream.may_take(now) for upstream in pool.near_order)
+def _any_local_may_take(pool: upstream_pool.Pool, now: ids.Instant) -> bool:
+    return any(upstream.may_take(now) for upstream in pool.local_region_order)
--- a/spindlenotch/decisions/quarantine.py
+++ b/spindlenotch/decisions/quarantine.py
@@ -4,12 +4,12 @@
 An upstream may crash for unrelated reasons while it runs any request. A request that
 causes crashes does so each time: it is never answered, and each retry crashes another
 upstream. So a request is taken to be the cause once three upstreams have crashed while
-running it, not all of them during concurrent tries, and none has answered it since. A
-request that was lost in a crash is suspect until it is answered; meanwhile only one
-call at a time may try it.
+running it, not all of them during concurrent attempts, and none has answered it since.
+A request that was lost in a crash is suspect until it is answered; meanwhile only one
+call of it is sent at a time.
 
-Pure. Owns what this process knows of such requests; the crash notes of peers are merged
-into it.
+Performs no I/O and reads no clock. Owns what this process knows of such requests; the
+crash records of peers are merged into it.
 """
 
 import collections
@@ -23,13 +23,13 @@
 from spindlenotch.kernel import crash_records, fingerprints
 
 #: Crashed upstreams from which a request is quarantined: the smallest number that
-#: chance does not explain. Where 3 in 100 tries lose their upstream, as happens while
-#: such a request is sent, three in a row hit a harmless request with a probability of
-#: 3 in 10^5.
+#: chance does not explain. Where 3 in 100 attempts lose their upstream, as happens
+#: while such a request is sent, three in a row hit a harmless request with a
+#: probability of 3 in 10^5.
 MIN_CRASHED_UPSTREAMS = 3
-#: Crashes among these that must have happened one after the other, each during a try
-#: sent when the previous crash was known: upstreams that fail together, with their host
-#: or zone, fail during many concurrent tries of a popular request.
+#: Crashes among these that must have happened one after the other, each during an
+#: attempt sent when the previous crash was known: upstreams that fail together, with
+#: their host or zone, fail during many concurrent attempts of a popular request.
 MIN_CRASH_DEPTH = 2
 #: Seconds for which a request is quarantined: a day, in which operators see the event
 #: and can fix the upstreams.
@@ -42,15 +42,15 @@
 #: that detected it together one informs the others first.
 RECHECK_AFTER_S = 10.0
 #: Seconds for which a suspect request is remembered while nobody sends it: a rare one
-#: is identified from few tries, but tries an hour apart are weak evidence.
+#: is identified from few attempts, but attempts an hour apart are weak evidence.
 KEEP_SUSPECT_S = 3_600.0
-#: Seconds for which an answer to a request is remembered, so that crash notes of the
+#: Seconds for which an answer to a request is remembered, so that crash records of the
 #: previous round, which may be in transit for as long as gossip takes, do not count.
 KEEP_ANSWERED_S = 30.0
 #: Most requests that are remembered: each crash adds as many as the upstream was
 #: running, so this has room for some hundred upstreams with six slots. The least
 #: recently changed are evicted first.
-MAX_NOTES = 1_024
+MAX_RECORDS = 1_024
 
 
 class CrashStatus(enum.IntEnum):
@@ -63,9 +63,9 @@
     QUARANTINED = 2
 
 
-class Mark(msgspec.Struct, frozen=True):
+class CrashSnapshot(msgspec.Struct, frozen=True):
     """
-    What was known of a request when a try of it was sent.
+    What was known of a request when an attempt of it was sent.
 
     ``round`` and ``depth`` are those of its ``CrashRecord``.
     """
@@ -74,26 +74,26 @@
     depth: int = 0
 
 
-UNMARKED = Mark()
+EMPTY_SNAPSHOT = CrashSnapshot()
 
 
 class Change(msgspec.Struct, frozen=True):
     """A request was quarantined or released; for the log."""
 
-    note: crash_records.CrashRecord
+    record: crash_records.CrashRecord
     status: CrashStatus
 
 
-class KeptNote(msgspec.Struct):
-    """A crash note and when it expires."""
+class KeptRecord(msgspec.Struct):
+    """A crash record and when it expires."""
 
-    note: crash_records.CrashRecord
+    record: crash_records.CrashRecord
     until: ids.Instant
 
     @property
     def status(self) -> CrashStatus:
         """Return the status of the request."""
-        return status_of(self.note)
+        return status_of(self.record)
 
 
 class Quarantine:
@@ -103,13 +103,13 @@
     ``changes`` are kept until they are taken out for the log. ``salt`` varies the delay
     of rechecks from process to process.
 
-    Invariant: while a note on a fingerprint is kept, its round never decreases, and
+    Invariant: while a record of a fingerprint is kept, its round never decreases, and
     within a round its depth never decreases.
     """
 
     def __init__(self, salt: str = "") -> None:
         self.salt = salt
-        self.kept_by_fingerprint: dict[ids.Fingerprint, KeptNote] = {}
+        self.kept_by_fingerprint: dict[ids.Fingerprint, KeptRecord] = {}
         self.changes: list[Change] = []
         self._recheck_at: dict[ids.Fingerprint, ids.Instant] = {}
         self._checks_pending: collections.Counter[ids.Fingerprint] = (
@@ -136,15 +136,19 @@
             if one is not None and one.status is CrashStatus.QUARANTINED
         )
 
-    def mark(self, fingerprint: ids.Fingerprint) -> Mark:
-        """Return what is known of a request, to be kept with a try that is sent now."""
-        note = self.note(fingerprint)
-        return Mark(note.round, note.depth + (fingerprint in self._checks_pending))
+    def snapshot(self, fingerprint: ids.Fingerprint) -> CrashSnapshot:
+        """
+        Return what is known of a request, to be kept with an attempt that is sent now.
+        """
+        record = self.record_of(fingerprint)
+        return CrashSnapshot(
+            record.round, record.depth + (fingerprint in self._checks_pending)
+        )
 
-    def note(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
+    def record_of(self, fingerprint: ids.Fingerprint) -> crash_records.CrashRecord:
         """Return what is known of a request, in the form in which peers get it."""
         kept = self.kept_by_fingerprint.get(fingerprint)
-        return crash_records.CrashRecord(fingerprint) if kept is None else kept.note
+        return crash_records.CrashRecord(fingerprint) if kept is None else kept.record
 
     def begin_check(self, fingerprint: ids.Fingerprint) -> None:
         """Treat a request as suspect while its upstream is checked for a crash."""
@@ -161,21 +165,21 @@
     def record_crash(
         self,
         fingerprint: ids.Fingerprint,
-        mark: Mark,
+        snapshot: CrashSnapshot,
         upstream: ids.UpstreamId,
         now: ids.Instant,
     ) -> bool:
         """
-        Record that an upstream crashed during a try with this mark.
+        Record that an upstream crashed during an attempt with this snapshot.
 
         Return whether that changes what is known, like ``merge``.
         """
-        before = status_of(self.note(fingerprint))
+        before = status_of(self.record_of(fingerprint))
         crash = crash_records.CrashRecord(
-            fingerprint, mark.round, mark.depth + 1, (upstream,)
+            fingerprint, snapshot.round, snapshot.depth + 1, (upstream,)
         )
         is_news = self.merge(crash, now)
-        after = status_of(self.note(fingerprint))
+        after = status_of(self.record_of(fingerprint))
         if before is not CrashStatus.QUARANTINED is after:
             self._recheck_at[fingerprint] = ids.later(
                 now, self._recheck_after_s(fingerprint)
@@ -190,16 +194,16 @@
         """
         due = [one for one in known.as_tuple() if self._is_recheck_due(one, now)]
         for fingerprint in due:
-            note = self.note(fingerprint)
-            self.merge(msgspec.structs.replace(note, is_retried=True), now)
+            record = self.record_of(fingerprint)
+            self.merge(msgspec.structs.replace(record, is_retried=True), now)
         return bool(due)
 
     def clear(self, fingerprint: ids.Fingerprint, now: ids.Instant) -> bool:
         """Record that a request was answered; return whether it was suspect."""
-        note = self.note(fingerprint)
-        if not note.depth:
+        record = self.record_of(fingerprint)
+        if not record.depth:
             return False
-        return self.merge(crash_records.CrashRecord(fingerprint, note.round + 1), now)
+        return self.merge(crash_records.CrashRecord(fingerprint, record.round + 1), now)
 
     def merge(
         self,
@@ -208,11 +212,11 @@
         until: ids.Instant = ids.NEVER,
     ) -> bool:
         """
-        Merge a crash note; return whether it changes what is known.
+        Merge a crash record; return whether it changes what is known.
 
         A quarantine that it begins ends at ``until``, or earlier.
         """
-        known = self.note(told.fingerprint)
+        known = self.record_of(told.fingerprint)
         merged = known.merged(told)
         if merged == known:
             return False
@@ -220,22 +224,22 @@
         return True
 
     def expire(self, now: ids.Instant) -> None:
-        """Drop expired notes and release requests whose quarantine is over."""
+        """Drop expired records and release requests whose quarantine is over."""
         kept = self.kept_by_fingerprint
         over = [name for name, one in kept.items() if one.until <= now]
         for fingerprint in over:
             if kept[fingerprint].status is CrashStatus.QUARANTINED:
-                # Begins a new round, so that notes of peers that have not released
+                # Begins a new round, so that records of peers that have not released
                 # the request yet do not quarantine it again.
                 self.clear(fingerprint, now)
             else:
                 self._forget(fingerprint)
 
     def quarantined(self) -> abc.Iterator[crash_records.CrashRecord]:
-        """Return the notes on all quarantined requests."""
+        """Return the records of all quarantined requests."""
         for kept in self.kept_by_fingerprint.values():
             if kept.status is CrashStatus.QUARANTINED:
-                yield kept.note
+                yield kept.record
 
     def _recheck_after_s(self, fingerprint: ids.Fingerprint) -> float:
         spread = zlib.crc32(f"{self.salt}/{fingerprint}".encode()) / 2**32
@@ -245,29 +249,29 @@
         return self._recheck_at.get(fingerprint, ids.NEVER) <= now
 
     def _status(self, fingerprint: ids.Fingerprint) -> CrashStatus:
-        status = status_of(self.note(fingerprint))
+        status = status_of(self.record_of(fingerprint))
         if fingerprint in self._checks_pending:
             return max(status, CrashStatus.SUSPECT)
         return status
 
     def _keep(
-        self, note: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
+        self, record: crash_records.CrashRecord, now: ids.Instant, until: ids.Instant
     ) -> None:
-        before = status_of(self.note(note.fingerprint))
-        after = status_of(note)
+        before = status_of(self.record_of(record.fingerprint))
+        after = status_of(record)
         until = min(until, ids.later(now, KEEP_S_BY_STATUS[after]))
         if before is CrashStatus.QUARANTINED is after:
-            until = self.kept_by_fingerprint[note.fingerprint].until
+            until = self.kept_by_fingerprint[record.fingerprint].until
         elif CrashStatus.QUARANTINED in (before, after):
-            self.changes.append(Change(note, after))
-            self._recheck_at.pop(note.fingerprint, None)
-        if note.is_retried:
-            self._recheck_at.pop(note.fingerprint, None)
+            self.changes.append(Change(record, after))
+            self._recheck_at.pop(record.fingerprint, None)
+        if record.is_retried:
+            self._recheck_at.pop(record.fingerprint, None)
         # Removed first, so that the dict is ordered by the last change.
-        self._forget(note.fingerprint)
-        self.kept_by_fingerprint[note.fingerprint] = KeptNote(note, until)
-        self._count_target(note.fingerprint, 1)
-        if len(self.kept_by_fingerprint) > MAX_NOTES:
+        self._forget(record.fingerprint)
+        self.kept_by_fingerprint[record.fingerprint] = KeptRecord(record, until)
+        self._count_target(record.fingerprint, 1)
+        if len(self.kept_by_fingerprint) > MAX_RECORDS:
             self._forget(self._eviction_candidate())
 
     def _eviction_candidate(self) -> ids.Fingerprint:
@@ -286,7 +290,7 @@
             del self._count_by_target[digits]
 
 
-#: Seconds for which a note is kept after its last change.
+#: Seconds for which a record is kept after its last change.
 KEEP_S_BY_STATUS = {
     CrashStatus.CLEAR: KEEP_ANSWERED_S,
     CrashStatus.SUSPECT: KEEP_SUSPECT_S,
@@ -294,10 +298,10 @@
 }
 
 
-def status_of(note: crash_records.CrashRecord) -> CrashStatus:
-    """Return the status of a request with this crash note."""
-    if not note.depth:
+def status_of(record: crash_records.CrashRecord) -> CrashStatus:
+    """Return the status of a request with this crash record."""
+    if not record.depth:
         return CrashStatus.CLEAR
-    if note.depth >= MIN_CRASH_DEPTH and len(note.ended) >= MIN_CRASHED_UPSTREAMS:
+    if record.depth >= MIN_CRASH_DEPTH and len(record.ended) >= MIN_CRASHED_UPSTREAMS:
         return CrashStatus.QUARANTINED
     return CrashStatus.SUSPECT
--- a/spindlenotch/decisions/silence.py
+++ b/spindlenotch/decisions/silence.py
@@ -10,7 +10,7 @@
 from spindlenotch.kernel import upstreams
 
 #: Missed answers that add no cost.
-TOLERATED_MISSED_ANSWERS = 3.0
+MAX_TOLERATED_MISSED_ANSWERS = 3.0
 #: Cost of each further missed answer, as a share of the typical latency.
 COST_PER_MISSED_ANSWER = 0.3
 
@@ -33,7 +33,8 @@
     now: ids.Instant,
 ) -> bool:
     """
-    Return whether an upstream may have crashed since a try was sent at ``sent_at``.
+    Return whether an upstream may have crashed since an attempt was sent at
+    ``sent_at``.
 
     It may have if nothing was heard of it for longer than ``p95_s``, the 95th
     percentile of the latency in seconds: an upstream whose host fails closes no
@@ -49,4 +50,4 @@
     if not upstream.sent_at_by_call and not upstream.liveness.has_unanswered_attempts:
         return 0.0
     missed = missed_answers(upstream, typical_s, now)
-    return COST_PER_MISSED_ANSWER * max(0.0, missed - TOLERATED_MISSED_ANSWERS)
+    return COST_PER_MISSED_ANSWER * max(0.0, missed - MAX_TOLERATED_MISSED_ANSWERS)
--- a/spindlenotch/decisions/traffic_split.py
+++ b/spindlenotch/decisions/traffic_split.py
@@ -1,15 +1,15 @@
 """
 Traffic split between versions of a service during a canary rollout.
 
-The version that is rolled out (the target) gets a bounded share of first tries. Each
+The version that is rolled out (the target) gets a bounded share of first attempts. Each
 process counts from zero and never resets the counts: as the bound holds in each process
 at any time, it holds for their sum without any coordination. A few upstreams of the
 target (the canaries), the same in all processes, get those calls, so that each carries
 as much as one of the others does; with a small fraction of that, nothing would be
 learnt of its behaviour under load.
 
-Pure. Owns the counts of one service and one target in one process. Results of calls are
-passed to an ``Observer``, which evaluates the target.
+Performs no I/O and reads no clock. Owns the counts of one service and one target in one
+process. Results of calls are passed to an ``Observer``, which evaluates the target.
 """
 
 import enum
@@ -71,24 +71,24 @@
 
 
 class Exclusion:
-    """The upstreams that a call was sent to before, and those barred by the split."""
+    """The upstreams that a call was sent to before, and those excluded by the split."""
 
-    __slots__ = ("barred", "tried")
+    __slots__ = ("attempted", "excluded")
 
     def __init__(
         self,
-        tried: abc.Container[ids.UpstreamId],
-        barred: abc.Container[ids.UpstreamId],
+        attempted: abc.Container[ids.UpstreamId],
+        excluded: abc.Container[ids.UpstreamId],
     ) -> None:
-        self.tried = tried
-        self.barred = barred
+        self.attempted = attempted
+        self.excluded = excluded
 
     def __contains__(self, upstream_id: object) -> bool:
-        return upstream_id in self.tried or upstream_id in self.barred
+        return upstream_id in self.attempted or upstream_id in self.excluded
 
     def __bool__(self) -> bool:
         """Return whether the call has been sent before."""
-        return bool(self.tried)
+        return bool(self.attempted)
 
 
 class TrafficSplit:
@@ -98,9 +98,9 @@
     Invariants: with ``SHARED``, the calls ``sent`` to the target are at most ``share``
     times the ``answered`` calls of the service; with ``OTHERS_ONLY`` nothing is placed
     on the target, with ``TARGET_ONLY`` nothing elsewhere; nothing is ever placed on
-    versions that are ``held``. ``deprioritized`` upstreams of the target are canaries
-    only if too few others are left. ``key`` seeds the choice of the canaries; it is the
-    same in all processes.
+    ``excluded_versions``. ``deprioritized`` upstreams of the target are canaries only
+    if too few others are left. ``key`` seeds the choice of the canaries; it is the same
+    in all processes.
     """
 
     def __init__(
@@ -109,13 +109,13 @@
         share: float,
         key: str,
         observer: Observer,
-        held: frozenset[ids.SoftwareVersion] = frozenset(),
+        excluded_versions: frozenset[ids.SoftwareVersion] = frozenset(),
     ) -> None:
         self.target = target
         self.share = share
         self.key = key
         self.observer = observer
-        self.held = held
+        self.excluded_versions = excluded_versions
         self.access = Access.SHARED
         self.deprioritized: set[ids.UpstreamId] = set()
         self.sent = 0
@@ -123,26 +123,26 @@
         self._sent_by_route: dict[str, int] = {}
         self._answered_by_route: dict[str, int] = {}
         self._pool_revision = -1
-        self._barred_access = self.access
-        self._barred: frozenset[ids.UpstreamId] = frozenset()
+        self._excluded_for = self.access
+        self._excluded: frozenset[ids.UpstreamId] = frozenset()
         self._target_order: list[upstreams.Upstream] = []
         self._others = 0
 
-    def barred(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
+    def excluded(self, pool: upstream_pool.Pool) -> frozenset[ids.UpstreamId]:
         """Return the upstreams on which the selection policy must not place calls."""
         self._refresh(pool)
-        return self._barred
+        return self._excluded
 
     def excluding(
-        self, pool: upstream_pool.Pool, tried: abc.Container[ids.UpstreamId]
+        self, pool: upstream_pool.Pool, attempted: abc.Container[ids.UpstreamId]
     ) -> selection.Exclusion:
         """Return the upstreams excluded for a call that the selection policy places."""
-        return Exclusion(tried, self.barred(pool))
+        return Exclusion(attempted, self.excluded(pool))
 
     def choose_target(
         self, pool: upstream_pool.Pool, call: wait_queue.Call, now: ids.Instant
     ) -> selection.Choice | None:
-        """Choose a canary for a call's first try, if the target is due a call."""
+        """Choose a canary for a call's first attempt, if the target is due a call."""
         if self.access is not Access.SHARED or not self._is_due(call.latency_key):
             return None
         self._refresh(pool)
@@ -153,11 +153,13 @@
         ]
         if not able:
             return None
-        near = [u for u in able if not pool.is_far(u)]
+        in_local_region = [u for u in able if not pool.is_remote(u)]
         self.sent += 1
         key = call.latency_key
         self._sent_by_route[key] = self._sent_by_route.get(key, 0) + 1
-        return selection.Choice(pool.rng.choice(near or able), selection.Rule.CANARY)
+        return selection.Choice(
+            pool.rng.choice(in_local_region or able), selection.Rule.CANARY
+        )
 
     def ended(
         self,
@@ -203,22 +205,26 @@
         return usable[:count]
 
     def _refresh(self, pool: upstream_pool.Pool) -> None:
-        """Recompute the barred upstreams and canaries if the pool or access changed."""
-        if pool.revision == self._pool_revision and self.access is self._barred_access:
+        """
+        Recompute the excluded upstreams and canaries if the pool or access changed.
+        """
+        if pool.revision == self._pool_revision and self.access is self._excluded_for:
             return
         self._pool_revision = pool.revision
-        self._barred_access = self.access
+        self._excluded_for = self.access
         versions = {u.spec.id: u.spec.version for u in pool.upstream_by_id.values()}
-        self._barred = frozenset(i for i, v in versions.items() if self._is_barred(v))
+        self._excluded = frozenset(
+            i for i, v in versions.items() if self._is_excluded(v)
+        )
         targets = [u for u in pool.usable_order if u.spec.version == self.target]
-        self._others = sum(u.spec.id not in self._barred for u in pool.usable_order)
+        self._others = sum(u.spec.id not in self._excluded for u in pool.usable_order)
         self._target_order = sorted(targets, key=self._canary_rank, reverse=True)
 
-    def _is_barred(self, version: ids.SoftwareVersion) -> bool:
+    def _is_excluded(self, version: ids.SoftwareVersion) -> bool:
         is_target = version == self.target
         if self.access is Access.TARGET_ONLY:
             return not is_target
-        return is_target or version in self.held
+        return is_target or version in self.excluded_versions
 
     def _canary_rank(self, upstream: upstreams.Upstream) -> tuple[int, str]:
         """Return the sort key that decides which upstreams become canaries."""
--- a/spindlenotch/forwarding/classification.py
+++ b/spindlenotch/forwarding/classification.py
@@ -3,7 +3,7 @@
 
 The only place that decides whether an attempt was answered, definitely did not run or
 may have run, which reason a refusal then gives, and which result the balancer records
-for the upstream. Pure: no input or output, no clock.
+for the upstream. Performs no I/O and reads no clock.
 """
 
 import msgspec
@@ -86,7 +86,7 @@
     """Classify an attempt by its answer head, as if the body were complete."""
     if answer.not_run:
         return SHED
-    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+    if answer.status >= outcomes.MIN_FAILED_STATUS:
         return FAILED_ANSWER
     return GOOD_ANSWER
 
@@ -101,7 +101,7 @@
     """
     if isinstance(last_chunk, ports.UpstreamFault):
         return upstreams.Result.FAILED
-    if answer.status >= outcomes.FIRST_FAILED_STATUS:
+    if answer.status >= outcomes.MIN_FAILED_STATUS:
         return upstreams.Result.FAILED
     return upstreams.Result.ANSWERED
 
--- a/spindlenotch/forwarding/crash_watch.py
+++ b/spindlenotch/forwarding/crash_watch.py
@@ -32,8 +32,8 @@
 #: Logged reason for ejecting a crashed upstream.
 EJECTION_REASON = "gone"
 
-#: Called with each crash note that must be sent to peers.
-NoteListener = abc.Callable[[crash_records.CrashRecord], None]
+#: Called with each crash record that must be sent to peers.
+CrashRecordListener = abc.Callable[[crash_records.CrashRecord], None]
 
 
 class DetectorState(typing.Protocol):
@@ -51,7 +51,7 @@
     """
 
     request_fingerprints: fingerprints.Fingerprints
-    marks: try_marks.Marks
+    snapshots: try_marks.Snapshots
     balancer: balancer.Balancer
     upstream: upstreams.Upstream
     kind: verdicts.Kind
@@ -85,22 +85,22 @@
         self.state = state
         self.port = port
         self.quarantine = known
-        self.marks = try_marks.AttemptMarks(known)
+        self.snapshots = try_marks.AttemptSnapshots(known)
         self._lost_requests_by_upstream: dict[ids.UpstreamId, list[LostRequest]] = {}
         #: Lost requests whose upstream appears to have crashed, the oldest first.
         self._recent_crashes: collections.deque[LostRequest] = collections.deque()
         self._answers = recent_answers.RecentAnswers()
         self._liveness_checks: set[asyncio.Task[None]] = set()
-        self._listeners: list[NoteListener] = []
+        self._listeners: list[CrashRecordListener] = []
 
-    def add_listener(self, listener: NoteListener) -> None:
-        """Call ``listener`` with each note that this process changes."""
+    def add_listener(self, listener: CrashRecordListener) -> None:
+        """Call ``listener`` with each record that this process changes."""
         self._listeners.append(listener)
 
-    def publish_notes(self, request_fingerprints: fingerprints.Fingerprints) -> None:
-        """Pass the crash notes of a request to the listeners."""
+    def publish_records(self, request_fingerprints: fingerprints.Fingerprints) -> None:
+        """Pass the crash records of a request to the listeners."""
         for fingerprint in request_fingerprints.as_tuple():
-            self._publish_note(fingerprint)
+            self._publish_record(fingerprint)
 
     # Results of attempts
 
@@ -108,7 +108,7 @@
         """Record that an attempt lost its connection after it was sent."""
         lost_request = LostRequest(
             job.fingerprints(),
-            self.marks.record_lost(grant),
+            self.snapshots.record_lost(grant),
             job.balancer,
             grant.upstream,
             grant.kind,
@@ -184,7 +184,7 @@
                 from_caller=lost_request.request_fingerprints.from_caller,
                 kind=lost_request.kind.value,
                 answered_lately=int(lost_request.answered_lately),
-                depth=self.quarantine.note(
+                depth=self.quarantine.record_of(
                     lost_request.request_fingerprints.from_caller
                 ).depth,
             )
@@ -202,23 +202,23 @@
 
     def _record_crash(self, lost_request: LostRequest) -> None:
         now = self.state.clock.now()
-        for fingerprint, mark in zip(
-            lost_request.suspect_fingerprints(), lost_request.marks, strict=False
+        for fingerprint, snapshot in zip(
+            lost_request.suspect_fingerprints(), lost_request.snapshots, strict=False
         ):
             upstream_id = lost_request.upstream.spec.id
-            if self.quarantine.record_crash(fingerprint, mark, upstream_id, now):
-                self._publish_note(fingerprint)
+            if self.quarantine.record_crash(fingerprint, snapshot, upstream_id, now):
+                self._publish_record(fingerprint)
 
     def _clear(self, request_fingerprints: fingerprints.Fingerprints) -> None:
         now = self.state.clock.now()
         for fingerprint in request_fingerprints.as_tuple():
             if self.quarantine.clear(fingerprint, now):
-                self._publish_note(fingerprint)
+                self._publish_record(fingerprint)
 
-    def _publish_note(self, fingerprint: ids.Fingerprint) -> None:
-        note = self.quarantine.note(fingerprint)
+    def _publish_record(self, fingerprint: ids.Fingerprint) -> None:
+        record = self.quarantine.record_of(fingerprint)
         for listener in self._listeners:
-            listener(note)
+            listener(record)
 
 
 def _has_reported_since(lost_request: LostRequest) -> bool:
--- a/spindlenotch/forwarding/trials.py
+++ b/spindlenotch/forwarding/trials.py
@@ -41,8 +41,8 @@
     call: ids.CallId
     until: ids.Instant
     ended: asyncio.Event
-    #: Whether this is the single further trial that a quarantined request gets.
-    is_retrial: bool = False
+    #: Whether this is the recheck, the one further call of a quarantined request.
+    is_recheck: bool = False
 
 
 class Trials:
@@ -73,7 +73,7 @@
         while (status := self.status(job)) is not quarantine.CrashStatus.CLEAR:
             now = self.state.clock.now()
             if status is quarantine.CrashStatus.QUARANTINED:
-                return self._retry_or_refuse(job, now)
+                return self._recheck_or_refuse(job, now)
             trial = self._trial_by_content.get(job.fingerprints().content)
             if trial is None or trial.until <= now or trial.call == job.call.id:
                 self._start_trial(job, now)
@@ -90,27 +90,27 @@
             return None
         request_fingerprints = job.fingerprints()
         trial = self._trial_by_content.get(request_fingerprints.content)
-        if trial is not None and trial.is_retrial and trial.call == job.call.id:
+        if trial is not None and trial.is_recheck and trial.call == job.call.id:
             return None
         latest = ids.later(self.state.clock.now(), MAX_RETRY_AFTER_S)
         until = min(latest, self.quarantine.until(request_fingerprints))
         return outcomes.not_run(outcomes.Reason.QUARANTINED, until)
 
-    def _retry_or_refuse(
+    def _recheck_or_refuse(
         self, job: jobs.Job, now: ids.Instant
     ) -> outcomes.Refusal | None:
         request_fingerprints = job.fingerprints()
         if self.quarantine.take_recheck(request_fingerprints, now):
-            self.crash_detector.publish_notes(request_fingerprints)
-            self._start_trial(job, now, is_retrial=True)
+            self.crash_detector.publish_records(request_fingerprints)
+            self._start_trial(job, now, is_recheck=True)
         return self.refusal(job)
 
     def _start_trial(
-        self, job: jobs.Job, now: ids.Instant, *, is_retrial: bool = False
+        self, job: jobs.Job, now: ids.Instant, *, is_recheck: bool = False
     ) -> None:
         until = ids.later(now, EXCLUSIVE_TRIAL_S)
         content = job.fingerprints().content
-        trial = Trial(job.call.id, until, asyncio.Event(), is_retrial)
+        trial = Trial(job.call.id, until, asyncio.Event(), is_recheck)
         self._trial_by_content[content] = trial
         self._content_by_call[job.call.id] = content
 
--- a/spindlenotch/forwarding/try_marks.py
+++ b/spindlenotch/forwarding/try_marks.py
@@ -1,47 +1,53 @@
 """
 Records what was known of each request when an attempt of it was sent.
 
-The marks tell whether one crash followed another: concurrent attempts were sent without
-knowledge of each other's crashes. They are dropped when the attempt ends. Pure.
+The snapshots tell whether one crash followed another: concurrent attempts were sent
+without knowledge of each other's crashes. They are dropped when the attempt ends.
+Performs no I/O and reads no clock.
 """
 
 from spindlenotch import ids
 from spindlenotch.decisions import quarantine, verdicts
 from spindlenotch.forwarding import jobs
 
-#: Marks of an attempt, in the order of ``Fingerprints.as_tuple``.
-Marks = tuple[quarantine.Mark, quarantine.Mark]
+#: Snapshots of an attempt, in the order of ``Fingerprints.as_tuple``.
+Snapshots = tuple[quarantine.CrashSnapshot, quarantine.CrashSnapshot]
 AttemptKey = tuple[ids.CallId, ids.UpstreamId]
 
-NO_MARKS: Marks = (quarantine.UNMARKED, quarantine.UNMARKED)
+EMPTY_SNAPSHOTS: Snapshots = (quarantine.EMPTY_SNAPSHOT, quarantine.EMPTY_SNAPSHOT)
 
 
-class AttemptMarks:
-    """The marks of the attempts in flight, and the calls that may not be retried."""
+class AttemptSnapshots:
+    """
+    The snapshots of the attempts in flight, and the calls that may not be retried.
+    """
 
     def __init__(self, known: quarantine.Quarantine) -> None:
         self.quarantine = known
-        self._marks_by_attempt: dict[AttemptKey, Marks] = {}
+        self._snapshots_by_attempt: dict[AttemptKey, Snapshots] = {}
         #: Calls that lost their upstream when they were suspect already.
         self._calls_without_retry: set[ids.CallId] = set()
 
     def record_sent(self, job: jobs.Job, grant: verdicts.Grant) -> None:
-        """Record the marks of a request when an attempt of it is sent."""
+        """Record the snapshots of a request when an attempt of it is sent."""
         if self.quarantine.knows_target(job.target):
             content, from_caller = job.fingerprints().as_tuple()
-            marks = (self.quarantine.mark(content), self.quarantine.mark(from_caller))
-            self._marks_by_attempt[_key(grant)] = marks
+            snapshots = (
+                self.quarantine.snapshot(content),
+                self.quarantine.snapshot(from_caller),
+            )
+            self._snapshots_by_attempt[_key(grant)] = snapshots
 
-    def record_lost(self, grant: verdicts.Grant) -> Marks:
-        """Record that an attempt lost its connection; return its marks."""
-        marks = self._marks_by_attempt.get(_key(grant), NO_MARKS)
-        if any(mark.depth for mark in marks):
+    def record_lost(self, grant: verdicts.Grant) -> Snapshots:
+        """Record that an attempt lost its connection; return its snapshots."""
+        snapshots = self._snapshots_by_attempt.get(_key(grant), EMPTY_SNAPSHOTS)
+        if any(snapshot.depth for snapshot in snapshots):
             self._calls_without_retry.add(grant.call.id)
-        return marks
+        return snapshots
 
     def may_retry(self, call_id: ids.CallId) -> bool:
         """
-        Tell whether a call may be retried after it lost its upstream.
+        Return whether a call may be retried after it lost its upstream.
 
         It may not if upstreams had crashed under the same request before the attempt
         was sent: each retry of a request that crashes upstreams costs one more.
@@ -49,8 +55,8 @@
         return call_id not in self._calls_without_retry
 
     def drop(self, grant: verdicts.Grant) -> None:
-        """Drop the marks of an attempt."""
-        self._marks_by_attempt.pop(_key(grant), None)
+        """Drop the snapshots of an attempt."""
+        self._snapshots_by_attempt.pop(_key(grant), None)
 
     def forget(self, call_id: ids.CallId) -> None:
         """Drop what was recorded of a call."""
--- a/spindlenotch/gateway/cluster/fleet.py
+++ b/spindlenotch/gateway/cluster/fleet.py
@@ -161,7 +161,7 @@
         """Tell whether the reader of this gateway's zone also reads for ``zone``."""
         if self.state.links is None:
             return zone == self.state.config.zone
-        return not self.state.is_far(zone)
+        return not self.state.is_remote(zone)
 
     def _update_members(self, min_per_zone: int) -> None:
         records = self._live_records()
--- a/spindlenotch/gateway/cluster/prober.py
+++ b/spindlenotch/gateway/cluster/prober.py
@@ -18,7 +18,7 @@
 from spindlenotch.kernel import hearing, service_policy, upstream_pool, upstreams
 
 #: Timeout of a probe, in seconds.
-PROBE_TIMEOUT_S = hearing.REPORT_LAG_S
+PROBE_TIMEOUT_S = hearing.MAX_REPORT_LAG_S
 #: Seconds between two checks which upstreams are assigned to this gateway.
 RECONCILE_PERIOD_S = 0.2
 #: Approximate lifetime of a probing task in seconds; the next one starts with the
@@ -129,7 +129,7 @@
             Target(name, service_balancer.pool, upstream)
             for name, service_balancer in self.state.balancer_by_service.items()
             for upstream in service_balancer.pool.usable_order
-            if not self.state.is_far(upstream.spec.zone)
+            if not self.state.is_remote(upstream.spec.zone)
         ]
         specs = [target.upstream.spec for target in usable]
         probers_by_zone = duties.probers(standby_by_zone, specs)
--- a/spindlenotch/gateway/cluster/region_loads.py
+++ b/spindlenotch/gateway/cluster/region_loads.py
@@ -30,9 +30,9 @@
         reachable = links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         services = []
         for name, service in self.state.balancer_by_service.items():
-            service.pool.far_used_by_region = _used_by_region(name, reachable)
+            service.pool.used_by_remote_region = _used_by_region(name, reachable)
             used = overflow.used_share(service.pool, now)
-            service.pool.near_used = used
+            service.pool.local_region_used = used
             services.append(messages.ServiceUse(name, round(used, SHARE_DIGITS)))
         links.describe_services(services)
 
--- a/spindlenotch/gateway/serving/request_processing.py
+++ b/spindlenotch/gateway/serving/request_processing.py
@@ -145,7 +145,7 @@
         job = exchange.job
         self._traffic.record_response(exchange, len(response.body))
         self.log.count(job, outcomes.Outcome.RAN, outcomes.Reason.SERVED)
-        if response.status >= outcomes.FIRST_FAILED_STATUS:
+        if response.status >= outcomes.MIN_FAILED_STATUS:
             self.log.upstream_failed(self._request_id(request), job, exchange)
         self.log.served(self._request_id(request), job, exchange)
         return web_response.Response(
--- a/spindlenotch/gateway/source/relay.py
+++ b/spindlenotch/gateway/source/relay.py
@@ -249,7 +249,7 @@
         self.election.note_peer(now)
         if self.fleet.shares_reader(sender.zone):
             self.election.note_zone_peer(sender.host, now, reads=message.reads_source)
-        if not self.state.is_far(sender.zone) or (
+        if not self.state.is_remote(sender.zone) or (
             self.election.lacks_reader(now) and not self.state.reads_source
         ):
             self.exchange.fetch(sender.peer_address, handled.newer)
--- a/spindlenotch/gateway/state.py
+++ b/spindlenotch/gateway/state.py
@@ -110,7 +110,7 @@
         """Return the region of this gateway."""
         return self.regions.region(self.config.zone)
 
-    def is_far(self, zone: ids.ZoneName) -> bool:
+    def is_remote(self, zone: ids.ZoneName) -> bool:
         """Return whether a zone is in another region."""
         return self.regions.region(zone) != self.region
 
--- a/spindlenotch/kernel/cold_start.py
+++ b/spindlenotch/kernel/cold_start.py
@@ -49,16 +49,16 @@
         return self._pacer.part_per_s
 
     def is_cold(self, now: ids.Instant) -> bool:
-        """Tell whether it is cold."""
+        """Return whether it is cold."""
         return now < self.until
 
     def may_ever_send(self, now: ids.Instant) -> bool:
-        """Tell whether this process may send it requests in its present state."""
+        """Return whether this process may send it requests in its present state."""
         return now >= self.until or self.rate_per_s > 0.0
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether this process may send it one more request.
+        Return whether this process may send it one more request.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
@@ -119,7 +119,7 @@
         upstream_id, zone=None, local_host=shared_rate.NO_HOST
     )
     members = tuple(ownership.Member(ANY_ZONE, host) for host in hosts)
-    holders = participant.holders(shared_rate.View(members), most=1)
+    holders = participant.holders(shared_rate.View(members), max_count=1)
     return holders[0] if holders else None
 
 
--- a/spindlenotch/kernel/hearing.py
+++ b/spindlenotch/kernel/hearing.py
@@ -2,8 +2,8 @@
 When one process last heard from an upstream, and how long a response is overdue.
 
 A cancelled attempt leaves behind the time for which it waited: otherwise, where
-requests have short deadlines, a hung upstream would never be seen as silent. Pure;
-every method takes the instant.
+requests have short deadlines, a hung upstream would never be seen as silent. Performs
+no I/O and reads no clock: every method takes the instant.
 """
 
 from spindlenotch import ids
@@ -11,10 +11,10 @@
 
 #: Longest time between sending a probe and the report that it returns, in seconds: the
 #: probe times out after that.
-REPORT_LAG_S = 0.3
+MAX_REPORT_LAG_S = 0.3
 #: Longest time between two reports of a probed upstream, in seconds: a probe every
 #: 0.25 s, forwarded every 0.2 s by two gateways, with one of these messages lost.
-REPORTED_WITHIN_S = 1.0
+MAX_REPORT_INTERVAL_S = 1.0
 #: Seconds after its last report for which an upstream is assumed to be probed while
 #: others are: its own silence must not make it look like one that nobody probes.
 PROBED_WITHIN_S = 30.0
@@ -33,8 +33,8 @@
         self.probed_at = LONG_AGO
 
     def is_recent(self, now: ids.Instant) -> bool:
-        """Tell whether upstreams are being probed, as far as this process knows."""
-        return now - self.probed_at <= REPORTED_WITHIN_S
+        """Return whether upstreams are being probed, as far as this process knows."""
+        return now - self.probed_at <= MAX_REPORT_INTERVAL_S
 
 
 class Liveness:
@@ -89,7 +89,7 @@
 
     def reported(self, at: ids.Instant) -> None:
         """Record that it reported its load at ``at``, and so was not hung then."""
-        self.read_until = max(self.read_until, ids.Instant(at - REPORT_LAG_S))
+        self.read_until = max(self.read_until, ids.Instant(at - MAX_REPORT_LAG_S))
         self.heard_at = max(self.heard_at, at)
         if at > self._unanswered_since:
             self._cancelled_wait_s = 0.0
@@ -109,15 +109,15 @@
 
     @property
     def has_unanswered_attempts(self) -> bool:
-        """Tell whether attempts were cancelled since the upstream last responded."""
+        """Return whether attempts were cancelled since the upstream last responded."""
         return self._cancelled_wait_s > 0.0
 
     def was_probed(self) -> bool:
-        """Tell whether probes reported it shortly before its response became due."""
+        """Return whether probes reported it shortly before its response became due."""
         return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S
 
     def is_missing_from_probes(self, since: ids.Instant, now: ids.Instant) -> bool:
-        """Tell whether probes report others, but not this one after ``since``."""
+        """Return whether probes report others, but not this one after ``since``."""
         return self.probed_at <= since and self.probing.is_recent(now)
 
     def _decayed_wait_s(self, now: ids.Instant) -> float:
--- a/spindlenotch/kernel/named_limit.py
+++ b/spindlenotch/kernel/named_limit.py
@@ -3,7 +3,7 @@
 
 The limit applies to all processes together, for as long as the upstream's responses
 advertise it. Processes that learn of it notify the others; ``shared_rate`` decides who
-sends how much. Pure.
+sends how much. Performs no I/O and reads no clock.
 """
 
 from spindlenotch import ids
@@ -86,7 +86,7 @@
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may be sent.
+        Return whether one more request may be sent.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
@@ -116,13 +116,14 @@
             self._update_isolated_part(per_s, view)
             return
         # At least one request per second each: every holder may be one request ahead.
-        most = max(1, int(per_s))
-        holders = self.participant.holders(view, most)
+        max_count = max(1, int(per_s))
+        holders = self.participant.holders(view, max_count)
         if self.participant.local_host not in holders:
             self._pacer.set_part(0.0)
             return
         since = max(
-            self._advertised_at, self.participant.held_since(self._views, most, WINDOW)
+            self._advertised_at,
+            self.participant.held_since(self._views, max_count, WINDOW),
         )
         # The holders begin one after the other, and at another time for each upstream:
         # otherwise upstreams that advertise limits at the same time would all become
--- a/spindlenotch/kernel/outcomes.py
+++ b/spindlenotch/kernel/outcomes.py
@@ -14,7 +14,7 @@
 
 #: Lowest HTTP status that counts as a failure of the upstream: RFC 9110, section 15.6,
 #: reserves 5xx for servers that failed to fulfil a valid request.
-FIRST_FAILED_STATUS = 500
+MIN_FAILED_STATUS = 500
 
 
 class Outcome(enum.Enum):
@@ -61,7 +61,7 @@
     REGION_NOT_ALLOWED = "region-not-allowed"
     #: Upstreams crash when they run the request.
     QUARANTINED = "quarantined"
-    #: An upstream crashed on the request, and another call is still trying it.
+    #: An upstream crashed on the request, and another call of it is on trial.
     ON_TRIAL = "on-trial"
 
 
--- a/spindlenotch/kernel/regions.py
+++ b/spindlenotch/kernel/regions.py
@@ -1,7 +1,8 @@
 """
-Regions: groups of availability zones that are near each other.
+Regions: groups of availability zones that are close to each other.
 
-Pure values from the settings. If no region is set, all zones are in the same one.
+Performs no I/O and reads no clock: the regions are values from the settings. If no
+region is set, all zones are in the same one.
 """
 
 import enum
@@ -19,7 +20,7 @@
 
     ZONE = "zone"
     REGION = "region"
-    FAR = "far"
+    REMOTE = "far"
 
 
 class Regions(msgspec.Struct, frozen=True):
@@ -42,7 +43,7 @@
             return Distance.ZONE
         if self.region(zone) == self.region(other):
             return Distance.REGION
-        return Distance.FAR
+        return Distance.REMOTE
 
 
 ONE_REGION = Regions()
--- a/spindlenotch/kernel/shared_rate.py
+++ b/spindlenotch/kernel/shared_rate.py
@@ -6,7 +6,8 @@
 rendezvous hashing. A process that becomes a holder waits until the requests of the
 earlier one no longer count, so that the total holds while views differ for as long as
 that. Unused capacity is lost, and requests that the upstream has not read still count,
-as it may hang and then read them all at once. Pure; relies on ``rendezvous``.
+as it may hang and then read them all at once. Performs no I/O and reads no clock.
+Relies on ``rendezvous``.
 """
 
 import collections
@@ -92,7 +93,7 @@
 
     def may_send(self, now: ids.Instant, read_until: ids.Instant) -> bool:
         """
-        Tell whether one more request may be sent.
+        Return whether one more request may be sent.
 
         ``read_until``: the upstream has read everything sent to it before that instant.
         """
@@ -100,8 +101,8 @@
             return True
         if now < self.next_at:
             return False
-        most = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
-        if self._count_in_window(now, read_until) <= most:
+        max_count = max(MIN_WINDOW_REQUESTS, self.part_per_s * self.window.seconds)
+        if self._count_in_window(now, read_until) <= max_count:
             return True
         return now >= ids.later(self._sent_at, self.window.trial_after_s)
 
@@ -170,15 +171,15 @@
         score, _ = rendezvous.score(self.upstream, self.local_host)
         return score / rendezvous.SCORE_COUNT
 
-    def holders(self, view: View, most: int) -> list[ids.HostId]:
-        """Return at most ``most`` holders, the same for equal views."""
-        near = [member for member in view.members if member.zone == self.zone]
-        hosts = [member.host for member in near or view.members]
+    def holders(self, view: View, max_count: int) -> list[ids.HostId]:
+        """Return at most ``max_count`` holders, the same for equal views."""
+        in_zone = [member for member in view.members if member.zone == self.zone]
+        hosts = [member.host for member in in_zone or view.members]
         hosts.sort(key=lambda host: rendezvous.score(self.upstream, host), reverse=True)
-        return hosts[:most]
+        return hosts[:max_count]
 
     def held_since(
-        self, views: abc.Iterable[View], most: int, window: Window
+        self, views: abc.Iterable[View], max_count: int, window: Window
     ) -> ids.Instant:
         """
         Return when this process may start sending if it is one of the holders.
@@ -189,6 +190,6 @@
         free_at = LONG_AGO
         for view in views:
             is_former = view.until != ids.NEVER
-            if is_former and self.local_host not in self.holders(view, most):
+            if is_former and self.local_host not in self.holders(view, max_count):
                 free_at = max(free_at, ids.later(view.until, window.seconds))
         return free_at
--- a/spindlenotch/kernel/upstream_pool.py
+++ b/spindlenotch/kernel/upstream_pool.py
@@ -37,14 +37,13 @@
     """
     The upstreams by id, and the running means of the service as a whole.
 
-    Invariants: ``in_flight`` counts the calls sent and not ended,
-    ``wait_queue`` those in the queue; at most ``eject_share`` of the pool (at least
-    one) is ejected at a time. ``mean_foreign_load`` is the number of requests
-    that other processes have in an upstream where this one owns no slots,
-    ``near_used`` the share of the slots in use in this process's own region,
-    ``far_used_by_region`` the same for other regions, as they report it;
-    ``refused_share`` is the share of calls refused for overload,
-    ``failed_share`` that of requests that failed.
+    Invariants: ``in_flight`` counts the calls sent and not ended, ``waiting`` those in
+    the queue; at most ``eject_share`` of the pool (at least one) is ejected at a time.
+    ``mean_foreign_load`` is the number of requests that other processes have in an
+    upstream where this one owns no slots, ``local_region_used`` the share of the slots
+    in use in this process's region, ``used_by_remote_region`` the same for other
+    regions, as they report it; ``refused_share`` is the share of calls refused for
+    overload, ``failed_share`` that of requests that failed.
     """
 
     def __init__(
@@ -56,8 +55,8 @@
         super().__init__(service, local_member)
         self.rng = rng
         self.mean_foreign_load = latency.Mean(0.0, FOREIGN_LOAD_WEIGHT)
-        self.near_used = 0.0
-        self.far_used_by_region: dict[ids.RegionName, float] = {}
+        self.local_region_used = 0.0
+        self.used_by_remote_region: dict[ids.RegionName, float] = {}
         self.refused_share = latency.Mean(0.0, REFUSED_WEIGHT)
         self.in_flight = 0
         self.waiting = 0
@@ -82,8 +81,8 @@
         """
         decay_s = REPORT_DECAY_FACTOR * self.latencies.overall.value
         typical = self.mean_foreign_load.value
-        if self.far_order and self.is_far(upstream):
-            used = self.far_used_by_region.get(self.region_of(upstream), 0.0)
+        if self.remote_order and self.is_remote(upstream):
+            used = self.used_by_remote_region.get(self.region_of(upstream), 0.0)
             typical = used * upstream.slots
         if upstream.owned_slots > 0:
             typical = upstream.foreign_load.value
@@ -97,7 +96,7 @@
     ) -> None:
         """Apply a load report that came with a response or a probe."""
         upstream.reported(report, now)
-        if self.far_order and self.is_far(upstream):
+        if self.remote_order and self.is_remote(upstream):
             # It came with the response to a call that still counts as outstanding
             # here; no later probe will correct the estimate.
             upstream.outstanding_at_report -= 1
@@ -147,7 +146,7 @@
     def _was_overdue_on_probation(
         self, upstream: upstreams.Upstream, latency_key: str, took_s: float
     ) -> bool:
-        """Tell whether the cancelled request on probation had waited too long."""
+        """Return whether the cancelled request on probation had waited too long."""
         on_probation = upstream.state is upstreams.State.PROBATION
         return on_probation and took_s > self.latencies.p95_s(latency_key)
 
@@ -163,11 +162,11 @@
         self.refresh()
         return True
 
-    def frozen(
+    def is_hung(
         self, upstream: upstreams.Upstream, latency_key: str, now: ids.Instant
     ) -> bool:
-        """Tell whether only a hung upstream explains its silence."""
-        return ejection.is_frozen(
+        """Return whether only a hung upstream explains its silence."""
+        return ejection.is_hung(
             upstream.silent_s(now), self.latencies.p95_s(latency_key)
         )
 
@@ -185,7 +184,7 @@
             self.refresh()
 
     def busy(self) -> int:
-        """Count the calls in flight except those stuck in ejected upstreams."""
+        """Count the calls in flight except those waiting in ejected upstreams."""
         return self.in_flight - sum(u.outstanding for u in self.ejected)
 
     def dispatch_schedule(
--- a/spindlenotch/kernel/upstream_set.py
+++ b/spindlenotch/kernel/upstream_set.py
@@ -36,11 +36,12 @@
     The upstreams by id, and those that may be sent requests.
 
     Invariants: ``usable_order`` lists the upstreams that are not leaving,
-    ``local_order`` those of them in this process's own zone, ``near_order`` in its
-    region and ``far_order`` in others, ``ejected`` those that are ejected; ``owned``
-    lists those of them in which this process owns slots, ``owned_total`` in all.
-    ``revision`` grows with each change of ``usable_order``. ``views`` are the views of
-    which processes share rates: recent ones first, the current one last.
+    ``local_zone_order`` those of them in this process's zone, ``local_region_order`` in
+    its region and ``remote_order`` in other regions, ``ejected`` those that are
+    ejected; ``owned`` lists those of them in which this process owns slots,
+    ``owned_total`` in all. ``revision`` grows with each change of ``usable_order``.
+    ``views`` are the views of which processes share rates: recent ones first, the
+    current one last.
     """
 
     def __init__(
@@ -52,9 +53,9 @@
         self.members: tuple[ownership.Member, ...] = (local_member,)
         self.upstream_by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
         self.usable_order: list[upstreams.Upstream] = []
-        self.local_order: list[upstreams.Upstream] = []
-        self.near_order: list[upstreams.Upstream] = []
-        self.far_order: list[upstreams.Upstream] = []
+        self.local_zone_order: list[upstreams.Upstream] = []
+        self.local_region_order: list[upstreams.Upstream] = []
+        self.remote_order: list[upstreams.Upstream] = []
         self.owned: list[upstreams.Upstream] = []
         self.ejected: list[upstreams.Upstream] = []
         self.zone_factor: dict[ids.ZoneName, float] = {}
@@ -94,7 +95,7 @@
                 self.upstream_by_id[spec.id] = self._create(spec, known, now)
             else:
                 if known.spec.born != spec.born:
-                    # It is the same start, which could not be identified before.
+                    # It is the same incarnation, which could not be identified before.
                     known.spec = msgspec.structs.replace(known.spec, born=spec.born)
                 known.cold.listed(spec.warming_up_until, now)
         self._remove_unlisted(spec_by_id)
@@ -132,22 +133,22 @@
         self.refresh()
         return True
 
-    def is_far(self, upstream: upstreams.Upstream) -> bool:
-        """Tell whether an upstream is in another region."""
+    def is_remote(self, upstream: upstreams.Upstream) -> bool:
+        """Return whether an upstream is in another region."""
         known = self.service.region_map
         distance = known.distance(self.local_member.zone, upstream.spec.zone)
-        return distance is regions.Distance.FAR
+        return distance is regions.Distance.REMOTE
 
     def region_of(self, upstream: upstreams.Upstream) -> ids.RegionName:
         """Return the region of an upstream."""
         return self.service.region_map.region(upstream.spec.zone)
 
-    def far_regions(self) -> set[ids.RegionName]:
+    def remote_regions(self) -> set[ids.RegionName]:
         """Return the other regions that have upstreams."""
-        return {self.region_of(upstream) for upstream in self.far_order}
+        return {self.region_of(upstream) for upstream in self.remote_order}
 
     def allows(self, call: wait_queue.Call, upstream: upstreams.Upstream) -> bool:
-        """Tell whether a call may run in the region of an upstream."""
+        """Return whether a call may run in the region of an upstream."""
         allowed = call.allowed_regions
         return allowed is None or self.region_of(upstream) in allowed
 
@@ -161,9 +162,11 @@
             if u.state is not upstreams.State.LEAVING
         ]
         zone = self.local_member.zone
-        self.local_order = [u for u in self.usable_order if u.spec.zone == zone]
-        self.near_order = [u for u in self.usable_order if not self.is_far(u)]
-        self.far_order = [u for u in self.usable_order if self.is_far(u)]
+        self.local_zone_order = [u for u in self.usable_order if u.spec.zone == zone]
+        self.local_region_order = [
+            u for u in self.usable_order if not self.is_remote(u)
+        ]
+        self.remote_order = [u for u in self.usable_order if self.is_remote(u)]
         self.ejected = [
             u for u in self.usable_order if u.state is upstreams.State.EJECTED
         ]
@@ -207,17 +210,17 @@
         """Recompute what this process may send where all processes share a rate."""
         hosts = tuple(member.host for member in self.views[-1].members)
         for upstream in self.upstream_by_id.values():
-            is_far = self.is_far(upstream)
+            is_remote = self.is_remote(upstream)
             upstream.cold.assumed_duration_s = self.service.cold_start_s
             rate_per_s = cold_start.rate_per_s(
                 upstream.spec.id,
                 self.service.cold_rate_per_s,
-                () if is_far else hosts,
+                () if is_remote else hosts,
                 self.local_member.host,
             )
             upstream.cold.limit(rate_per_s, now)
             # Only processes of its own region share the limit: they know each other.
-            views = (shared_rate.EMPTY_VIEW,) if is_far else self.views
+            views = (shared_rate.EMPTY_VIEW,) if is_remote else self.views
             upstream.backpressure.limit.set_views(views)
 
     def _assign_slots(self) -> None:
--- a/spindlenotch/kernel/wait_queue.py
+++ b/spindlenotch/kernel/wait_queue.py
@@ -17,7 +17,7 @@
 #: priority, so that the lowest class never starves.
 OLDEST_FIRST_EVERY = 20
 #: Default bound on the upstreams a call may be sent to: more than there are.
-MAX_TRIES = 1_000
+MAX_ATTEMPTS = 1_000
 #: Default cost in seconds of sending a call to an upstream in another zone, for the
 #: round trip.
 CROSS_ZONE_S = 0.002
@@ -29,7 +29,7 @@
 
     The lowest ``priority`` goes first. ``latency_key`` is the kind of call whose
     latency is expected: the operation or the route. ``repeatable``: the call is
-    idempotent. ``most_tries`` bounds the upstreams it may be sent to. The call is
+    idempotent. ``max_attempts`` bounds the upstreams it may be sent to. The call is
     refused if it would wait beyond ``wait_until`` for a slot. ``late``: it can no
     longer be answered in time, so calls of its priority that still can are served
     first. An upstream in another zone costs ``cross_zone_s`` seconds more, one in
@@ -44,7 +44,7 @@
     deadline: ids.Instant
     latency_key: str
     arrived_at: ids.Instant
-    most_tries: int = MAX_TRIES
+    max_attempts: int = MAX_ATTEMPTS
     wait_until: ids.Instant = ids.NEVER
     late: bool = False
     cross_zone_s: float = CROSS_ZONE_S
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -58,7 +58,7 @@
         self._active_count = 0
         self._introduced_by_host: dict[ids.HostId, messages.MemberRecord] = {}
 
-    def is_far(self, zone: ids.ZoneName) -> bool:
+    def is_remote(self, zone: ids.ZoneName) -> bool:
         """Return whether a zone is in another region."""
         return self.known.region(zone) != self.local_region
 
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -73,10 +73,12 @@
         Replies pass the summaries on, with their current age.
         """
         self.links.merge_summaries(message.regions, now)
-        if self.links.is_far(message.sender.zone):
+        if self.links.is_remote(message.sender.zone):
             return self._handle_far(message, now)
         members = tuple(
-            record for record in message.members if not self.links.is_far(record.zone)
+            record
+            for record in message.members
+            if not self.links.is_remote(record.zone)
         )
         near = msgspec.structs.replace(message, members=members)
         handled = super().handle(near, now)
@@ -91,7 +93,7 @@
     ) -> gossip.Handled:
         changed = False
         for record in message.members:
-            if not self.links.is_far(record.zone):
+            if not self.links.is_remote(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
         self.links.record_far_member(message.sender)
         newer = tuple(
--- a/tools/late_mutants.py
+++ b/tools/late_mutants.py
@@ -53,7 +53,7 @@
     mutant_table.Mutant(
         "a cold upstream gets more while what it got lies unread",
         "kernel/shared_rate",
-        "if self._count_in_window(now, read_until) <= most:",
+        "if self._count_in_window(now, read_until) <= max_count:",
         "if True:",
         "a cold upstream that stands still reads what it bears",
     ),
@@ -75,7 +75,7 @@
         "an upstream that has long been silent counts as one that nobody probes",
         "kernel/hearing",
         "return self.probed_at >= self._unanswered_since - PROBED_WITHIN_S",
-        "return self.probed_at >= self._unanswered_since - REPORTED_WITHIN_S",
+        "return self.probed_at >= self._unanswered_since - MAX_REPORT_INTERVAL_S",
         "so does one that is sent to long after probes miss it",
     ),
 )
