--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -17,7 +17,7 @@
 MIN_COMPLETIONS_PER_S = 1.0
 #: Seconds by which the turn of a new call must come before its limit: turns are taken
 #: somewhat late, and a call that was queued should not be refused later.
-TURN_RESERVE_S = 0.02
+DISPATCH_RESERVE_S = 0.02
 
 
 def expected_wait_s(pool: upstream_pool.Pool, ahead: int, now: ids.Instant) -> float:
@@ -63,7 +63,7 @@
     pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
-    reserve_s = TURN_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
+    reserve_s = DISPATCH_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
     return refusal_rule(pool, call, ahead, now, reserve_s)
 
 
--- a/tools/decision_table.py
+++ b/tools/decision_table.py
@@ -185,7 +185,7 @@
             "gateway/serving/caller_age.MAX_INITIAL_TIMEOUT_RATIO",
             "kernel/completion_rate.TIME_CONSTANT_S",
             "decisions/queueing.MIN_COMPLETIONS_PER_S",
-            "decisions/queueing.TURN_RESERVE_S",
+            "decisions/queueing.DISPATCH_RESERVE_S",
             "kernel/wait_queue.OLDEST_FIRST_EVERY",
             "forwarding/granting.MAX_QUEUE_CHECK_S",
             "forwarding/granting.MIN_QUEUE_CHECK_S",
