--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -182,7 +182,7 @@
             for settlement in self.admission.refuse_hopeless(now)
         ]
 
-    def next_turn(self, now: ids.Instant) -> ids.Instant:
+    def next_dispatch_at(self, now: ids.Instant) -> ids.Instant:
         """Return when the first waiting call has its turn; NEVER if not known."""
         turns = self.pool.dispatch_schedule(now) if len(self.queue) else None
         return ids.NEVER if turns is None else turns.at(0)
