--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -184,8 +184,8 @@
 
     def next_dispatch_at(self, now: ids.Instant) -> ids.Instant:
         """Return when the first waiting call has its turn; NEVER if not known."""
-        turns = self.pool.dispatch_schedule(now) if len(self.queue) else None
-        return ids.NEVER if turns is None else turns.at(0)
+        schedule = self.pool.dispatch_schedule(now) if len(self.queue) else None
+        return ids.NEVER if schedule is None else schedule.at(0)
 
     def withdraw(self, call_id: ids.CallId) -> None:
         """Remove a call from the queue after its caller has disconnected."""
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -27,9 +27,9 @@
     Calls get their turn as calls of this process complete, or, where all upstreams
     advertise rate limits, at the rate that these allow. Zero until that rate is known.
     """
-    turns = pool.dispatch_schedule(now)
-    if turns is not None:
-        return max(0.0, turns.at(ahead) - now)
+    schedule = pool.dispatch_schedule(now)
+    if schedule is not None:
+        return max(0.0, schedule.at(ahead) - now)
     per_s = pool.completions.per_s(now)
     if per_s is None:
         return 0.0
