--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -31,8 +31,10 @@
     A call that is sent later than scheduled delays all calls behind it: those that were
     queued because their turn would come in time would then be refused.
     """
-    turns = [service_balancer.next_dispatch_at(now) for service_balancer in balancers]
-    due_in_s = [turn - now for turn in turns if turn > now]
+    dispatch_instants = [
+        service_balancer.next_dispatch_at(now) for service_balancer in balancers
+    ]
+    due_in_s = [turn - now for turn in dispatch_instants if turn > now]
     return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
 
