--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -34,7 +34,9 @@
     dispatch_instants = [
         service_balancer.next_dispatch_at(now) for service_balancer in balancers
     ]
-    due_in_s = [turn - now for turn in dispatch_instants if turn > now]
+    due_in_s = [
+        dispatch_at - now for dispatch_at in dispatch_instants if dispatch_at > now
+    ]
     return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
 
