--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -104,7 +104,7 @@
     def _gossip_with_regions(self, local: regional_gossip.RegionalGossip) -> None:
         """Send to another region if due, and report regions that are lost or back."""
         now = self.state.clock.now()
-        targets = local.far_targets(
+        targets = local.remote_targets(
             self._fallback_addresses_by_region(local.links), now
         )
         if targets:
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -33,7 +33,7 @@
         super().__init__(local, rng, timeouts)
         self.links = region_links.RegionLinks(local.zone, known, rng)
 
-    def far_targets(
+    def remote_targets(
         self,
         fallback_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
         now: ids.Instant,
