--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -108,7 +108,7 @@
             self._fallback_addresses_by_region(local.links), now
         )
         if targets:
-            self.link.send(local.compose_far(now, wants_reply=True), targets)
+            self.link.send(local.compose_remote(now, wants_reply=True), targets)
         reachable = local.links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         lost = local.links.received_by_region.keys() - reachable.keys()
         for region in sorted(lost - self._lost_regions):
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -41,7 +41,7 @@
         """Return the address in another region to send a summary to, if any is due."""
         return self.links.targets(fallback_by_region, now)
 
-    def compose_far(
+    def compose_remote(
         self,
         now: ids.Instant,
         *,
@@ -102,7 +102,7 @@
         reply = None
         if message.wants_reply:
             requester = message.sender if message.wants_members else None
-            reply = self.compose_far(now, fill_for=requester)
+            reply = self.compose_remote(now, fill_for=requester)
         return gossip.Handled(changed, newer, (), reply)
 
 
