--- a/spindlenotch/gateway/cluster/peer_distance.py
+++ b/spindlenotch/gateway/cluster/peer_distance.py
@@ -29,7 +29,7 @@
         if zone is not None:
             return self.state.regions.distance(self.state.config.zone, zone).value
         links = self.state.links
-        if links is not None and links.is_far_address(address):
+        if links is not None and links.is_remote_address(address):
             return regions.Distance.REMOTE.value
         return UNKNOWN
 
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -88,7 +88,7 @@
             if now - received.made_at < most_age_s
         }
 
-    def is_far_address(self, address: ids.Address) -> bool:
+    def is_remote_address(self, address: ids.Address) -> bool:
         """Return whether an address is that of a known member of another region."""
         if any(
             record.peer_address == address
