--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -169,7 +169,7 @@
 
     # Introductions while a fleet starts
 
-    def record_far_member(self, record: messages.MemberRecord) -> None:
+    def record_remote_member(self, record: messages.MemberRecord) -> None:
         """Keep the record of a far member, to introduce it to others of its region."""
         self._introduced_by_host.pop(record.host, None)
         self._introduced_by_host[record.host] = record
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -95,7 +95,7 @@
         for record in message.members:
             if not self.links.is_remote(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
-        self.links.record_far_member(message.sender)
+        self.links.record_remote_member(message.sender)
         newer = tuple(
             version for version in message.documents if self._is_newer(version)
         )
