--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -74,7 +74,7 @@
         """
         self.links.merge_summaries(message.regions, now)
         if self.links.is_remote(message.sender.zone):
-            return self._handle_far(message, now)
+            return self._handle_remote(message, now)
         members = tuple(
             record
             for record in message.members
@@ -88,7 +88,7 @@
         reply = msgspec.structs.replace(handled.reply, regions=summaries)
         return msgspec.structs.replace(handled, reply=reply)
 
-    def _handle_far(
+    def _handle_remote(
         self, message: messages.Message, now: ids.Instant
     ) -> gossip.Handled:
         changed = False
