--- a/spindlenotch/decisions/balancer.py
+++ b/spindlenotch/decisions/balancer.py
@@ -183,7 +183,7 @@
         ]
 
     def next_dispatch_at(self, now: ids.Instant) -> ids.Instant:
-        """Return when the first waiting call has its turn; NEVER if not known."""
+        """Return when the first waiting call is due to be sent; NEVER if not known."""
         schedule = self.pool.dispatch_schedule(now) if len(self.queue) else None
         return ids.NEVER if schedule is None else schedule.at(0)
 
--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -15,8 +15,8 @@
 #: Lowest completion rate, per second, that the estimate of a wait divides by, so that
 #: the estimate stays finite when nothing completes.
 MIN_COMPLETIONS_PER_S = 1.0
-#: Seconds by which the turn of a new call must come before its limit: turns are taken
-#: somewhat late, and a call that was queued should not be refused later.
+#: Seconds by which a new call must be scheduled before its limit: calls are sent
+#: somewhat later than scheduled, and a call once queued should not be refused later.
 DISPATCH_RESERVE_S = 0.02
 
 
@@ -24,7 +24,7 @@
     """
     Estimate the wait in seconds behind ``ahead`` calls.
 
-    Calls get their turn as calls of this process complete, or, where all upstreams
+    Calls are sent as calls of this process complete, or, where all upstreams
     advertise rate limits, at the rate that these allow. Zero until that rate is known.
     """
     schedule = pool.dispatch_schedule(now)
@@ -74,7 +74,7 @@
     Return why a waiting call behind ``ahead`` others is refused now, or None.
 
     It is refused if it has waited as long as it may (``wait_until``), or if it will
-    not get its turn in time.
+    not be sent in time.
     """
     if now >= call.wait_until:
         return outcomes.RefusalRule.WAIT_OVER
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -29,7 +29,7 @@
     Return the seconds until the queues must be checked again.
 
     A call that is sent later than scheduled delays all calls behind it: those that were
-    queued because their turn would come in time would then be refused.
+    queued because they would be sent in time would then be refused.
     """
     dispatch_instants = [
         service_balancer.next_dispatch_at(now) for service_balancer in balancers
--- a/spindlenotch/peers/region_links.py
+++ b/spindlenotch/peers/region_links.py
@@ -4,8 +4,8 @@
 Members of other regions are not peers of this one: a region sends a summary of itself
 instead, so that traffic between regions does not grow with the number of hosts, and a
 lossy link between regions raises no suspicions. No I/O and no clock. Relies on
-``kernel.regions`` for which zones are far; ``regional_gossip`` puts the summaries into
-messages.
+``kernel.regions`` for which zones are remote; ``regional_gossip`` puts the summaries
+into messages.
 """
 
 import random
@@ -170,7 +170,7 @@
     # Introductions while a fleet starts
 
     def record_remote_member(self, record: messages.MemberRecord) -> None:
-        """Keep the record of a far member, to introduce it to others of its region."""
+        """Keep a remote member's record, to introduce it to others of its region."""
         self._introduced_by_host.pop(record.host, None)
         self._introduced_by_host[record.host] = record
         if len(self._introduced_by_host) > MAX_INTRODUCED:
@@ -179,7 +179,7 @@
     def introductions(
         self, requester: messages.MemberRecord
     ) -> tuple[messages.MemberRecord, ...]:
-        """Return the latest other senders from a far member's region."""
+        """Return the latest other senders from a remote member's region."""
         region = self.known.region(requester.zone)
         same_region = [
             record
