--- a/spindlenotch/decisions/queueing.py
+++ b/spindlenotch/decisions/queueing.py
@@ -15,21 +15,21 @@
 #: Lowest completion rate, per second, that the estimate of a wait divides by, so that
 #: the estimate stays finite when nothing completes.
 MIN_COMPLETIONS_PER_S = 1.0
-#: Seconds by which the turn of a new call must come before its limit: turns are taken
-#: somewhat late, and a call that was queued should not be refused later.
-TURN_RESERVE_S = 0.02
+#: Seconds by which a new call must be scheduled before its limit: calls are sent
+#: somewhat later than scheduled, and a call once queued should not be refused later.
+DISPATCH_RESERVE_S = 0.02
 
 
 def expected_wait_s(pool: upstream_pool.Pool, ahead: int, now: ids.Instant) -> float:
     """
     Estimate the wait in seconds behind ``ahead`` calls.
 
-    Calls get their turn as calls of this process complete, or, where all upstreams
+    Calls are sent as calls of this process complete, or, where all upstreams
     advertise rate limits, at the rate that these allow. Zero until that rate is known.
     """
-    turns = pool.dispatch_schedule(now)
-    if turns is not None:
-        return max(0.0, turns.at(ahead) - now)
+    schedule = pool.dispatch_schedule(now)
+    if schedule is not None:
+        return max(0.0, schedule.at(ahead) - now)
     per_s = pool.completions.per_s(now)
     if per_s is None:
         return 0.0
@@ -63,7 +63,7 @@
     pool: upstream_pool.Pool, call: wait_queue.Call, ahead: int, now: ids.Instant
 ) -> outcomes.RefusalRule | None:
     """Return why a new call behind ``ahead`` others is refused at once, or None."""
-    reserve_s = TURN_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
+    reserve_s = DISPATCH_RESERVE_S if pool.dispatch_schedule(now) is not None else 0.0
     return refusal_rule(pool, call, ahead, now, reserve_s)
 
 
@@ -74,7 +74,7 @@
     Return why a waiting call behind ``ahead`` others is refused now, or None.
 
     It is refused if it has waited as long as it may (``wait_until``), or if it will
-    not get its turn in time.
+    not be sent in time.
     """
     if now >= call.wait_until:
         return outcomes.RefusalRule.WAIT_OVER
--- a/spindlenotch/forwarding/granting.py
+++ b/spindlenotch/forwarding/granting.py
@@ -29,10 +29,14 @@
     Return the seconds until the queues must be checked again.
 
     A call that is sent later than scheduled delays all calls behind it: those that were
-    queued because their turn would come in time would then be refused.
+    queued because they would be sent in time would then be refused.
     """
-    turns = [service_balancer.next_turn(now) for service_balancer in balancers]
-    due_in_s = [turn - now for turn in turns if turn > now]
+    dispatch_instants = [
+        service_balancer.next_dispatch_at(now) for service_balancer in balancers
+    ]
+    due_in_s = [
+        dispatch_at - now for dispatch_at in dispatch_instants if dispatch_at > now
+    ]
     return max(MIN_QUEUE_CHECK_S, min([MAX_QUEUE_CHECK_S, *due_in_s]))
 
 
--- a/spindlenotch/gateway/cluster/membership.py
+++ b/spindlenotch/gateway/cluster/membership.py
@@ -104,11 +104,11 @@
     def _gossip_with_regions(self, local: regional_gossip.RegionalGossip) -> None:
         """Send to another region if due, and report regions that are lost or back."""
         now = self.state.clock.now()
-        targets = local.far_targets(
+        targets = local.remote_targets(
             self._fallback_addresses_by_region(local.links), now
         )
         if targets:
-            self.link.send(local.compose_far(now, wants_reply=True), targets)
+            self.link.send(local.compose_remote(now, wants_reply=True), targets)
         reachable = local.links.recent_summaries(now, region_links.SUMMARY_EXPIRY_S)
         lost = local.links.received_by_region.keys() - reachable.keys()
         for region in sorted(lost - self._lost_regions):
--- a/spindlenotch/peers/regional_gossip.py
+++ b/spindlenotch/peers/regional_gossip.py
@@ -33,7 +33,7 @@
         super().__init__(local, rng, timeouts)
         self.links = region_links.RegionLinks(local.zone, known, rng)
 
-    def far_targets(
+    def remote_targets(
         self,
         fallback_by_region: abc.Mapping[ids.RegionName, abc.Sequence[ids.Address]],
         now: ids.Instant,
@@ -41,7 +41,7 @@
         """Return the address in another region to send a summary to, if any is due."""
         return self.links.targets(fallback_by_region, now)
 
-    def compose_far(
+    def compose_remote(
         self,
         now: ids.Instant,
         *,
@@ -74,7 +74,7 @@
         """
         self.links.merge_summaries(message.regions, now)
         if self.links.is_remote(message.sender.zone):
-            return self._handle_far(message, now)
+            return self._handle_remote(message, now)
         members = tuple(
             record
             for record in message.members
@@ -88,21 +88,21 @@
         reply = msgspec.structs.replace(handled.reply, regions=summaries)
         return msgspec.structs.replace(handled, reply=reply)
 
-    def _handle_far(
+    def _handle_remote(
         self, message: messages.Message, now: ids.Instant
     ) -> gossip.Handled:
         changed = False
         for record in message.members:
             if not self.links.is_remote(record.zone):
                 changed |= self.membership.update(record, now, direct=False)
-        self.links.record_far_member(message.sender)
+        self.links.record_remote_member(message.sender)
         newer = tuple(
             version for version in message.documents if self._is_newer(version)
         )
         reply = None
         if message.wants_reply:
             requester = message.sender if message.wants_members else None
-            reply = self.compose_far(now, fill_for=requester)
+            reply = self.compose_remote(now, fill_for=requester)
         return gossip.Handled(changed, newer, (), reply)
 
 
